--- a/internal/flow/inflow/inflow.go
+++ b/internal/flow/inflow/inflow.go
@@ -58,7 +58,7 @@
 	defer b.mu.Unlock()
 	var loads []Load
 	for work := range b.open {
-		loads = Add(loads, Load{Pool: work.Pool, Pieces: reach.Classes(work.Rank-now, work.Pieces)})
+		loads = Add(loads, Load{Pool: work.Pool, Pieces: reach.ClassCounts(work.Rank-now, work.Pieces)})
 	}
 	return loads
 }
@@ -70,7 +70,7 @@
 	var pieces []int
 	for work := range b.open {
 		if work.Pool == pool {
-			pieces = Sum(pieces, reach.Classes(work.Rank-now, work.Pieces))
+			pieces = Sum(pieces, reach.ClassCounts(work.Rank-now, work.Pieces))
 		}
 	}
 	return pieces
@@ -102,7 +102,7 @@
 // may have finer ones.
 func Sum(pieces, more []int) []int {
 	if pieces == nil {
-		pieces = make([]int, len(reach.Edges)+1)
+		pieces = make([]int, len(reach.RankEdges)+1)
 	}
 	for class, count := range more {
 		pieces[min(class, len(pieces)-1)] += count
--- a/internal/flow/inflow/inflow_test.go
+++ b/internal/flow/inflow/inflow_test.go
@@ -34,7 +34,7 @@
 // A process of the next release counts in more classes than this one. Its work
 // must count all the same, or this one admits too much while hosts are updated.
 func TestUnknownClassesCountAmongTheLast(t *testing.T) {
-	more := make([]int, len(reach.Edges)+5)
+	more := make([]int, len(reach.RankEdges)+5)
 	more[len(more)-1] = 7
 	loads := inflow.Add(nil, inflow.Load{Pool: "a", Pieces: more})
 	pieces := inflow.Of(loads, "a")
--- a/internal/flow/reach/correct.go
+++ b/internal/flow/reach/correct.go
@@ -32,8 +32,8 @@
 	at    clock.Millis
 }
 
-// Learn takes how long a request was expected to take, and how long it took.
-func (c *Correction) Learn(estimated, took, now clock.Millis) {
+// Observe takes how long a request was expected to take, and how long it took.
+func (c *Correction) Observe(estimated, took, now clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fade(now)
--- a/internal/flow/reach/correct_test.go
+++ b/internal/flow/reach/correct_test.go
@@ -19,7 +19,7 @@
 	now := clock.Millis(0)
 	for range 200 {
 		now += 50
-		b.Learn(1000, 1300+clock.Millis(random.IntN(200))-100, now)
+		b.Observe(1000, 1300+clock.Millis(random.IntN(200))-100, now)
 	}
 	value := b.Value(now)
 	assert.Assert(t, value > 250 && value < 420, "%f", value)
@@ -37,7 +37,7 @@
 		if i%10 == 0 {
 			took = 6000
 		}
-		b.Learn(1000, took, now)
+		b.Observe(1000, took, now)
 	}
 	assert.Assert(t, b.Value(now) < 50, "%f", b.Value(now))
 }
--- a/internal/flow/reach/load_test.go
+++ b/internal/flow/reach/load_test.go
@@ -54,13 +54,13 @@
 }
 
 func (p *play) known() *reach.Queue {
-	q := &reach.Queue{Bounds: bounds, Engines: len(p.busy), Waiting: make([]int, len(reach.Edges)+1)}
+	q := &reach.Queue{Bounds: bounds, Engines: len(p.busy), Queued: make([]int, len(reach.RankEdges)+1)}
 	for _, until := range p.busy {
 		if until <= p.now {
 			q.Free++
 		}
 	}
-	p.queue.Each(func(g *batch.Group) { q.Waiting[reach.Class(g.Rank-p.now)] += g.Waiting() })
+	p.queue.Each(func(g *batch.Group) { q.Queued[reach.Class(g.Rank-p.now)] += g.Waiting() })
 	return q
 }
 
@@ -77,7 +77,7 @@
 func (p *play) attempt(c caller) {
 	r := &reach.Request{
 		Stages: []table.Stage{{Pool: "a"}}, Pieces: []int{c.pieces}, Done: []bool{false},
-		Slack: objective, Left: deadline, Last: float64(last),
+		Slack: objective, Left: deadline, Generation: float64(last),
 	}
 	if p.knows && c.tries > 0 {
 		r.Returned, r.Slack = true, c.first+objective-p.now
@@ -86,9 +86,9 @@
 	queues := func(string) *reach.Queue { return p.known() }
 	remaining := r.Remaining(queues)
 	r.Correction = p.correction.Value(p.now)
-	if p.admits && !r.Begins(remaining) {
+	if p.admits && !r.Admissible(remaining) {
 		r.Penalty = 2 * batch.LateBehind
-		if !r.BeginsLate(r.Remaining(queues)) {
+		if !r.AdmissibleLate(r.Remaining(queues)) {
 			p.refuse(c)
 			return
 		}
@@ -165,7 +165,7 @@
 	took := p.now - began.first + last
 	p.slowest = max(p.slowest, took)
 	if !began.late {
-		p.correction.Learn(began.estimate, p.now-began.began+last, p.now)
+		p.correction.Observe(began.estimate, p.now-began.began+last, p.now)
 	}
 	if took <= objective {
 		p.inTime++
--- a/internal/flow/reach/merge.go
+++ b/internal/flow/reach/merge.go
@@ -7,18 +7,18 @@
 	for _, part := range parts {
 		merged.Engines += part.Engines
 		merged.Free += part.Free
-		merged.Waiting = addClasses(merged.Waiting, part.Waiting)
-		if part.Fill > 0 {
-			filled += part.Fill * float64(part.Engines)
+		merged.Queued = addClasses(merged.Queued, part.Queued)
+		if part.BatchSize > 0 {
+			filled += part.BatchSize * float64(part.Engines)
 			weight += float64(part.Engines)
 		}
-		late += part.Late * float64(part.Engines)
+		late += part.Staleness * float64(part.Engines)
 	}
 	if weight > 0 {
-		merged.Fill = filled / weight
+		merged.BatchSize = filled / weight
 	}
 	if merged.Engines > 0 {
-		merged.Late = late / float64(merged.Engines)
+		merged.Staleness = late / float64(merged.Engines)
 	}
 	return merged
 }
--- a/internal/flow/reach/reach.go
+++ b/internal/flow/reach/reach.go
@@ -21,40 +21,40 @@
 	// Engines that take calls, and those of them that are free.
 	Engines int
 	Free    int
-	// Fill is how many pieces a call holds when more wait than fit; memory for
+	// BatchSize is how many pieces a call holds when more wait than fit; memory for
 	// results may keep it below what the engine takes. 0 when it isn't known.
-	Fill float64
-	// Room is the memory for results of one engine, in bytes.
-	Room int64
-	// Late is how much older this is than it usually is, in milliseconds. Its owner
+	BatchSize float64
+	// ResultMemory is the memory for results of one engine, in bytes.
+	ResultMemory int64
+	// Staleness is how much older this is than it usually is, in milliseconds. Its owner
 	// may hang: the queue that it told of last is not there for ever.
-	Late float64
-	// Waiting is the pieces that wait, by rank: see Edges.
-	Waiting []int
-	// Inflow is the pieces that requests under way will ask for after the stages
+	Staleness float64
+	// Queued is the pieces that wait, by rank: see Edges.
+	Queued []int
+	// PendingArrivals is the pieces that requests under way will ask for after the stages
 	// that they are in, by rank.
-	Inflow []int
+	PendingArrivals []int
 }
 
-// Edges are the upper ends of the classes of rank by which waiting pieces are
+// RankEdges are the upper ends of the classes of rank by which waiting pieces are
 // counted, in milliseconds from now; the last class has none. They are finer
 // than the distance between the objectives of two kinds of requests, so that the
 // more urgent kind doesn't count the other as ahead of it.
-var Edges = []clock.Millis{0, 150, 300, 450, 600, 800, 1000, 1200, 1400, 1600, 1800, 2000, 2200, 2500, 2800, 3200}
+var RankEdges = []clock.Millis{0, 150, 300, 450, 600, 800, 1000, 1200, 1400, 1600, 1800, 2000, 2200, 2500, 2800, 3200}
 
 // Class returns the class of a rank that lies so far from now.
 func Class(ahead clock.Millis) int {
-	for i, edge := range Edges {
+	for i, edge := range RankEdges {
 		if ahead < edge {
 			return i
 		}
 	}
-	return len(Edges)
+	return len(RankEdges)
 }
 
-// Classes returns so many pieces of a rank by class.
-func Classes(ahead clock.Millis, pieces int) []int {
-	classes := make([]int, len(Edges)+1)
+// ClassCounts returns so many pieces of a rank by class.
+func ClassCounts(ahead clock.Millis, pieces int) []int {
+	classes := make([]int, len(RankEdges)+1)
 	classes[Class(ahead)] = pieces
 	return classes
 }
@@ -66,13 +66,13 @@
 	if q.Engines == 0 {
 		return noEngines
 	}
-	fill := q.Fill
+	fill := q.BatchSize
 	if fill < 1 {
 		fill = float64(q.Bounds.Pieces)
 	}
 	span := q.Bounds.Duration(int(fill))
 	rate := fill * float64(q.Engines) / span
-	ahead := float64(upTo(q.Waiting, rank)) + float64(upTo(q.Inflow, rank)) - rate*(arrives+q.Late)
+	ahead := float64(upTo(q.Queued, rank)) + float64(upTo(q.PendingArrivals, rank)) - rate*(arrives+q.Staleness)
 	if ahead < float64(q.Free*q.Bounds.Pieces) {
 		return 0
 	}
@@ -109,12 +109,12 @@
 	Penalty clock.Millis
 	// Returned says that its caller was refused before and has come back as told.
 	Returned bool
-	// Last is how long the request itself takes after its stages, in milliseconds.
-	Last float64
+	// Generation is how long the request itself takes after its stages, in milliseconds.
+	Generation float64
 	// Correction is how much longer than estimated it probably takes, in milliseconds.
 	Correction float64
-	// Yield is the part of its slack that it leaves free for more urgent requests.
-	Yield float64
+	// ReservedShare is the part of its slack that it leaves free for more urgent requests.
+	ReservedShare float64
 }
 
 // Remaining estimates the time to the first byte of the answer, in
@@ -129,7 +129,7 @@
 	for i := range r.Stages {
 		longest = max(longest, r.end(i, ends, queues))
 	}
-	return longest + r.Last
+	return longest + r.Generation
 }
 
 // unknown is the end of a stage that was not looked at yet.
@@ -156,9 +156,9 @@
 	return ends[stage]
 }
 
-// Binding returns the pool that the request would wait for longest now, "" for
+// Bottleneck returns the pool that the request would wait for longest now, "" for
 // none.
-func (r *Request) Binding(queues func(pool string) *Queue) string {
+func (r *Request) Bottleneck(queues func(pool string) *Queue) string {
 	longest, binding := 0.0, ""
 	for i, stage := range r.Stages {
 		q := queues(stage.Pool)
@@ -192,16 +192,16 @@
 	putOffLeast = 100
 )
 
-// PutOff returns for how long a stage that could begin now is better put off, 0
+// StageDelay returns for how long a stage that could begin now is better put off, 0
 // for not at all. The results of a stage that only the request itself reads lie
 // in its engine's memory until the other stages are done, too. Large ones leave
 // no room for the calls of others meanwhile, and engines work in calls of a few
 // pieces during bursts. Begun so that it ends shortly before the others do, such a
 // stage takes memory for its own call and little more.
-func (r *Request) PutOff(stage int, queues func(pool string) *Queue) clock.Millis {
+func (r *Request) StageDelay(stage int, queues func(pool string) *Queue) clock.Millis {
 	q := queues(r.Stages[stage].Pool)
 	results := float64(r.Stages[stage].ResultBytes) * float64(r.Pieces[stage])
-	if q == nil || r.followed(stage) || results < heavyShare*float64(q.Room) {
+	if q == nil || r.followed(stage) || results < heavyShare*float64(q.ResultMemory) {
 		return 0
 	}
 	ends := make([]float64, len(r.Stages))
@@ -243,21 +243,23 @@
 	lateShare = 0.3
 )
 
-// Begins reports whether a request that would take so many milliseconds is
+// Admissible reports whether a request that would take so many milliseconds is
 // begun: if it probably meets its objective.
-func (r *Request) Begins(remaining float64) bool {
+func (r *Request) Admissible(remaining float64) bool {
 	return remaining+r.Correction <= r.share() && remaining <= goOnShare*float64(r.Left)
 }
 
 // share is the part of the slack that the request may use, in milliseconds.
-func (r *Request) share() float64 { return (1 - r.Yield) * float64(r.Slack) }
+func (r *Request) share() float64 { return (1 - r.ReservedShare) * float64(r.Slack) }
 
-// GoesOn reports whether a request that has begun goes on.
-func (r *Request) GoesOn(remaining float64) bool { return remaining <= goOnShare*float64(r.Left) }
+// MeetsDeadline reports whether a request that has begun goes on.
+func (r *Request) MeetsDeadline(remaining float64) bool {
+	return remaining <= goOnShare*float64(r.Left)
+}
 
-// BeginsLate reports whether a request is begun that will probably miss its
+// AdmissibleLate reports whether a request is begun that will probably miss its
 // objective, behind all that won't, where it would take so many milliseconds.
-func (r *Request) BeginsLate(remaining float64) bool {
+func (r *Request) AdmissibleLate(remaining float64) bool {
 	return r.Returned && remaining <= lateShare*float64(r.Left)
 }
 
--- a/internal/flow/reach/reach_test.go
+++ b/internal/flow/reach/reach_test.go
@@ -15,13 +15,13 @@
 
 // queue returns a pool of five engines with so many pieces in the lowest class.
 func queue(waiting int) *reach.Queue {
-	return &reach.Queue{Bounds: bounds, Engines: 5, Waiting: []int{waiting}}
+	return &reach.Queue{Bounds: bounds, Engines: 5, Queued: []int{waiting}}
 }
 
 func chain() *reach.Request {
 	return &reach.Request{
 		Stages: []table.Stage{{Pool: "a"}, {Pool: "b", After: []int{0}}, {Pool: "b"}},
-		Pieces: []int{2, 2, 1}, Done: make([]bool, 3), Slack: 1100, Left: 6000, Last: 100,
+		Pieces: []int{2, 2, 1}, Done: make([]bool, 3), Slack: 1100, Left: 6000, Generation: 100,
 	}
 }
 
@@ -42,7 +42,7 @@
 func TestWorkOnItsWayCounts(t *testing.T) {
 	q := &reach.Queue{Bounds: bounds, Engines: 5, Free: 5}
 	assert.Equal(t, q.Wait(800, 400), 0.0)
-	q.Inflow = reach.Classes(800, 300)
+	q.PendingArrivals = reach.ClassCounts(800, 300)
 	assert.Assert(t, q.Wait(900, 400) > 1500, "%f", q.Wait(900, 400))
 	assert.Equal(t, q.Wait(300, 400), 0.0, "what is wanted later doesn't go before it")
 }
@@ -69,27 +69,31 @@
 // no room left for the pieces of others, and answers come late. The large stage
 // is begun so that it still ends before the others do.
 func TestLargeResultsAreNotMadeTooEarly(t *testing.T) {
-	free := func(string) *reach.Queue { return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, Room: 18_000_000} }
+	free := func(string) *reach.Queue {
+		return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, ResultMemory: 18_000_000}
+	}
 	r := sheet()
-	wait := r.PutOff(0, free)
+	wait := r.StageDelay(0, free)
 	assert.Assert(t, wait > 200 && wait < 500, "%d", wait)
 	large := 234.0
 	assert.Assert(t, float64(wait)+large < r.Remaining(free))
 	r.Done[1], r.Done[2] = true, true
-	assert.Equal(t, r.PutOff(0, free), clock.Millis(0), "the last other stage takes as long")
+	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "the last other stage takes as long")
 }
 
 // What is needed first, or takes little memory, is never put off: it would only
 // make the answer later.
 func TestOnlyLargeResultsThatNothingWaitsForArePutOff(t *testing.T) {
-	free := func(string) *reach.Queue { return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, Room: 18_000_000} }
+	free := func(string) *reach.Queue {
+		return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, ResultMemory: 18_000_000}
+	}
 	r := sheet()
-	assert.Equal(t, r.PutOff(1, free), clock.Millis(0), "others read it")
+	assert.Equal(t, r.StageDelay(1, free), clock.Millis(0), "others read it")
 	r.Stages[0].ResultBytes = 6000
-	assert.Equal(t, r.PutOff(0, free), clock.Millis(0), "small")
+	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "small")
 	alone := sheet()
 	alone.Pieces = []int{2, 0, 0, 0}
-	assert.Equal(t, alone.PutOff(0, free), clock.Millis(0), "nothing runs beside it")
+	assert.Equal(t, alone.StageDelay(0, free), clock.Millis(0), "nothing runs beside it")
 }
 
 // More pieces arrive than the engines make. Whoever would miss its objective is
@@ -98,19 +102,19 @@
 	r := chain()
 	short := func(string) *reach.Queue { return queue(10) }
 	long := func(string) *reach.Queue { return queue(300) }
-	assert.Assert(t, r.Begins(r.Remaining(short)))
-	assert.Assert(t, !r.Begins(r.Remaining(long)))
+	assert.Assert(t, r.Admissible(r.Remaining(short)))
+	assert.Assert(t, !r.Admissible(r.Remaining(long)))
 	assert.Assert(t, r.Excess(r.Remaining(long)) > 1000)
 	// What has begun goes on while its deadline can be met.
-	assert.Assert(t, r.GoesOn(r.Remaining(long)))
+	assert.Assert(t, r.MeetsDeadline(r.Remaining(long)))
 	r.Left = 2000
-	assert.Assert(t, !r.GoesOn(r.Remaining(long)))
+	assert.Assert(t, !r.MeetsDeadline(r.Remaining(long)))
 }
 
 func TestOnlyWhatGoesBeforeCounts(t *testing.T) {
-	waiting := make([]int, len(reach.Edges)+1)
+	waiting := make([]int, len(reach.RankEdges)+1)
 	waiting[reach.Class(2500)] = 500
-	q := &reach.Queue{Bounds: bounds, Engines: 5, Waiting: waiting}
+	q := &reach.Queue{Bounds: bounds, Engines: 5, Queued: waiting}
 	assert.Assert(t, q.Wait(800, 0) < 100, q.Wait(800, 0))
 	assert.Assert(t, q.Wait(2600, 0) > 3000, q.Wait(2600, 0))
 }
@@ -119,7 +123,7 @@
 // could. The queue is then slower than its bounds say.
 func TestSmallCallsMakeALongWait(t *testing.T) {
 	full, small := queue(100), queue(100)
-	small.Fill = 3
+	small.BatchSize = 3
 	assert.Assert(t, small.Wait(0, 0) > 2*full.Wait(0, 0))
 	assert.Assert(t, (&reach.Queue{Bounds: bounds}).Wait(0, 0) > 1000)
 }
@@ -128,7 +132,7 @@
 	for _, tt := range []struct {
 		ahead clock.Millis
 		want  int
-	}{{-1, 0}, {0, 1}, {149, 1}, {150, 2}, {5000, len(reach.Edges)}} {
+	}{{-1, 0}, {0, 1}, {149, 1}, {150, 2}, {5000, len(reach.RankEdges)}} {
 		assert.Equal(t, reach.Class(tt.ahead), tt.want, tt.ahead)
 	}
 }
@@ -147,10 +151,10 @@
 func TestQueueOfASilentOwnerIsForgotten(t *testing.T) {
 	q := queue(300)
 	now := q.Wait(0, 0)
-	q.Late = 500
+	q.Staleness = 500
 	later := q.Wait(0, 0)
 	assert.Assert(t, now-later > 450, "%f, then %f", now, later)
-	q.Late = 10_000
+	q.Staleness = 10_000
 	assert.Assert(t, q.Wait(0, 0) < 100)
 }
 
@@ -158,12 +162,12 @@
 // same engines in one queue.
 func TestShardsTogetherAreThePool(t *testing.T) {
 	one := queue(100)
-	one.Waiting = allClasses()
+	one.Queued = allClasses()
 	var parts []*reach.Queue
 	for range 5 {
-		part := &reach.Queue{Bounds: bounds, Engines: 1, Waiting: make([]int, len(reach.Edges)+1)}
-		for class, pieces := range one.Waiting {
-			part.Waiting[class] = pieces / 5
+		part := &reach.Queue{Bounds: bounds, Engines: 1, Queued: make([]int, len(reach.RankEdges)+1)}
+		for class, pieces := range one.Queued {
+			part.Queued[class] = pieces / 5
 		}
 		parts = append(parts, part)
 	}
@@ -173,14 +177,14 @@
 		assert.Equal(t, merged.Wait(rank, 50), one.Wait(rank, 50))
 	}
 	assert.Equal(t, reach.Merge(nil).Engines, 0)
-	parts[0].Fill, parts[0].Late = 4, 1000
-	assert.Equal(t, reach.Merge(parts).Fill, 4.0)
-	assert.Equal(t, reach.Merge(parts).Late, 200.0)
+	parts[0].BatchSize, parts[0].Staleness = 4, 1000
+	assert.Equal(t, reach.Merge(parts).BatchSize, 4.0)
+	assert.Equal(t, reach.Merge(parts).Staleness, 200.0)
 }
 
 // allClasses is pieces in all classes of rank.
 func allClasses() []int {
-	classes := make([]int, len(reach.Edges)+1)
+	classes := make([]int, len(reach.RankEdges)+1)
 	for i := range classes {
 		classes[i] = 10 * i
 	}
--- a/internal/flow/reach/yield.go
+++ b/internal/flow/reach/yield.go
@@ -20,9 +20,9 @@
 	fewAsked = 4
 )
 
-// Admitted counts which part of some requests was begun in time lately. It is
+// Admissions counts which part of some requests was begun in time lately. It is
 // safe for use by several goroutines.
-type Admitted struct {
+type Admissions struct {
 	mu    sync.Mutex
 	begun float64
 	asked float64
@@ -30,7 +30,7 @@
 }
 
 // Count counts one request.
-func (a *Admitted) Count(begun bool, now clock.Millis) {
+func (a *Admissions) Count(begun bool, now clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fade(now)
@@ -41,7 +41,7 @@
 }
 
 // Share returns the part that was begun, 1 while little is known.
-func (a *Admitted) Share(now clock.Millis) float64 {
+func (a *Admissions) Share(now clock.Millis) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fade(now)
@@ -49,7 +49,7 @@
 }
 
 // fade forgets with time; the caller holds the lock.
-func (a *Admitted) fade(now clock.Millis) {
+func (a *Admissions) fade(now clock.Millis) {
 	if now > a.at {
 		kept := keptAfter(now-a.at, admittedHalf)
 		a.begun *= kept
@@ -58,13 +58,13 @@
 	}
 }
 
-// Yield returns which part of its objective a request leaves free for more urgent
+// ReservedShare returns which part of its objective a request leaves free for more urgent
 // ones, by its priority (0 is the most urgent) and the shares of its route's and
 // of all requests that were begun lately. It answers bursts in which urgent and
 // other requests together are more than engines do: without it the urgent ones
 // find queues as long as everybody, with a fixed part the others get next to
 // nothing for as long as the burst lasts.
-func Yield(priority int, route, all float64) float64 {
+func ReservedShare(priority int, route, all float64) float64 {
 	held := (route/all - floorShare) / (1 - floorShare)
 	return yieldShare * float64(max(priority, 0)) * min(max(held, 0), 1)
 }
--- a/internal/flow/reach/yield_test.go
+++ b/internal/flow/reach/yield_test.go
@@ -30,14 +30,14 @@
 		{"a priority that makes no sense", -4, 1, 1, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got := reach.Yield(tt.priority, tt.route, tt.all)
+			got := reach.ReservedShare(tt.priority, tt.route, tt.all)
 			assert.Assert(t, got > tt.want-1e-9 && got < tt.want+1e-9, "%f", got)
 		})
 	}
 }
 
 func TestShareOfRequestsBegunLately(t *testing.T) {
-	var a reach.Admitted
+	var a reach.Admissions
 	assert.Equal(t, a.Share(1), 1.0, "nothing is known")
 	now := clock.Millis(1)
 	for range 100 {
@@ -56,7 +56,7 @@
 // A process that has just started refuses its first request. That is not yet a
 // sign that a route is held back.
 func TestFirstRefusalDecidesLittle(t *testing.T) {
-	var a reach.Admitted
+	var a reach.Admissions
 	a.Count(false, 1)
 	assert.Assert(t, a.Share(1) > 0.75)
 }
--- a/internal/flow/recall/recall.go
+++ b/internal/flow/recall/recall.go
@@ -32,13 +32,13 @@
 type Refusal struct {
 	// Key names the caller's request; all its attempts have the same.
 	Key uint64
-	// First is when its first attempt arrived, Return when it may come back.
-	First  clock.Millis
-	Return clock.Millis
+	// FirstArrival is when its first attempt arrived, Return when it may come back.
+	FirstArrival clock.Millis
+	RetryAt      clock.Millis
 }
 
-// Book holds refusals. It is safe for use by several goroutines.
-type Book struct {
+// Refusals holds refusals. It is safe for use by several goroutines.
+type Refusals struct {
 	mu     sync.Mutex
 	byKey  map[uint64]Refusal
 	untold []Refusal
@@ -47,10 +47,10 @@
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{byKey: make(map[uint64]Refusal)} }
+func New() *Refusals { return &Refusals{byKey: make(map[uint64]Refusal)} }
 
-// Refuse remembers a refusal of this process.
-func (b *Book) Refuse(refusal Refusal, now clock.Millis) {
+// Add remembers a refusal of this process.
+func (b *Refusals) Add(refusal Refusal, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.put(refusal, now)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Learn remembers refusals of other processes.
-func (b *Book) Learn(refusals []Refusal, now clock.Millis) {
+// AddRemote remembers refusals of other processes.
+func (b *Refusals) AddRemote(refusals []Refusal, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, refusal := range refusals {
@@ -69,7 +69,7 @@
 }
 
 // put enters a refusal; the caller holds the lock.
-func (b *Book) put(refusal Refusal, now clock.Millis) {
+func (b *Refusals) put(refusal Refusal, now clock.Millis) {
 	if len(b.byKey) >= most && now-b.forgot >= forgetEvery {
 		b.forget(now)
 	}
@@ -79,17 +79,17 @@
 }
 
 // forget drops what is too old; the caller holds the lock.
-func (b *Book) forget(now clock.Millis) {
+func (b *Refusals) forget(now clock.Millis) {
 	b.forgot = now
 	for key, refusal := range b.byKey {
-		if now-refusal.First > keep {
+		if now-refusal.FirstArrival > keep {
 			delete(b.byKey, key)
 		}
 	}
 }
 
-// Untold returns the refusals that peers have not been told yet.
-func (b *Book) Untold() []Refusal {
+// TakeUnsent returns the refusals that peers have not been told yet.
+func (b *Refusals) TakeUnsent() []Refusal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	untold := b.untold
@@ -97,13 +97,13 @@
 	return untold
 }
 
-// Returned returns the refusal of a caller that has come back as told, and
+// Lookup returns the refusal of a caller that has come back as told, and
 // whether it is one.
-func (b *Book) Returned(key uint64, now clock.Millis) (Refusal, bool) {
+func (b *Refusals) Lookup(key uint64, now clock.Millis) (Refusal, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	refusal, known := b.byKey[key]
-	if !known || now-refusal.First > keep || now < refusal.Return-early {
+	if !known || now-refusal.FirstArrival > keep || now < refusal.RetryAt-early {
 		return Refusal{}, false
 	}
 	return refusal, true
--- a/internal/flow/recall/recall_test.go
+++ b/internal/flow/recall/recall_test.go
@@ -10,12 +10,12 @@
 	"github.com/jujubescale/jujubescale/internal/flow/recall"
 )
 
-func ExampleBook() {
+func ExampleRefusals() {
 	here, there := recall.New(), recall.New()
-	here.Refuse(recall.Refusal{Key: 7, First: 1000, Return: 1400}, 1000)
-	there.Learn(here.Untold(), 1100)
-	refusal, returned := there.Returned(7, 1450)
-	fmt.Println(refusal.First, returned)
+	here.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+	there.AddRemote(here.TakeUnsent(), 1100)
+	refusal, returned := there.Lookup(7, 1450)
+	fmt.Println(refusal.FirstArrival, returned)
 	// Output: 1000 true
 }
 
@@ -23,36 +23,36 @@
 // nothing by that over those that wait as they were told.
 func TestCallerThatDoesNotWaitIsNew(t *testing.T) {
 	b := recall.New()
-	b.Refuse(recall.Refusal{Key: 7, First: 1000, Return: 1400}, 1000)
+	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
 	for _, tt := range []struct {
 		now  clock.Millis
 		want bool
 	}{{1001, false}, {1379, false}, {1380, true}, {1400, true}, {20_000, true}, {21_001, false}} {
-		_, returned := b.Returned(7, tt.now)
+		_, returned := b.Lookup(7, tt.now)
 		assert.Equal(t, returned, tt.want, "%d", tt.now)
 	}
-	_, returned := b.Returned(8, 1400)
+	_, returned := b.Lookup(8, 1400)
 	assert.Assert(t, !returned, "another caller")
 }
 
 func TestRefusalsAreToldOnce(t *testing.T) {
 	b := recall.New()
-	b.Refuse(recall.Refusal{Key: 7, First: 1000, Return: 1400}, 1000)
-	assert.Equal(t, len(b.Untold()), 1)
-	assert.Equal(t, len(b.Untold()), 0)
+	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+	assert.Equal(t, len(b.TakeUnsent()), 1)
+	assert.Equal(t, len(b.TakeUnsent()), 0)
 }
 
 // A caller is refused a second time. What counts is still its first attempt, and
 // the newest time to come back.
 func TestRefusedAgainKeepsItsFirstAttempt(t *testing.T) {
 	b := recall.New()
-	b.Refuse(recall.Refusal{Key: 7, First: 1000, Return: 1400}, 1000)
-	b.Refuse(recall.Refusal{Key: 7, First: 1000, Return: 2400}, 1500)
-	_, returned := b.Returned(7, 1600)
+	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 2400}, 1500)
+	_, returned := b.Lookup(7, 1600)
 	assert.Assert(t, !returned)
-	refusal, returned := b.Returned(7, 2400)
+	refusal, returned := b.Lookup(7, 2400)
 	assert.Assert(t, returned)
-	assert.Equal(t, refusal.First, clock.Millis(1000))
+	assert.Equal(t, refusal.FirstArrival, clock.Millis(1000))
 }
 
 // A flood of refusals: what is remembered and told stays bounded, and old ones
@@ -60,12 +60,12 @@
 func TestMemoryIsBounded(t *testing.T) {
 	b := recall.New()
 	for key := range uint64(20_000) {
-		b.Refuse(recall.Refusal{Key: key, First: 1000, Return: 1400}, 1000)
+		b.Add(recall.Refusal{Key: key, FirstArrival: 1000, RetryAt: 1400}, 1000)
 	}
-	assert.Assert(t, len(b.Untold()) <= 1024)
-	_, returned := b.Returned(19_999, 1400)
+	assert.Assert(t, len(b.TakeUnsent()) <= 1024)
+	_, returned := b.Lookup(19_999, 1400)
 	assert.Assert(t, !returned, "there was no room")
-	b.Refuse(recall.Refusal{Key: 19_999, First: 30_000, Return: 30_400}, 30_000)
-	_, returned = b.Returned(19_999, 30_400)
+	b.Add(recall.Refusal{Key: 19_999, FirstArrival: 30_000, RetryAt: 30_400}, 30_000)
+	_, returned = b.Lookup(19_999, 30_400)
 	assert.Assert(t, returned)
 }
--- a/internal/flow/retry/retry.go
+++ b/internal/flow/retry/retry.go
@@ -18,8 +18,8 @@
 	// leaves hands back its whole queue at once.
 	most = 200
 
-	// MaxTries bounds the attempts of one stage.
-	MaxTries = 4
+	// MaxAttempts bounds the attempts of one stage.
+	MaxAttempts = 4
 )
 
 // NewBudget returns the retries that a pool may get; each answered stage earns
@@ -57,27 +57,27 @@
 	}
 }
 
-// Failed is what is known of an attempt that got no whole answer.
-type Failed struct {
+// Failure is what is known of an attempt that got no whole answer.
+type Failure struct {
 	Reason     fault.Reason
 	Ran        fault.Ran
 	RetryAfter clock.Millis
 	// Idempotent tells that the stage may run twice.
 	Idempotent bool
-	// Tries counts the attempts of this stage so far, this one included.
-	Tries int
+	// Attempts counts the attempts of this stage so far, this one included.
+	Attempts int
 	// Left is the time left to the request.
 	Left clock.Millis
 	// Need is what this stage and the later ones typically take; 0 if unknown.
 	Need clock.Millis
-	// Elsewhere tells that an endpoint is left which was not tried.
-	Elsewhere bool
+	// HasAlternative tells that an endpoint is left which was not tried.
+	HasAlternative bool
 }
 
 // Decision says what happens after a failed attempt.
 type Decision struct {
-	// Again asks for another attempt, elsewhere.
-	Again bool
+	// Retry asks for another attempt, elsewhere.
+	Retry bool
 	// AvoidZone tells that the next attempt avoids the zone of the failed one:
 	// a broken endpoint is often the first sign of a broken rack or zone.
 	AvoidZone bool
@@ -90,7 +90,7 @@
 
 // Decide returns what happens after a failed attempt. The budget is touched
 // only when a retry is possible and needs it.
-func Decide(f Failed, budget *quota.Quota) Decision {
+func Decide(f Failure, budget *quota.Quota) Decision {
 	class := ClassOf(f.Reason)
 	d := Decision{Class: class, AvoidZone: class == ClassFailed, Reason: f.Reason, Ran: f.Ran}
 	switch {
@@ -104,11 +104,11 @@
 		d.Reason = fault.DeadlinePassed
 	case f.Left < f.Need:
 		d.Reason = fault.WontMakeIt
-	case f.Tries >= MaxTries || !f.Elsewhere:
+	case f.Attempts >= MaxAttempts || !f.HasAlternative:
 	case class == ClassMoved:
-		d.Again = true
+		d.Retry = true
 	case budget.Take():
-		d.Again = true
+		d.Retry = true
 	case class == ClassFailed:
 		d.Reason = fault.RetryBudget
 	}
--- a/internal/flow/retry/retry_test.go
+++ b/internal/flow/retry/retry_test.go
@@ -30,8 +30,8 @@
 					budget.Earn()
 					break
 				}
-				f := retry.Failed{Reason: reason, Ran: fault.NotRun, Tries: tries, Left: 1000, Elsewhere: true}
-				if !retry.Decide(f, budget).Again {
+				f := retry.Failure{Reason: reason, Ran: fault.NotRun, Attempts: tries, Left: 1000, HasAlternative: true}
+				if !retry.Decide(f, budget).Retry {
 					break
 				}
 			}
@@ -44,20 +44,20 @@
 // an attempt starts after the deadline and its engine time is wasted.
 func TestNeverRepeatsUnprovenWorkNorPastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := retry.Failed{
-			Reason:     rapid.SampledFrom(fault.Reasons()).Draw(t, "reason"),
-			Ran:        rapid.SampledFrom([]fault.Ran{fault.NotRun, fault.MayHaveRun, fault.DidRun}).Draw(t, "ran"),
-			Idempotent: rapid.Bool().Draw(t, "idempotent"),
-			Tries:      rapid.IntRange(1, 6).Draw(t, "tries"),
-			Left:       clock.Millis(rapid.Int64Range(-10, 100).Draw(t, "left")),
-			Need:       clock.Millis(rapid.Int64Range(0, 100).Draw(t, "need")),
-			Elsewhere:  rapid.Bool().Draw(t, "elsewhere"),
+		f := retry.Failure{
+			Reason:         rapid.SampledFrom(fault.Reasons()).Draw(t, "reason"),
+			Ran:            rapid.SampledFrom([]fault.Ran{fault.NotRun, fault.MayHaveRun, fault.DidRun}).Draw(t, "ran"),
+			Idempotent:     rapid.Bool().Draw(t, "idempotent"),
+			Attempts:       rapid.IntRange(1, 6).Draw(t, "tries"),
+			Left:           clock.Millis(rapid.Int64Range(-10, 100).Draw(t, "left")),
+			Need:           clock.Millis(rapid.Int64Range(0, 100).Draw(t, "need")),
+			HasAlternative: rapid.Bool().Draw(t, "elsewhere"),
 		}
 		d := retry.Decide(f, retry.NewBudget())
-		if d.Again {
+		if d.Retry {
 			assert.Assert(t, f.Idempotent || f.Ran == fault.NotRun)
 			assert.Assert(t, f.Left > 0 && f.Left >= f.Need)
-			assert.Assert(t, f.Tries < retry.MaxTries && f.Elsewhere)
+			assert.Assert(t, f.Attempts < retry.MaxAttempts && f.HasAlternative)
 		}
 		if d.Ran == fault.NotRun {
 			assert.Equal(t, f.Ran, fault.NotRun)
@@ -66,35 +66,35 @@
 }
 
 func TestDecide(t *testing.T) {
-	base := retry.Failed{Ran: fault.NotRun, Tries: 1, Left: 500, Need: 100, Elsewhere: true}
+	base := retry.Failure{Ran: fault.NotRun, Attempts: 1, Left: 500, Need: 100, HasAlternative: true}
 	tests := []struct {
 		name   string
-		change func(*retry.Failed)
+		change func(*retry.Failure)
 		want   retry.Decision
 	}{
 		{
 			"leaving endpoint, elsewhere at once",
-			func(f *retry.Failed) { f.Reason = fault.Leaving },
-			retry.Decision{Again: true, Class: retry.ClassMoved, Reason: fault.Leaving, Ran: fault.NotRun},
+			func(f *retry.Failure) { f.Reason = fault.Leaving },
+			retry.Decision{Retry: true, Class: retry.ClassMoved, Reason: fault.Leaving, Ran: fault.NotRun},
 		},
 		{
 			"broken endpoint, another zone first",
-			func(f *retry.Failed) { f.Reason, f.Ran, f.Idempotent = fault.EndpointFailed, fault.MayHaveRun, true },
-			retry.Decision{Again: true, AvoidZone: true, Class: retry.ClassFailed, Reason: fault.EndpointFailed, Ran: fault.MayHaveRun},
+			func(f *retry.Failure) { f.Reason, f.Ran, f.Idempotent = fault.EndpointFailed, fault.MayHaveRun, true },
+			retry.Decision{Retry: true, AvoidZone: true, Class: retry.ClassFailed, Reason: fault.EndpointFailed, Ran: fault.MayHaveRun},
 		},
 		{
 			"booking that may have run",
-			func(f *retry.Failed) { f.Reason, f.Ran = fault.EndpointFailed, fault.MayHaveRun },
+			func(f *retry.Failure) { f.Reason, f.Ran = fault.EndpointFailed, fault.MayHaveRun },
 			retry.Decision{AvoidZone: true, Class: retry.ClassFailed, Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun},
 		},
 		{
 			"no time for another",
-			func(f *retry.Failed) { f.Reason, f.Left = fault.QueueFull, 50 },
+			func(f *retry.Failure) { f.Reason, f.Left = fault.QueueFull, 50 },
 			retry.Decision{Class: retry.ClassFull, Reason: fault.WontMakeIt, Ran: fault.NotRun},
 		},
 		{
 			"back end said no",
-			func(f *retry.Failed) { f.Reason, f.Ran = fault.BackendRejected, fault.DidRun },
+			func(f *retry.Failure) { f.Reason, f.Ran = fault.BackendRejected, fault.DidRun },
 			retry.Decision{Class: retry.ClassFinal, Reason: fault.BackendRejected, Ran: fault.DidRun},
 		},
 	}
@@ -109,7 +109,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	budget := retry.NewBudget()
-	f := retry.Failed{Reason: fault.QueueFull, Ran: fault.NotRun, Tries: 1, Left: 500, Elsewhere: true}
+	f := retry.Failure{Reason: fault.QueueFull, Ran: fault.NotRun, Attempts: 1, Left: 500, HasAlternative: true}
 	b.ReportAllocs()
 	for b.Loop() {
 		retry.Decide(f, budget)
--- a/internal/flow/shed/shed.go
+++ b/internal/flow/shed/shed.go
@@ -44,18 +44,18 @@
 	began    clock.Millis
 }
 
-// Shed holds the shares below one. It is safe for use by several goroutines.
-type Shed struct {
+// Shedder holds the shares below one. It is safe for use by several goroutines.
+type Shedder struct {
 	mu     sync.Mutex
 	shares map[Key]*share
 }
 
 // New returns a Shed that lets everything through.
-func New() *Shed { return &Shed{shares: make(map[Key]*share)} }
+func New() *Shedder { return &Shedder{shares: make(map[Key]*share)} }
 
 // Admit reports whether a request shall begin. Drawn is a random number from 0
 // up to 1.
-func (s *Shed) Admit(now clock.Millis, key Key, drawn float64) bool {
+func (s *Shedder) Admit(now clock.Millis, key Key, drawn float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.shares[key]
@@ -71,7 +71,7 @@
 
 // Ended takes in how a request ended that had gone beyond its first stage.
 // Lost is set if a later stage refused it for load, or that it ran out of time.
-func (s *Shed) Ended(now clock.Millis, key Key, lost bool) {
+func (s *Shedder) Ended(now clock.Millis, key Key, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.shares[key]
@@ -104,7 +104,7 @@
 	return float64(s.lost) / float64(s.ended)
 }
 
-func (s *Shed) change(now clock.Millis, key Key, known *share, loss float64) {
+func (s *Shedder) change(now clock.Millis, key Key, known *share, loss float64) {
 	if loss > tolerated {
 		known.admitted = max(least, known.admitted*(1-eagerness*loss))
 	} else {
--- a/internal/flow/shed/shed_test.go
+++ b/internal/flow/shed/shed_test.go
@@ -15,7 +15,7 @@
 )
 
 // second lets ten requests of an organisation end, some of them lost.
-func second(s *shed.Shed, at clock.Millis, key shed.Key, lost int) {
+func second(s *shed.Shedder, at clock.Millis, key shed.Key, lost int) {
 	for i := range 10 {
 		s.Ended(at, key, i < lost)
 	}
--- a/internal/flow/spill/spill.go
+++ b/internal/flow/spill/spill.go
@@ -29,17 +29,17 @@
 	// Wait is the time until a call with the pieces begins, in milliseconds.
 	Wait float64
 	// Known says that its owner has reported, Late how much later than usual.
-	Known bool
-	Late  clock.Millis
+	Known     bool
+	Staleness clock.Millis
 	// Tried says that it was asked in vain.
 	Tried bool
 }
 
-// Want is where pieces are best made: in which zone, "" for any, and how long it
+// Preference is where pieces are best made: in which zone, "" for any, and how long it
 // is worth to wait there, in milliseconds.
-type Want struct {
-	Zone string
-	Hold clock.Millis
+type Preference struct {
+	Zone      string
+	ExtraWait clock.Millis
 }
 
 // None is the choice where every shard was tried.
@@ -47,7 +47,7 @@
 
 // Choose returns the position of a shard. Pick returns a random number below its
 // argument.
-func Choose(shards []Shard, want Want, pick func(n int) int) int {
+func Choose(shards []Shard, want Preference, pick func(n int) int) int {
 	best, least := None, 0.0
 	consider := func(i int) {
 		if cost := shards[i].cost(want); !shards[i].Tried && (best == None || cost < least) {
@@ -86,12 +86,12 @@
 	return None
 }
 
-func (s *Shard) cost(want Want) float64 {
+func (s *Shard) cost(want Preference) float64 {
 	cost := s.Wait
 	if s.Zone != want.Zone {
-		cost += max(float64(want.Hold), crossMs)
+		cost += max(float64(want.ExtraWait), crossMs)
 	}
-	if s.Known && s.Late > staleFrom {
+	if s.Known && s.Staleness > staleFrom {
 		cost += staleMs
 	}
 	return cost
--- a/internal/flow/spill/spill_test.go
+++ b/internal/flow/spill/spill_test.go
@@ -15,8 +15,8 @@
 
 func ExampleChoose() {
 	shards := []spill.Shard{{Zone: "east", Wait: 300, Known: true}, {Zone: "west", Wait: 20, Known: true}}
-	fmt.Println(spill.Choose(shards, spill.Want{Zone: "east"}, func(int) int { return 0 }))
-	fmt.Println(spill.Choose(shards, spill.Want{Zone: "east", Hold: 400}, func(int) int { return 0 }))
+	fmt.Println(spill.Choose(shards, spill.Preference{Zone: "east"}, func(int) int { return 0 }))
+	fmt.Println(spill.Choose(shards, spill.Preference{Zone: "east", ExtraWait: 400}, func(int) int { return 0 }))
 	// Output:
 	// 1
 	// 0
@@ -25,12 +25,12 @@
 // Guards against pieces that go where nobody makes them: to a shard whose owner is
 // silent, that was asked in vain, or of which nothing is known.
 func TestUncertainShardsAreAvoided(t *testing.T) {
-	want := spill.Want{Zone: "a"}
+	want := spill.Preference{Zone: "a"}
 	for name, tt := range map[string]struct {
 		shards []spill.Shard
 		want   int
 	}{
-		"silent owner":      {[]spill.Shard{{Zone: "a", Known: true, Late: 600}, {Zone: "b", Known: true, Wait: 200}}, 1},
+		"silent owner":      {[]spill.Shard{{Zone: "a", Known: true, Staleness: 600}, {Zone: "b", Known: true, Wait: 200}}, 1},
 		"tried":             {[]spill.Shard{{Zone: "a", Known: true, Tried: true}, {Zone: "b", Known: true, Wait: 2000}}, 1},
 		"unknown far away":  {[]spill.Shard{{Zone: "a", Known: true, Wait: 500}, {Zone: "b"}}, 0},
 		"unknown near":      {[]spill.Shard{{Zone: "a"}, {Zone: "b", Known: true}}, 0},
@@ -89,7 +89,7 @@
 				for i, z := range zones {
 					shards[i] = spill.Shard{Zone: fmt.Sprint(i), Wait: z.told, Known: true}
 				}
-				at = spill.Choose(shards, spill.Want{Zone: fmt.Sprint(at)}, random.IntN)
+				at = spill.Choose(shards, spill.Preference{Zone: fmt.Sprint(at)}, random.IntN)
 			}
 			zones[at].waiting = append(zones[at].waiting, now)
 		}
--- a/internal/flow/stage/answer.go
+++ b/internal/flow/stage/answer.go
@@ -13,17 +13,17 @@
 	DropSession DropReason = "session"
 	// DropLate: the attempt is over.
 	DropLate DropReason = "late"
-	// DropDoubled: the bytes are known already.
-	DropDoubled DropReason = "doubled"
+	// DropDuplicate: the bytes are known already.
+	DropDuplicate DropReason = "doubled"
 	// DropGap: bytes before these are missing.
 	DropGap DropReason = "gap"
-	// DropBroken: the frame contradicts what came before.
-	DropBroken DropReason = "broken"
+	// DropInvalid: the frame contradicts what came before.
+	DropInvalid DropReason = "broken"
 )
 
 // DropReasons returns every reason.
 func DropReasons() []DropReason {
-	return []DropReason{DropUnknown, DropSession, DropLate, DropDoubled, DropGap, DropBroken}
+	return []DropReason{DropUnknown, DropSession, DropLate, DropDuplicate, DropGap, DropInvalid}
 }
 
 // Answer gathers the bytes of one attempt.
@@ -39,9 +39,9 @@
 // Length returns the number of bytes so far.
 func (a *Answer) Length() int64 { return int64(len(a.bytes)) }
 
-// Part adds bytes from an offset on. Bytes that are known already are passed
+// AddPart adds bytes from an offset on. Bytes that are known already are passed
 // over, so that a part which comes twice, or again after a resume, is harmless.
-func (a *Answer) Part(offset int64, bytes []byte) DropReason {
+func (a *Answer) AddPart(offset int64, bytes []byte) DropReason {
 	if !a.begun {
 		a.digest.Reset()
 		a.begun = true
@@ -49,11 +49,11 @@
 	have := a.Length()
 	switch {
 	case offset < 0:
-		return DropBroken
+		return DropInvalid
 	case offset > have:
 		return DropGap
 	case offset+int64(len(bytes)) <= have:
-		return DropDoubled
+		return DropDuplicate
 	}
 	fresh := bytes[have-offset:]
 	a.bytes = append(a.bytes, fresh...)
@@ -61,10 +61,10 @@
 	return ""
 }
 
-// Whole reports whether length and digest of an end mark match what came.
+// Matches reports whether length and digest of an end mark match what came.
 // Without this check an answer with a lost or swapped part would pass for
 // whole, and nobody would notice until a caller reads nonsense.
-func (a *Answer) Whole(length int64, digest uint64) bool {
+func (a *Answer) Matches(length int64, digest uint64) bool {
 	if !a.begun {
 		a.digest.Reset()
 		a.begun = true
--- a/internal/flow/stage/event.go
+++ b/internal/flow/stage/event.go
@@ -9,13 +9,13 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Frame takes in a frame of an attempt that came on a session. What does not
+// HandleFrame takes in a frame of an attempt that came on a session. What does not
 // fit is dropped and counted: a frame of another session, of an attempt that
 // is over, or of none would otherwise put bytes into the wrong answer.
-func (m *Machine) Frame(now clock.Millis, session uint64, try int, frame *wire.Frame) {
+func (m *Machine) HandleFrame(now clock.Millis, session uint64, try int, frame *wire.Frame) {
 	a, reason := m.fits(session, try)
 	if reason != "" {
-		m.do(Action{Do: Drop, Drop: reason})
+		m.do(Action{Kind: Drop, Drop: reason})
 		return
 	}
 	switch frame.Kind {
@@ -26,7 +26,7 @@
 	case wire.KindRefuse:
 		refuse := frame.Refuse
 		m.wasted += refuse.EngineTime
-		m.do(Action{Do: Ack, Try: a.try})
+		m.do(Action{Kind: Ack, Attempt: a.try})
 		m.attemptFailed(now, a, fault.RefusalError{
 			Reason: refuse.Reason, Ran: refuse.Ran, RetryAfter: refuse.RetryAfter, Detail: refuse.Detail,
 		})
@@ -52,14 +52,14 @@
 }
 
 func (m *Machine) part(now clock.Millis, a *attempt, part *wire.Part) {
-	if reason := a.answer.Part(part.Offset, part.Bytes); reason != "" {
-		m.do(Action{Do: Drop, Drop: reason})
+	if reason := a.answer.AddPart(part.Offset, part.Bytes); reason != "" {
+		m.do(Action{Kind: Drop, Drop: reason})
 		m.repair(a, reason)
 		return
 	}
 	a.asked = false
-	if a.answer.Length() > MaxAnswer {
-		m.do(Action{Do: Cancel, Try: a.try})
+	if a.answer.Length() > MaxAnswerBytes {
+		m.do(Action{Kind: Cancel, Attempt: a.try})
 		m.attemptFailed(now, a, broken("the answer is larger than allowed"))
 		return
 	}
@@ -87,14 +87,14 @@
 	have := a.answer.Bytes()
 	known := min(len(have), len(m.shown))
 	if !bytes.Equal(have[:known], m.shown[:known]) {
-		m.do(Action{Do: Cancel, Try: a.try})
+		m.do(Action{Kind: Cancel, Attempt: a.try})
 		m.unproven = true
 		a.state = stateOver
 		m.fail(broken("another attempt gave another answer"))
 		return
 	}
 	if len(have) > len(m.shown) {
-		m.do(Action{Do: Emit, Try: a.try, Bytes: have[len(m.shown):]})
+		m.do(Action{Kind: Emit, Attempt: a.try, Bytes: have[len(m.shown):]})
 		m.shown = have
 	}
 }
@@ -106,12 +106,12 @@
 func (m *Machine) end(now clock.Millis, a *attempt, end *wire.End) {
 	if end.Length > a.answer.Length() {
 		// Parts are missing; the agent still has them.
-		m.do(Action{Do: Drop, Drop: DropGap})
+		m.do(Action{Kind: Drop, Drop: DropGap})
 		m.repair(a, DropGap)
 		return
 	}
-	if !a.answer.Whole(end.Length, end.Digest) {
-		m.do(Action{Do: Drop, Drop: DropBroken})
+	if !a.answer.Matches(end.Length, end.Digest) {
+		m.do(Action{Kind: Drop, Drop: DropInvalid})
 		m.wasted += end.EngineTime
 		m.attemptFailed(now, a, broken("length or digest differ"))
 		return
@@ -169,7 +169,7 @@
 		return
 	}
 	if !m.config.Hedges.Take() {
-		m.do(Action{Do: Hedged, Outcome: hedge.NoBudget})
+		m.do(Action{Kind: Hedged, Outcome: hedge.NoBudget})
 		return
 	}
 	m.hedged = true
@@ -185,10 +185,10 @@
 		return
 	}
 	refusal := fault.RefusalError{Reason: fault.EndpointFailed, Ran: fault.MayHaveRun, Detail: "too slow"}
-	if !m.decide(now, refusal).Again {
+	if !m.decide(now, refusal).Retry {
 		return
 	}
 	m.withdraw(nil)
-	m.do(Action{Do: Retried, Reason: fault.WontMakeIt})
+	m.do(Action{Kind: Retried, Reason: fault.WontMakeIt})
 	m.send(now, false, false)
 }
--- a/internal/flow/stage/random_test.go
+++ b/internal/flow/stage/random_test.go
@@ -52,18 +52,18 @@
 // drain carries out the machine's actions.
 func (w *world) drain() {
 	for action, found := w.m.Next(); found; action, found = w.m.Next() {
-		switch action.Do {
+		switch action.Kind {
 		case stage.Send:
 			w.sentAt = w.now
 			k := &worker{text: fmt.Sprintf("answer %d of many", rapid.IntRange(0, 1).Draw(w.t, "variant"))}
 			w.workers = append(w.workers, k)
 			if rapid.IntRange(0, 9).Draw(w.t, "target") == 0 {
-				w.m.NoTarget(action.Try)
+				w.m.NoTarget(action.Attempt)
 				continue
 			}
 			w.session++
 			k.session = w.session
-			w.m.Sent(w.now, action.Try, k.session)
+			w.m.Sent(w.now, action.Attempt, k.session)
 		case stage.Emit:
 			w.emitted += string(action.Bytes)
 		default:
@@ -84,7 +84,7 @@
 				f = part(0, "crossed bytes")
 			}
 		}
-		w.m.Frame(w.now, session, try, f)
+		w.m.HandleFrame(w.now, session, try, f)
 	}
 	switch rapid.IntRange(0, 7).Draw(w.t, "event") {
 	case 0, 1:
@@ -113,15 +113,15 @@
 		}
 	case 5:
 		if k.session != 0 {
-			w.m.Lost(w.now, try)
+			w.m.SessionLost(w.now, try)
 		}
 	case 6:
 		if k.session != 0 {
 			w.session++
 			k.session = w.session
 			k.replaced = k.replaced || rapid.Bool().Draw(w.t, "replaced")
-			w.m.Lost(w.now, try)
-			w.m.Back(try, k.session)
+			w.m.SessionLost(w.now, try)
+			w.m.SessionRestored(try, k.session)
 			if k.replaced {
 				frame(outcome(wire.StateUnknown))
 			}
@@ -161,7 +161,7 @@
 	if !w.config.Idempotent {
 		assert.Assert(w.t, w.runs() <= 1)
 	}
-	assert.Assert(w.t, len(w.workers) <= retry.MaxTries+1)
+	assert.Assert(w.t, len(w.workers) <= retry.MaxAttempts+1)
 	assert.Assert(w.t, w.sentAt < w.config.Deadline)
 	if !w.m.Over() {
 		assert.Assert(w.t, w.m.WakeAt() <= w.config.Deadline)
--- a/internal/flow/stage/stage.go
+++ b/internal/flow/stage/stage.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxAnswer bounds the answer of one stage in bytes.
-	MaxAnswer = 16 << 20
+	// MaxAnswerBytes bounds the answer of one stage in bytes.
+	MaxAnswerBytes = 16 << 20
 	// resumeWait is how long an idempotent attempt waits for a new session
 	// after its session was lost, before it is tried elsewhere. One that must
 	// not run twice waits until the deadline.
@@ -24,14 +24,14 @@
 	never                   = clock.Millis(1) << 60
 )
 
-// Do is what the caller of the machine shall do.
-type Do uint8
+// Kind is what the caller of the machine shall do.
+type Kind uint8
 
 // Things to do.
 const (
 	// Send a new attempt Try elsewhere, away from its zone if AvoidZone. Answer
 	// with Sent or NoTarget.
-	Send Do = iota
+	Send Kind = iota
 	// Ask for the outcome of Try and its bytes from Offset on.
 	Ask
 	// Cancel Try.
@@ -54,8 +54,8 @@
 
 // Action is one thing to do.
 type Action struct {
-	Do        Do
-	Try       int
+	Kind      Kind
+	Attempt   int
 	Offset    int64
 	Bytes     []byte
 	AvoidZone bool
@@ -150,7 +150,7 @@
 func (m *Machine) send(now clock.Millis, avoidZone, asHedge bool) {
 	a := &attempt{try: len(m.attempts), hedge: asHedge, sentAt: now}
 	m.attempts = append(m.attempts, a)
-	m.do(Action{Do: Send, Try: a.try, AvoidZone: avoidZone, Hedge: asHedge})
+	m.do(Action{Kind: Send, Attempt: a.try, AvoidZone: avoidZone, Hedge: asHedge})
 }
 
 func (m *Machine) do(action Action) { m.actions = append(m.actions, action) }
@@ -214,7 +214,7 @@
 	a := m.attempts[try]
 	a.state = stateOver
 	if a.hedge {
-		m.do(Action{Do: Hedged, Outcome: hedge.NoEndpoint})
+		m.do(Action{Kind: Hedged, Outcome: hedge.NoEndpoint})
 		return
 	}
 	if m.alive() == nil && !m.over {
@@ -225,16 +225,16 @@
 	}
 }
 
-// Lost tells that the session of an attempt has ended or gone silent.
-func (m *Machine) Lost(now clock.Millis, try int) {
+// SessionLost tells that the session of an attempt has ended or gone silent.
+func (m *Machine) SessionLost(now clock.Millis, try int) {
 	if a := m.attempts[try]; a.state == stateLive {
 		a.state, a.lostAt = stateLost, now
 	}
 }
 
-// Died tells that the process that held an attempt is gone for good, so that
+// AgentGone tells that the process that held an attempt is gone for good, so that
 // nobody can tell any more what became of it.
-func (m *Machine) Died(now clock.Millis, try int) {
+func (m *Machine) AgentGone(now clock.Millis, try int) {
 	if a := m.attempts[try]; a.state == stateLost && !m.over {
 		m.attemptFailed(now, a, fault.RefusalError{
 			Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun, Detail: "the agent is gone",
@@ -242,8 +242,8 @@
 	}
 }
 
-// Back tells that there is a new session to the endpoint of an attempt.
-func (m *Machine) Back(try int, session uint64) {
+// SessionRestored tells that there is a new session to the endpoint of an attempt.
+func (m *Machine) SessionRestored(try int, session uint64) {
 	a := m.attempts[try]
 	if a.state != stateLost || m.over {
 		return
@@ -254,11 +254,11 @@
 
 func (m *Machine) ask(a *attempt) {
 	a.asked = true
-	m.do(Action{Do: Ask, Try: a.try, Offset: a.answer.Length()})
+	m.do(Action{Kind: Ask, Attempt: a.try, Offset: a.answer.Length()})
 }
 
-// Gone tells that the caller went away or the request was withdrawn.
-func (m *Machine) Gone(reason fault.Reason) {
+// Abort tells that the caller went away or the request was withdrawn.
+func (m *Machine) Abort(reason fault.Reason) {
 	if !m.over {
 		m.fail(fault.RefusalError{Reason: reason})
 	}
@@ -282,7 +282,7 @@
 		}
 		if a.state != stateNew {
 			m.unproven = true
-			m.do(Action{Do: Cancel, Try: a.try})
+			m.do(Action{Kind: Cancel, Attempt: a.try})
 		}
 		a.state = stateOver
 	}
@@ -293,16 +293,16 @@
 	m.over, m.winner = true, a
 	m.withdraw(a)
 	a.state = stateOver
-	m.do(Action{Do: Ack, Try: a.try})
+	m.do(Action{Kind: Ack, Attempt: a.try})
 	if m.hedged {
 		outcome := hedge.Lost
 		if a.hedge {
 			outcome = hedge.Won
 		}
-		m.do(Action{Do: Hedged, Outcome: outcome})
+		m.do(Action{Kind: Hedged, Outcome: outcome})
 	}
 	m.config.Retries.Earn()
-	m.do(Action{Do: Finish})
+	m.do(Action{Kind: Finish})
 }
 
 // fail ends the stage. "Not run" is said only if every attempt proved it.
@@ -318,7 +318,7 @@
 		refusal.Ran = fault.NotRun
 	}
 	m.refusal = refusal
-	m.do(Action{Do: Fail})
+	m.do(Action{Kind: Fail})
 }
 
 // attemptFailed takes in that one attempt gives no answer, and decides.
@@ -336,19 +336,19 @@
 		return
 	}
 	decision := m.decide(now, refusal)
-	if !decision.Again {
+	if !decision.Retry {
 		refusal.Reason = decision.Reason
 		m.fail(refusal)
 		return
 	}
-	m.do(Action{Do: Retried, Reason: refusal.Reason})
+	m.do(Action{Kind: Retried, Reason: refusal.Reason})
 	m.send(now, decision.AvoidZone, false)
 }
 
 func (m *Machine) decide(now clock.Millis, refusal fault.RefusalError) retry.Decision {
-	return retry.Decide(retry.Failed{
+	return retry.Decide(retry.Failure{
 		Reason: refusal.Reason, Ran: refusal.Ran, RetryAfter: refusal.RetryAfter,
-		Idempotent: m.config.Idempotent, Tries: len(m.attempts),
-		Left: m.config.Deadline - now, Need: m.config.Plan.Need, Elsewhere: true,
+		Idempotent: m.config.Idempotent, Attempts: len(m.attempts),
+		Left: m.config.Deadline - now, Need: m.config.Plan.Need, HasAlternative: true,
 	}, m.config.Retries)
 }
--- a/internal/flow/stage/stage_test.go
+++ b/internal/flow/stage/stage_test.go
@@ -27,17 +27,17 @@
 	t.Helper()
 	m := stage.New(c)
 	m.Begin(0)
-	assert.Equal(t, expect(t, m, stage.Send).Try, 0)
+	assert.Equal(t, expect(t, m, stage.Send).Attempt, 0)
 	m.Sent(0, 0, session)
 	return m
 }
 
 // expect returns the next action, which must be of a kind.
-func expect(t *testing.T, m *stage.Machine, do stage.Do) stage.Action {
+func expect(t *testing.T, m *stage.Machine, do stage.Kind) stage.Action {
 	t.Helper()
 	action, found := m.Next()
 	assert.Assert(t, found, "no action, want %d", do)
-	assert.Equal(t, action.Do, do)
+	assert.Equal(t, action.Kind, do)
 	return action
 }
 
@@ -63,13 +63,13 @@
 	c := config()
 	c.Stream = true
 	m := begun(t, c)
-	m.Frame(1, session, 0, part(0, "abc"))
+	m.HandleFrame(1, session, 0, part(0, "abc"))
 	assert.Equal(t, string(expect(t, m, stage.Emit).Bytes), "abc")
-	m.Frame(1, session, 0, part(0, "abc"))
-	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropDoubled)
-	m.Frame(1, session, 0, part(2, "cde"))
+	m.HandleFrame(1, session, 0, part(0, "abc"))
+	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropDuplicate)
+	m.HandleFrame(1, session, 0, part(2, "cde"))
 	assert.Equal(t, string(expect(t, m, stage.Emit).Bytes), "de")
-	m.Frame(1, session, 0, end("abcde"))
+	m.HandleFrame(1, session, 0, end("abcde"))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Finish)
 	assert.Equal(t, string(m.Bytes()), "abcde")
@@ -79,28 +79,28 @@
 // an answer with a hole.
 func TestMissingPartIsAskedForOnce(t *testing.T) {
 	m := begun(t, config())
-	m.Frame(1, session, 0, part(0, "ab"))
-	m.Frame(1, session, 0, part(4, "ef"))
+	m.HandleFrame(1, session, 0, part(0, "ab"))
+	m.HandleFrame(1, session, 0, part(4, "ef"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropGap)
 	assert.Equal(t, expect(t, m, stage.Ask).Offset, int64(2))
-	m.Frame(1, session, 0, end("abcdef"))
+	m.HandleFrame(1, session, 0, end("abcdef"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropGap)
-	m.Frame(1, session, 0, part(2, "cdef"))
-	m.Frame(1, session, 0, end("abcdef"))
+	m.HandleFrame(1, session, 0, part(2, "cdef"))
+	m.HandleFrame(1, session, 0, end("abcdef"))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Finish)
 }
 
 func TestFrameOfAnotherSessionOrAttemptIsDropped(t *testing.T) {
 	m := begun(t, config())
-	m.Frame(1, session+1, 0, part(0, "wrong"))
+	m.HandleFrame(1, session+1, 0, part(0, "wrong"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropSession)
-	m.Frame(1, session, 3, part(0, "wrong"))
+	m.HandleFrame(1, session, 3, part(0, "wrong"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropUnknown)
-	m.Gone(fault.Cancelled)
+	m.Abort(fault.Cancelled)
 	expect(t, m, stage.Cancel)
 	expect(t, m, stage.Fail)
-	m.Frame(1, session, 0, part(0, "late"))
+	m.HandleFrame(1, session, 0, part(0, "late"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropLate)
 }
 
@@ -108,9 +108,9 @@
 // stage is tried elsewhere, and the caller never sees the broken answer.
 func TestWrongDigestIsNoAnswer(t *testing.T) {
 	m := begun(t, config())
-	m.Frame(1, session, 0, part(0, "abX"))
-	m.Frame(1, session, 0, end("abc"))
-	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropBroken)
+	m.HandleFrame(1, session, 0, part(0, "abX"))
+	m.HandleFrame(1, session, 0, end("abc"))
+	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropInvalid)
 	assert.Equal(t, expect(t, m, stage.Retried).Reason, fault.AnswerBroken)
 	expect(t, m, stage.Send)
 }
@@ -121,14 +121,14 @@
 	c := config()
 	c.Idempotent = false
 	m := begun(t, c)
-	m.Frame(1, session, 0, part(0, "abc"))
-	m.Lost(2, 0)
+	m.HandleFrame(1, session, 0, part(0, "abc"))
+	m.SessionLost(2, 0)
 	m.Tick(900)
-	m.Back(0, session+1)
+	m.SessionRestored(0, session+1)
 	assert.Equal(t, expect(t, m, stage.Ask).Offset, int64(3))
-	m.Frame(901, session+1, 0, outcome(wire.StateRunning))
-	m.Frame(901, session+1, 0, part(3, "def"))
-	m.Frame(901, session+1, 0, end("abcdef"))
+	m.HandleFrame(901, session+1, 0, outcome(wire.StateRunning))
+	m.HandleFrame(901, session+1, 0, part(3, "def"))
+	m.HandleFrame(901, session+1, 0, end("abcdef"))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Finish)
 }
@@ -139,10 +139,10 @@
 	c := config()
 	c.Idempotent = false
 	m := begun(t, c)
-	m.Lost(2, 0)
-	m.Back(0, session+1)
+	m.SessionLost(2, 0)
+	m.SessionRestored(0, session+1)
 	expect(t, m, stage.Ask)
-	m.Frame(3, session+1, 0, outcome(wire.StateUnknown))
+	m.HandleFrame(3, session+1, 0, outcome(wire.StateUnknown))
 	expect(t, m, stage.Fail)
 	assert.Equal(t, m.Refusal().Reason, fault.OutcomeUnknown)
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
@@ -154,10 +154,10 @@
 	c := config()
 	c.Idempotent = false
 	m := begun(t, c)
-	m.Died(1, 0)
+	m.AgentGone(1, 0)
 	assert.Assert(t, !m.Over(), "the session is still there")
-	m.Lost(2, 0)
-	m.Died(3, 0)
+	m.SessionLost(2, 0)
+	m.AgentGone(3, 0)
 	expect(t, m, stage.Fail)
 	assert.Equal(t, m.Refusal().Reason, fault.OutcomeUnknown)
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
@@ -176,10 +176,10 @@
 	m.Tick(80)
 	assert.Assert(t, expect(t, m, stage.Send).Hedge)
 	m.Sent(80, 1, session+1)
-	m.Frame(90, session+1, 1, part(0, "a"))
-	m.Frame(90, session+1, 1, end("a"))
-	assert.Equal(t, expect(t, m, stage.Cancel).Try, 0)
-	assert.Equal(t, expect(t, m, stage.Ack).Try, 1)
+	m.HandleFrame(90, session+1, 1, part(0, "a"))
+	m.HandleFrame(90, session+1, 1, end("a"))
+	assert.Equal(t, expect(t, m, stage.Cancel).Attempt, 0)
+	assert.Equal(t, expect(t, m, stage.Ack).Attempt, 1)
 	assert.Equal(t, expect(t, m, stage.Hedged).Outcome, hedge.Won)
 	expect(t, m, stage.Finish)
 }
@@ -190,14 +190,14 @@
 	c := config()
 	c.Stream = true
 	m := begun(t, c)
-	m.Frame(1, session, 0, part(0, "abc"))
+	m.HandleFrame(1, session, 0, part(0, "abc"))
 	expect(t, m, stage.Emit)
-	m.Frame(2, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
+	m.HandleFrame(2, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Retried)
 	assert.Assert(t, expect(t, m, stage.Send).AvoidZone)
 	m.Sent(2, 1, session+1)
-	m.Frame(3, session+1, 1, part(0, "abX"))
+	m.HandleFrame(3, session+1, 1, part(0, "abX"))
 	expect(t, m, stage.Cancel)
 	expect(t, m, stage.Fail)
 	assert.Equal(t, m.Refusal().Reason, fault.AnswerBroken)
@@ -205,12 +205,12 @@
 
 func TestNotRunOnlyIfEveryAttemptProvedIt(t *testing.T) {
 	m := begun(t, config())
-	m.Frame(1, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
+	m.HandleFrame(1, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Retried)
 	expect(t, m, stage.Send)
 	m.Sent(1, 1, session+1)
-	m.Frame(2, session+1, 1, refuse(fault.DeadlinePassed, fault.NotRun))
+	m.HandleFrame(2, session+1, 1, refuse(fault.DeadlinePassed, fault.NotRun))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Fail)
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
@@ -221,7 +221,7 @@
 	c.Plan.Patience = 100
 	m := begun(t, c)
 	m.Tick(100)
-	assert.Equal(t, expect(t, m, stage.Cancel).Try, 0)
+	assert.Equal(t, expect(t, m, stage.Cancel).Attempt, 0)
 	expect(t, m, stage.Retried)
 	expect(t, m, stage.Send)
 }
@@ -235,7 +235,7 @@
 		m.Begin(0)
 		m.Sent(0, 0, session)
 		for _, frame := range frames {
-			m.Frame(1, session, 0, frame)
+			m.HandleFrame(1, session, 0, frame)
 		}
 		for _, found := m.Next(); found; _, found = m.Next() {
 		}
--- a/internal/flow/sums/message.go
+++ b/internal/flow/sums/message.go
@@ -45,10 +45,10 @@
 // ForAggregator returns the sums of the group for another aggregator; nil when
 // nothing has changed. Regular messages hold everything that changed,
 // others only what is urgent.
-func (b *Book) ForAggregator(c *Cursor, regular bool, now clock.Millis) *wire.Sums {
+func (b *Totals) ForAggregator(c *Cursor, regular bool, now clock.Millis) *wire.Sums {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	local := func(from Source) bool { return !from.Group }
+	local := func(from Source) bool { return !from.OtherGroup }
 	message := b.message(c, regular, now, nil, func(endpoint string, e *entry) wire.Work {
 		work := e.group
 		work.Endpoint = endpoint
@@ -64,7 +64,7 @@
 
 // ForProcess returns the sums of everything but the own work of a process that
 // reports here; nil when nothing has changed.
-func (b *Book) ForProcess(process string, c *Cursor, regular bool, now clock.Millis) *wire.Sums {
+func (b *Totals) ForProcess(process string, c *Cursor, regular bool, now clock.Millis) *wire.Sums {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.ownOf(process)
@@ -96,7 +96,7 @@
 // message holds the work that was not sent to a destination yet: at the endpoints
 // in its interest, or of all where it has none, and from time to time of the others.
 // The caller holds the lock.
-func (b *Book) message(c *Cursor, regular bool, now clock.Millis, interest map[string]bool, work func(string, *entry) wire.Work) *wire.Sums {
+func (b *Totals) message(c *Cursor, regular bool, now clock.Millis, interest map[string]bool, work func(string, *entry) wire.Work) *wire.Sums {
 	message := &wire.Sums{Whole: !c.begun, Regular: regular, Urgent: !regular}
 	regular = regular || !c.begun
 	pause := max(farEvery, farEach*clock.Millis(len(b.entries)-len(interest)))
@@ -131,7 +131,7 @@
 
 // addEvents adds the events that were not sent to a destination yet. The caller
 // holds the lock.
-func (b *Book) addEvents(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
+func (b *Totals) addEvents(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
 	crashes, nextCrash := b.crashes.since(c.crashes)
 	others, next := b.events.since(c.events)
 	for _, e := range slices.Concat(crashes, others) {
@@ -151,7 +151,7 @@
 }
 
 // addLoads adds what only regular messages hold. The caller holds the lock.
-func (b *Book) addLoads(message *wire.Sums, take func(Source) bool, now clock.Millis) {
+func (b *Totals) addLoads(message *wire.Sums, take func(Source) bool, now clock.Millis) {
 	for _, pool := range b.pools(take) {
 		load := pool.Load
 		load.Age = now - pool.At
@@ -164,7 +164,7 @@
 
 // addTrials adds trials if there are any and it is time, and once more when there
 // are none any more. The caller holds the lock.
-func (b *Book) addTrials(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
+func (b *Totals) addTrials(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
 	if now-c.trialsAt < trialsEvery {
 		return
 	}
@@ -176,8 +176,8 @@
 	c.trialsAt, c.trials = now, len(trials) > 0
 }
 
-// InflowOf converts what will come from a message.
-func InflowOf(loads []wire.Inflow) []inflow.Load { return addInflow(nil, loads) }
+// PendingArrivalsOf converts what will come from a message.
+func PendingArrivalsOf(loads []wire.Inflow) []inflow.Load { return addInflow(nil, loads) }
 
 func addInflow(sum []inflow.Load, more []wire.Inflow) []inflow.Load {
 	for _, load := range more {
--- a/internal/flow/sums/query.go
+++ b/internal/flow/sums/query.go
@@ -11,20 +11,20 @@
 )
 
 // Reporters returns how many processes of the group are heard besides one.
-func (b *Book) Reporters(self string) int {
+func (b *Totals) Reporters(self string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := 0
 	for from, known := range b.sources {
-		if !from.Group && !known.silent && from.Process != self {
+		if !from.OtherGroup && !known.silent && from.Process != self {
 			count++
 		}
 	}
 	return count
 }
 
-// Others returns the work of all but one process of the group at some endpoints.
-func (b *Book) Others(process string, endpoints []string) []wire.Work {
+// WorkOfOthers returns the work of all but one process of the group at some endpoints.
+func (b *Totals) WorkOfOthers(process string, endpoints []string) []wire.Work {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.ownOf(process)
@@ -37,8 +37,8 @@
 	return others
 }
 
-// AllOthers is Others of every endpoint.
-func (b *Book) AllOthers(process string) []wire.Work {
+// AllWorkOfOthers is Others of every endpoint.
+func (b *Totals) AllWorkOfOthers(process string) []wire.Work {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.ownOf(process)
@@ -49,7 +49,7 @@
 	return others
 }
 
-func (b *Book) ownOf(process string) map[string]wire.Work {
+func (b *Totals) ownOf(process string) map[string]wire.Work {
 	if known := b.sources[Source{Process: process}]; known != nil && !known.silent {
 		return known.work
 	}
@@ -69,13 +69,13 @@
 }
 
 // Pools returns what all but one process of the group said of their pools.
-func (b *Book) Pools(except string) []Pool {
+func (b *Totals) Pools(except string) []Pool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pools(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Book) pools(take func(Source) bool) []Pool {
+func (b *Totals) pools(take func(Source) bool) []Pool {
 	var pools []Pool
 	for from, known := range b.sources {
 		if known.silent || !take(from) {
@@ -88,14 +88,14 @@
 	return pools
 }
 
-// Inflow returns the sum of what all but one process of the group say will come.
-func (b *Book) Inflow(except string) []inflow.Load {
+// PendingArrivals returns the sum of what all but one process of the group say will come.
+func (b *Totals) PendingArrivals(except string) []inflow.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inflow(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Book) inflow(take func(Source) bool) []inflow.Load {
+func (b *Totals) inflow(take func(Source) bool) []inflow.Load {
 	var loads []inflow.Load
 	for from, known := range b.sources {
 		if known.silent || !take(from) {
@@ -107,13 +107,13 @@
 }
 
 // Trials returns the sums of the trials of all but one process of the group.
-func (b *Book) Trials(except string) []wire.Trial {
+func (b *Totals) Trials(except string) []wire.Trial {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.trials(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Book) trials(take func(Source) bool) []wire.Trial {
+func (b *Totals) trials(take func(Source) bool) []wire.Trial {
 	sums := make(map[wire.TrialKey]wire.Trial)
 	for from, known := range b.sources {
 		if known.silent || !take(from) {
@@ -128,22 +128,22 @@
 	return slices.Collect(maps.Values(sums))
 }
 
-// Present returns all processes that report to this one or to another
+// Members returns all processes that report to this one or to another
 // aggregator.
-func (b *Book) Present() []wire.Presence {
+func (b *Totals) Members() []wire.Presence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.present(func(Source) bool { return true })
 }
 
-// Group returns the processes that report to this one.
-func (b *Book) Group() []wire.Presence {
+// GroupMembers returns the processes that report to this one.
+func (b *Totals) GroupMembers() []wire.Presence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.present(func(from Source) bool { return !from.Group })
+	return b.present(func(from Source) bool { return !from.OtherGroup })
 }
 
-func (b *Book) present(take func(Source) bool) []wire.Presence {
+func (b *Totals) present(take func(Source) bool) []wire.Presence {
 	var present []wire.Presence
 	for from, known := range b.sources {
 		if !known.silent && take(from) {
@@ -154,8 +154,8 @@
 	return present
 }
 
-// Seen returns how far a source has followed the store, and when it said so.
-func (b *Book) Seen(from Source) ([]wire.Seen, clock.Millis) {
+// StoreRevisions returns how far a source has followed the store, and when it said so.
+func (b *Totals) StoreRevisions(from Source) ([]wire.Seen, clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.sources[from]
--- a/internal/flow/sums/sums.go
+++ b/internal/flow/sums/sums.go
@@ -32,8 +32,8 @@
 // Source names who sent sums: a process of the group, or the aggregator of
 // another one.
 type Source struct {
-	Process string
-	Group   bool
+	Process    string
+	OtherGroup bool
 }
 
 // ReportError is returned for sums that contradict themselves or earlier ones.
@@ -45,14 +45,16 @@
 // Error implements error.
 func (e *ReportError) Error() string { return fmt.Sprintf("report of %q: %s", e.Process, e.Cause) }
 
-// UnknownError is returned for changes of a source that has not sent whole sums yet;
+// UnknownSourceError is returned for changes of a source that has not sent whole sums yet;
 // the receiver has to request them.
-type UnknownError struct {
+type UnknownSourceError struct {
 	Process string
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string { return fmt.Sprintf("nothing is known of %q yet", e.Process) }
+func (e *UnknownSourceError) Error() string {
+	return fmt.Sprintf("nothing is known of %q yet", e.Process)
+}
 
 // entry is the work at one endpoint.
 type entry struct {
@@ -114,8 +116,8 @@
 	return e.all[min(from, uint64(len(e.all))):], e.dropped + uint64(len(e.all))
 }
 
-// Book adds up sums. It is safe for use by several goroutines.
-type Book struct {
+// Totals adds up sums. It is safe for use by several goroutines.
+type Totals struct {
 	mu      sync.Mutex
 	step    uint64
 	entries map[string]*entry
@@ -126,8 +128,8 @@
 }
 
 // New returns an empty book.
-func New() *Book {
-	return &Book{entries: make(map[string]*entry), sources: make(map[Source]*reported)}
+func New() *Totals {
+	return &Totals{entries: make(map[string]*entry), sources: make(map[Source]*reported)}
 }
 
 // Check returns a ReportError if sums can't be right.
@@ -184,7 +186,7 @@
 
 // Put takes sums and returns the endpoints whose work changed. The first sums of
 // a source must be whole; others return an UnknownError.
-func (b *Book) Put(from Source, sums *wire.Sums, now clock.Millis) ([]string, error) {
+func (b *Totals) Put(from Source, sums *wire.Sums, now clock.Millis) ([]string, error) {
 	if err := Check(from, sums); err != nil {
 		return nil, err
 	}
@@ -193,7 +195,7 @@
 	known := b.sources[from]
 	if known == nil {
 		if !sums.Whole {
-			return nil, &UnknownError{Process: from.Process}
+			return nil, &UnknownSourceError{Process: from.Process}
 		}
 		known = &reported{work: make(map[string]wire.Work)}
 		b.sources[from] = known
@@ -226,7 +228,7 @@
 }
 
 // clear sets to none what whole sums no longer hold. The caller holds the lock.
-func (b *Book) clear(from Source, known *reported, sums *wire.Sums, now clock.Millis) []string {
+func (b *Totals) clear(from Source, known *reported, sums *wire.Sums, now clock.Millis) []string {
 	held := make(map[string]bool, len(sums.Work))
 	for _, work := range sums.Work {
 		held[work.Endpoint] = true
@@ -242,7 +244,7 @@
 
 // set replaces the work of a source at one endpoint and reports whether that
 // changed anything. The caller holds the lock.
-func (b *Book) set(from Source, known *reported, work wire.Work, urgent bool, now clock.Millis) bool {
+func (b *Totals) set(from Source, known *reported, work wire.Work, urgent bool, now clock.Millis) bool {
 	change := work.Minus(known.work[work.Endpoint])
 	if change.None() {
 		return false
@@ -257,14 +259,14 @@
 }
 
 // add changes the sums at one endpoint. The caller holds the lock.
-func (b *Book) add(from Source, endpoint string, change wire.Work, urgent bool, now clock.Millis) {
+func (b *Totals) add(from Source, endpoint string, change wire.Work, urgent bool, now clock.Millis) {
 	e := b.entries[endpoint]
 	if e == nil {
 		e = &entry{}
 		b.entries[endpoint] = e
 	}
 	e.all = e.all.Plus(change)
-	if !from.Group {
+	if !from.OtherGroup {
 		e.group = e.group.Plus(change)
 	}
 	e.changed = b.step
@@ -278,7 +280,7 @@
 
 // mute takes the work of a source out of the sums and returns the endpoints. The
 // caller holds the lock.
-func (b *Book) mute(from Source, known *reported, now clock.Millis) []string {
+func (b *Totals) mute(from Source, known *reported, now clock.Millis) []string {
 	if known.silent {
 		return nil
 	}
@@ -293,7 +295,7 @@
 }
 
 // revive adds the work of a source that was silent. The caller holds the lock.
-func (b *Book) revive(from Source, known *reported, now clock.Millis) []string {
+func (b *Totals) revive(from Source, known *reported, now clock.Millis) []string {
 	if !known.silent {
 		return nil
 	}
@@ -307,7 +309,7 @@
 }
 
 // note enters what happened at a source. The caller holds the lock.
-func (b *Book) note(from Source, sums *wire.Sums, now clock.Millis) {
+func (b *Totals) note(from Source, sums *wire.Sums, now clock.Millis) {
 	for i := range sums.Prefixes {
 		b.events.add(event{from: from, at: now, prefix: &sums.Prefixes[i]})
 	}
@@ -321,8 +323,8 @@
 	b.crashes.bound(maxEvents)
 }
 
-// Drop forgets a source and returns the endpoints whose work changed.
-func (b *Book) Drop(from Source, now clock.Millis) []string {
+// Remove forgets a source and returns the endpoints whose work changed.
+func (b *Totals) Remove(from Source, now clock.Millis) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.sources[from]
@@ -333,9 +335,9 @@
 	return b.mute(from, known, now)
 }
 
-// Mute leaves sources out of the sums, but for one process's own, that were last
+// ExcludeStale leaves sources out of the sums, but for one process's own, that were last
 // received before an instant. It returns them and the endpoints whose work changed.
-func (b *Book) Mute(self string, before, now clock.Millis) (silent []Source, changed []string) {
+func (b *Totals) ExcludeStale(self string, before, now clock.Millis) (silent []Source, changed []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for from, known := range b.sources {
--- a/internal/flow/sums/sums_test.go
+++ b/internal/flow/sums/sums_test.go
@@ -22,9 +22,9 @@
 
 func process(name string) sums.Source { return sums.Source{Process: name} }
 
-func group(name string) sums.Source { return sums.Source{Process: name, Group: true} }
+func group(name string) sums.Source { return sums.Source{Process: name, OtherGroup: true} }
 
-func put(t *testing.T, b *sums.Book, from sums.Source, taken *wire.Sums, now clock.Millis) {
+func put(t *testing.T, b *sums.Totals, from sums.Source, taken *wire.Sums, now clock.Millis) {
 	t.Helper()
 	_, err := b.Put(from, taken, now)
 	assert.NilError(t, err)
@@ -42,7 +42,7 @@
 	return -1
 }
 
-func ExampleBook_ForProcess() {
+func ExampleTotals_ForProcess() {
 	b := sums.New()
 	for name, count := range map[string]int64{"a": 1, "b": 2, "c": 4} {
 		_, _ = b.Put(sums.Source{Process: name}, &wire.Sums{Whole: true, Work: []wire.Work{{Endpoint: "engine", Running: count}}}, 1)
@@ -63,7 +63,7 @@
 	assert.Equal(t, at(b.ForProcess("a", &sums.Cursor{}, true, 2), "e"), int64(105))
 	assert.Equal(t, at(b.ForProcess("b", &sums.Cursor{}, true, 2), "e"), int64(103))
 	assert.Equal(t, at(b.ForAggregator(&sums.Cursor{}, true, 2), "e"), int64(8))
-	assert.Equal(t, b.Others("a", []string{"e"})[0].Running, int64(105))
+	assert.Equal(t, b.WorkOfOthers("a", []string{"e"})[0].Running, int64(105))
 }
 
 // Guards against messages that repeat what was told: an idle fleet would send as
@@ -106,18 +106,18 @@
 	put(t, b, process("a"), whole(running("e", 3)), 1)
 	put(t, b, group("g"), &wire.Sums{Whole: true, Regular: true, Work: []wire.Work{running("e", 10)}, Pools: []wire.PoolLoad{{Pool: "p"}}}, 1000)
 	b.ForProcess("self", c, true, 1000)
-	silent, changed := b.Mute("self", 500, 1000)
+	silent, changed := b.ExcludeStale("self", 500, 1000)
 	assert.DeepEqual(t, silent, []sums.Source{process("a")})
 	assert.DeepEqual(t, changed, []string{"e"})
 	assert.Equal(t, at(b.ForProcess("self", c, true, 1000), "e"), int64(10))
-	again, _ := b.Mute("self", 500, 1000)
+	again, _ := b.ExcludeStale("self", 500, 1000)
 	assert.Equal(t, len(again), 0)
 	// It was only paused: what it tells now is a change of what it told before.
 	put(t, b, process("a"), &wire.Sums{Work: []wire.Work{running("f", 1)}}, 1100)
 	back := b.ForProcess("self", c, true, 1100)
 	assert.Assert(t, at(back, "e") == 13 && at(back, "f") == 1)
 	assert.Equal(t, len(b.Pools("self")), 1)
-	b.Drop(group("g"), 1200)
+	b.Remove(group("g"), 1200)
 	assert.Equal(t, len(b.Pools("self")), 0)
 	assert.Equal(t, at(b.ForProcess("self", c, true, 1200), "e"), int64(3))
 }
@@ -145,10 +145,10 @@
 func TestChangesOfAnUnknownSourceAreNotTaken(t *testing.T) {
 	b := sums.New()
 	_, err := b.Put(process("a"), &wire.Sums{Work: []wire.Work{running("e", 1)}}, 1)
-	var unknown *sums.UnknownError
+	var unknown *sums.UnknownSourceError
 	assert.Assert(t, errors.As(err, &unknown))
 	assert.Equal(t, unknown.Process, "a")
-	assert.Equal(t, len(b.AllOthers("self")), 0)
+	assert.Equal(t, len(b.AllWorkOfOthers("self")), 0)
 }
 
 // Guards against callers that are not known where they come back to, and against
@@ -185,7 +185,7 @@
 // node is one process of a fleet in memory.
 type node struct {
 	owner.Process
-	book    *sums.Book
+	book    *sums.Totals
 	cursors map[string]*sums.Cursor
 	sent    int
 	bytes   int
@@ -205,7 +205,7 @@
 		}
 		return
 	}
-	put(t, to.book, sums.Source{Process: n.Name, Group: kind == wire.KindGroup}, message, now)
+	put(t, to.book, sums.Source{Process: n.Name, OtherGroup: kind == wire.KindGroup}, message, now)
 }
 
 func (n *node) cursor(to string) *sums.Cursor {
@@ -261,7 +261,7 @@
 			n := nodes[p.Name]
 			most, bytes = max(most, n.sent), max(bytes, n.bytes)
 			if n.to == "" {
-				for _, work := range n.book.AllOthers(p.Name) {
+				for _, work := range n.book.AllWorkOfOthers(p.Name) {
 					n.others[work.Endpoint] = work.Running
 				}
 			} else {
--- a/internal/serve/gate/again.go
+++ b/internal/serve/gate/again.go
@@ -26,11 +26,11 @@
 // recognise takes up a request where its caller was told to come back: its
 // objective counts from the first attempt.
 func (g *Gate) recognise(req *request) {
-	refusal, returned := g.recall.Returned(recallKey(req), req.began)
+	refusal, returned := g.recall.Lookup(recallKey(req), req.began)
 	if !returned {
 		return
 	}
-	req.arrived, req.returned = refusal.First, true
+	req.arrived, req.returned = refusal.FirstArrival, true
 	req.objective = req.arrived + req.route.Objective
 	g.meter.returns.WithLabelValues(req.route.Name).Inc()
 	g.Log.Info("caller came back", "request", req.Request, "route", req.route.Name, "firstMs", int64(req.began-req.arrived),
@@ -44,15 +44,15 @@
 		return
 	}
 	now := g.Clock.Now()
-	g.recall.Refuse(recall.Refusal{Key: key, First: req.arrived, Return: now + refused.RetryAfter}, now)
+	g.recall.Add(recall.Refusal{Key: key, FirstArrival: req.arrived, RetryAt: now + refused.RetryAfter}, now)
 }
 
 // Refused returns the callers told to come back that peers don't know of yet.
 func (g *Gate) Refused() []wire.Refused {
 	now := g.Clock.Now()
 	var refused []wire.Refused
-	for _, refusal := range g.recall.Untold() {
-		refused = append(refused, wire.Refused{Key: refusal.Key, Age: now - refusal.First, Wait: refusal.Return - now})
+	for _, refusal := range g.recall.TakeUnsent() {
+		refused = append(refused, wire.Refused{Key: refusal.Key, Age: now - refusal.FirstArrival, Wait: refusal.RetryAt - now})
 	}
 	return refused
 }
@@ -62,7 +62,7 @@
 	now := g.Clock.Now()
 	refusals := make([]recall.Refusal, 0, len(refused))
 	for _, r := range refused {
-		refusals = append(refusals, recall.Refusal{Key: r.Key, First: now - max(r.Age, 0), Return: now + r.Wait})
+		refusals = append(refusals, recall.Refusal{Key: r.Key, FirstArrival: now - max(r.Age, 0), RetryAt: now + r.Wait})
 	}
-	g.recall.Learn(refusals, now)
+	g.recall.AddRemote(refusals, now)
 }
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -78,14 +78,14 @@
 	prefixes    *target.Prefixes
 	subsets     subsets
 	inflow      *inflow.Book
-	recall      *recall.Book
+	recall      *recall.Refusals
 	crashes     *crash.Book
 	watch       *crashWatch
 	routes      byName[routeRecord]
 	// rates holds how fast the engines of each pool read prompts.
 	rates byName[place.Rate]
 	// admitted counts the requests of all routes with stages.
-	admitted reach.Admitted
+	admitted reach.Admissions
 	bounds   atomic.Pointer[Bounds]
 	leaving  atomic.Bool
 	refusing atomic.Bool
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -97,7 +97,7 @@
 	ready := p.req.run.Ready()
 	r := p.g.reachOf(p.req)
 	for _, stage := range ready {
-		wait := r.PutOff(stage, p.g.queue)
+		wait := r.StageDelay(stage, p.g.queue)
 		if wait > 0 && (p.running > 0 || len(ready) > 1) {
 			p.putOff(stage, wait)
 			continue
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -29,8 +29,8 @@
 	now := g.Clock.Now()
 	record := g.routes.of(req.route.Name)
 	r.Correction = record.correction.Value(now)
-	r.Yield = reach.Yield(req.route.Priority, record.admitted.Share(now), g.admitted.Share(now))
-	begins := r.Begins(remaining)
+	r.ReservedShare = reach.ReservedShare(req.route.Priority, record.admitted.Share(now), g.admitted.Share(now))
+	begins := r.Admissible(remaining)
 	record.admitted.Count(begins, now)
 	g.admitted.Count(begins, now)
 	if begins {
@@ -38,16 +38,16 @@
 	}
 	if req.returned {
 		r.Penalty += lateBehind
-		if r.BeginsLate(r.Remaining(g.queue)) {
+		if r.AdmissibleLate(r.Remaining(g.queue)) {
 			req.behind = true
 			g.Log.Info("request begun late", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
 				"slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
 			return nil
 		}
 	}
-	req.binding = r.Binding(g.queue)
+	req.binding = r.Bottleneck(g.queue)
 	g.Log.Info("request not begun", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
-		"correctionMs", int64(r.Correction), "yield", r.Yield, "pool", req.binding, "slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
+		"correctionMs", int64(r.Correction), "yield", r.ReservedShare, "pool", req.binding, "slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
 	return &fault.RefusalError{
 		Reason: fault.Overloaded, Ran: fault.NotRun, RetryAfter: spread(max(r.Excess(remaining), comeBackLoad)),
 		Detail: "the stages' queues are too long",
@@ -58,7 +58,7 @@
 func (g *Gate) goesOn(req *request) error {
 	r := g.reachOf(req)
 	remaining := r.Remaining(g.queue)
-	if r.GoesOn(remaining) {
+	if r.MeetsDeadline(remaining) {
 		return nil
 	}
 	g.Log.Info("request given up", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
@@ -72,7 +72,7 @@
 	now := g.Clock.Now()
 	r := &reach.Request{
 		Stages: req.route.Stages, Pieces: req.Pieces, Done: make([]bool, len(req.route.Stages)),
-		Slack: req.objective - now, Left: req.deadline - now, Penalty: penalty(req), Returned: req.returned, Last: float64(req.generation),
+		Slack: req.objective - now, Left: req.deadline - now, Penalty: penalty(req), Returned: req.returned, Generation: float64(req.generation),
 	}
 	for i := range r.Done {
 		r.Done[i] = !req.run.Waiting(i)
@@ -104,8 +104,8 @@
 		parts = append(parts, q)
 	}
 	q := reach.Merge(parts)
-	q.Bounds, q.Room = batch.BoundsOf(batching), batching.Room
-	q.Inflow = inflow.Sum(g.inflow.Of(name, g.Clock.Now()), g.mesh.Inflow(name))
+	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.Room
+	q.PendingArrivals = inflow.Sum(g.inflow.Of(name, g.Clock.Now()), g.mesh.Inflow(name))
 	return q
 }
 
@@ -113,10 +113,10 @@
 // it owns the shard, else from what the owner reported last.
 func (g *Gate) shardQueue(part *view.Shard, batching *table.Batching) (q *reach.Queue, known bool) {
 	load, late, known := g.load(part)
-	q = &reach.Queue{Bounds: batch.BoundsOf(batching), Room: batching.Room}
+	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.Room}
 	if known {
-		q.Engines, q.Free, q.Fill, q.Waiting = load.Engines, load.Free, load.Fill, load.Waiting
-		q.Late = float64(late)
+		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.Fill, load.Waiting
+		q.Staleness = float64(late)
 		return q, true
 	}
 	// Nobody has told of it yet: as far as is known, nothing waits.
--- a/internal/serve/gate/record.go
+++ b/internal/serve/gate/record.go
@@ -23,5 +23,5 @@
 type routeRecord struct {
 	// correction is what estimates were off by, admitted which part was begun in time.
 	correction reach.Correction
-	admitted   reach.Admitted
+	admitted   reach.Admissions
 }
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -42,7 +42,7 @@
 	err := newProgress(g, req).run(ctx)
 	req.stages = g.Clock.Since(began)
 	if err == nil && !req.behind {
-		g.routes.of(req.route.Name).correction.Learn(req.estimate, req.stages+req.generation, g.Clock.Now())
+		g.routes.of(req.route.Name).correction.Observe(req.estimate, req.stages+req.generation, g.Clock.Now())
 	}
 	g.meter.stages.WithLabelValues(req.route.Name).Observe(seconds(req.stages))
 	return err
@@ -179,7 +179,7 @@
 		ask.Pool = parts[0].Name
 		return
 	}
-	want := spill.Want{Zone: ask.Zone, Hold: ask.Hold}
+	want := spill.Preference{Zone: ask.Zone, ExtraWait: ask.Hold}
 	if want.Zone == "" {
 		want.Zone = g.Zone
 	}
@@ -187,7 +187,7 @@
 	for i := range parts {
 		q, known := g.shardQueue(&parts[i], batching)
 		shards[i] = spill.Shard{
-			Zone: parts[i].Zone, Wait: q.Wait(ask.Slack+ask.Penalty, 0), Known: known, Late: clock.Millis(q.Late), Tried: tried[parts[i].Name],
+			Zone: parts[i].Zone, Wait: q.Wait(ask.Slack+ask.Penalty, 0), Known: known, Staleness: clock.Millis(q.Staleness), Tried: tried[parts[i].Name],
 		}
 	}
 	at := spill.Choose(shards, want, rand.IntN)
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -276,7 +276,7 @@
 		return load
 	}
 	now := h.Clock.Now()
-	load.Waiting = make([]int, len(reach.Edges)+1)
+	load.Waiting = make([]int, len(reach.RankEdges)+1)
 	q.waiting.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Waiting() })
 	return load
 }
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -104,8 +104,8 @@
 
 // isFresh reports whether a process has heard from the store a moment ago.
 func (m *Mesh) isFresh(name string, now clock.Millis) bool {
-	for _, source := range []sums.Source{{Process: name, Group: true}, {Process: name}} {
-		if seen, at := m.book.Seen(source); len(seen) > 0 && !isStale(seen, m.follower.Fresh-(now-at)) {
+	for _, source := range []sums.Source{{Process: name, OtherGroup: true}, {Process: name}} {
+		if seen, at := m.book.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.Fresh-(now-at)) {
 			return true
 		}
 	}
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -286,6 +286,6 @@
 	}
 	m.lostFunc(name)
 	m.forget(sums.Source{Process: name})
-	m.forget(sums.Source{Process: name, Group: true})
+	m.forget(sums.Source{Process: name, OtherGroup: true})
 	m.log.Info("session ended", "peer", name, logs.KeyError, s.Err())
 }
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -109,7 +109,7 @@
 	newerFunc   func()
 	follower    Follower
 
-	book *sums.Book
+	book *sums.Totals
 	view atomic.Pointer[view]
 	// pools and inflow are what all peers report.
 	pools  atomic.Pointer[map[string]sums.Pool]
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -185,9 +185,9 @@
 
 // mute leaves out who was silent for long.
 func (m *Mesh) mute(now clock.Millis) {
-	silent, changed := m.book.Mute(m.self.Name, now-muteAfter, now)
+	silent, changed := m.book.ExcludeStale(m.self.Name, now-muteAfter, now)
 	for _, source := range silent {
-		m.log.Info("reports stopped", "peer", source.Process, "group", source.Group, "ageMs", int64(muteAfter))
+		m.log.Info("reports stopped", "peer", source.Process, "group", source.OtherGroup, "ageMs", int64(muteAfter))
 	}
 	m.pushOthers(changed)
 }
@@ -198,7 +198,7 @@
 	m.workLock.Lock()
 	defer m.workLock.Unlock()
 	if len(endpoints) > 0 && m.uplink.Load().aggregator == "" {
-		m.workFunc(m.book.Others(m.self.Name, endpoints), false)
+		m.workFunc(m.book.WorkOfOthers(m.self.Name, endpoints), false)
 	}
 }
 
@@ -206,11 +206,11 @@
 func (m *Mesh) pushAll() {
 	m.workLock.Lock()
 	defer m.workLock.Unlock()
-	m.workFunc(m.book.AllOthers(m.self.Name), true)
+	m.workFunc(m.book.AllWorkOfOthers(m.self.Name), true)
 }
 
 // forget drops what a source reported.
-func (m *Mesh) forget(source sums.Source) { m.pushOthers(m.book.Drop(source, m.clock.Now())) }
+func (m *Mesh) forget(source sums.Source) { m.pushOthers(m.book.Remove(source, m.clock.Now())) }
 
 // chooseRole decides whether this process is an aggregator, and to whom it
 // reports otherwise.
@@ -260,10 +260,10 @@
 // those that report to nobody, or say that they own nothing.
 func (m *Mesh) updateAbsent(now clock.Millis) {
 	r := &m.reports
-	for _, presence := range m.book.Present() {
+	for _, presence := range m.book.Members() {
 		r.seen[presence.Process] = lastReport{presence: presence, at: now}
 	}
-	if group := m.book.Group(); !slices.Equal(group, r.group) {
+	if group := m.book.GroupMembers(); !slices.Equal(group, r.group) {
 		r.group, r.groupSince = group, now
 	}
 	if !r.acting || now-r.actingSince < absentAfterStart {
@@ -331,7 +331,7 @@
 	if m.uplink.Load().aggregator != "" {
 		return
 	}
-	sum, trials := m.book.Inflow(m.self.Name), m.book.Trials(m.self.Name)
+	sum, trials := m.book.PendingArrivals(m.self.Name), m.book.Trials(m.self.Name)
 	m.setPools(m.book.Pools(m.self.Name))
 	m.inflow.Store(&sum)
 	m.trials.Store(&trials)
--- a/internal/serve/mesh/take.go
+++ b/internal/serve/mesh/take.go
@@ -49,13 +49,13 @@
 // takeSums takes a report or the sums of a group.
 func (m *Mesh) takeSums(s *sess.Session, group bool, taken *wire.Sums) {
 	from, now := s.Peer().Process, m.clock.Now()
-	source := sums.Source{Process: from, Group: group}
+	source := sums.Source{Process: from, OtherGroup: group}
 	if taken.Ended {
 		m.forget(source)
 		return
 	}
 	changed, err := m.book.Put(source, taken, now)
-	var unknown *sums.UnknownError
+	var unknown *sums.UnknownSourceError
 	if errors.As(err, &unknown) {
 		_ = s.Send(&wire.Frame{Kind: wire.KindRenew}) // a session that can't send is ending
 		return
@@ -102,7 +102,7 @@
 // takeTotal takes the work of all others from this process's aggregator.
 func (m *Mesh) takeTotal(from string, total *wire.Sums) {
 	now := m.clock.Now()
-	if err := sums.Check(sums.Source{Process: from, Group: true}, total); err != nil {
+	if err := sums.Check(sums.Source{Process: from, OtherGroup: true}, total); err != nil {
 		m.ignoredFunc("contradictory")
 		m.log.Warn("total ignored", "peer", from, logs.KeyError, err)
 		return
@@ -132,7 +132,7 @@
 	for _, load := range total.Pools {
 		pools = append(pools, sums.Pool{Load: load, At: now - load.Age})
 	}
-	sum := sums.InflowOf(total.Inflow)
+	sum := sums.PendingArrivalsOf(total.Inflow)
 	m.setPools(pools)
 	m.inflow.Store(&sum)
 	if total.HasTrials {
--- a/internal/serve/runs/runs.go
+++ b/internal/serve/runs/runs.go
@@ -31,7 +31,7 @@
 	picker    *pick.Picker
 	baseline  bool
 	unlimited *quota.Quota
-	shed      *shed.Shed
+	shed      *shed.Shedder
 	stages    sync.Map // stageKey to *budget.Stage
 }
 
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -112,7 +112,7 @@
 		x.due = nil
 		x.machine.Tick(x.clock.Now())
 	case <-ctx.Done():
-		x.machine.Gone(fault.Cancelled)
+		x.machine.Abort(fault.Cancelled)
 	}
 }
 
@@ -125,30 +125,30 @@
 			x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
 			x.close(event.Try, trace.Refused, event.Frame.Refuse.Reason)
 		}
-		x.machine.Frame(now, event.Session, event.Try, event.Frame)
+		x.machine.HandleFrame(now, event.Session, event.Try, event.Frame)
 	case peers.EventLost:
 		x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
-		x.machine.Lost(now, event.Try)
+		x.machine.SessionLost(now, event.Try)
 	case peers.EventBack:
-		x.machine.Back(event.Try, event.Session)
+		x.machine.SessionRestored(event.Try, event.Session)
 	case peers.EventDied:
-		x.machine.Died(now, event.Try)
+		x.machine.AgentGone(now, event.Try)
 	}
 }
 
 // act carries out what the machine asks for.
 func (x *stageRun) act() {
 	for action, found := x.machine.Next(); found; action, found = x.machine.Next() {
-		switch action.Do {
+		switch action.Kind {
 		case stage.Send:
 			x.send(action)
 		case stage.Ask:
-			f := &x.flights[action.Try]
+			f := &x.flights[action.Attempt]
 			f.link.Ask(f.id, action.Offset)
 		case stage.Cancel:
-			x.withdraw(action.Try)
+			x.withdraw(action.Attempt)
 		case stage.Ack:
-			x.ack(action.Try)
+			x.ack(action.Attempt)
 		case stage.Emit:
 			x.job.sink(action.Bytes)
 		case stage.Drop:
@@ -196,18 +196,18 @@
 			return
 		}
 	}
-	x.machine.NoTarget(action.Try)
+	x.machine.NoTarget(action.Attempt)
 }
 
 func (x *stageRun) choose(now clock.Millis, action stage.Action) *pool.Endpoint {
 	_, view := x.peers.View(x.job.pool)
-	if x.job.affine && action.Try == 0 && !x.baseline {
+	if x.job.affine && action.Attempt == 0 && !x.baseline {
 		if preferred := x.member.Prefix.Prefer(now, view, x.job.prefix); preferred != nil {
 			return preferred
 		}
 	}
 	endpoint := x.picker.Pick(now, view, &x.avoid)
-	if endpoint == nil && !action.Hedge && !x.refused && action.Try > 0 {
+	if endpoint == nil && !action.Hedge && !x.refused && action.Attempt > 0 {
 		// Every endpoint of a small pool was tried and given up as a straggler, and
 		// none has refused: all of them were slow for a moment. Were the request
 		// refused now, a short stall of the pool would fail requests that have
@@ -228,14 +228,14 @@
 		return false
 	}
 	call := x.job.call
-	call.ID.Try = action.Try
+	call.ID.Try = action.Attempt
 	call.Endpoint = endpoint.Name
 	call.TimeLeft = min(x.job.deadline, x.beganAt+x.job.plan.Limit) - now
 	// Noted before it is sent: the answer may come first.
-	x.flights[action.Try] = flight{id: call.ID, endpoint: endpoint, link: link, sentAt: now, open: true}
-	session, err := link.Call(&call, x.box, action.Try)
+	x.flights[action.Attempt] = flight{id: call.ID, endpoint: endpoint, link: link, sentAt: now, open: true}
+	session, err := link.Call(&call, x.box, action.Attempt)
 	if err != nil {
-		x.flights[action.Try] = flight{}
+		x.flights[action.Attempt] = flight{}
 		return false
 	}
 	endpoint.Sent()
@@ -244,10 +244,10 @@
 		x.retry = ""
 	}
 	x.job.record.Sent(trace.Attempt{
-		Stage: call.ID.Stage, Try: action.Try, Pool: x.job.pool, Endpoint: endpoint.Name,
+		Stage: call.ID.Stage, Try: action.Attempt, Pool: x.job.pool, Endpoint: endpoint.Name,
 		AvailabilityZone: endpoint.AvailabilityZone, Hedge: action.Hedge, SentAt: now,
 	})
-	x.machine.Sent(now, action.Try, session)
+	x.machine.Sent(now, action.Attempt, session)
 	return true
 }
 
