--- a/internal/guard/admit/admit.go
+++ b/internal/guard/admit/admit.go
@@ -17,8 +17,8 @@
 // Verdicts.
 const (
 	Refused Verdict = iota
-	Runs
-	Waits
+	Admitted
+	Queued
 )
 
 // Ticket belongs to running work; its holder hands it back with Done.
@@ -47,10 +47,10 @@
 
 // Outcomes.
 const (
-	// OutcomeDone is work that ended with an answer.
-	OutcomeDone Outcome = iota
-	// OutcomeStopped is work that was cancelled: its time says nothing.
-	OutcomeStopped
+	// OutcomeCompleted is work that ended with an answer.
+	OutcomeCompleted Outcome = iota
+	// OutcomeCancelled is work that was cancelled: its time says nothing.
+	OutcomeCancelled
 	// OutcomeRejected is work that the endpoint refused for its load.
 	OutcomeRejected
 	// OutcomeReset is work whose connection the endpoint cut or refused.
@@ -72,10 +72,10 @@
 	// up because of it, for the same reason.
 	meanFall = 0.99
 	minRetry = 5
-	// DefaultTrust is how long a sign of life vouches for a limit above the cold
+	// DefaultLivenessTTL is how long a sign of life vouches for a limit above the cold
 	// one. An endpoint that restarts while it has no work shows nothing; a burst
 	// that came then at the full limit would make it fall over.
-	DefaultTrust clock.Millis = 20
+	DefaultLivenessTTL clock.Millis = 20
 )
 
 // Gate admits work to one endpoint. It is not safe for use by several
@@ -117,8 +117,8 @@
 // WithoutLimits is the kept baseline of measurements: all work runs at once.
 func WithoutLimits() Option { return func(o *options) { o.unlimited = true } }
 
-// WithDrops sets who counts the drops to the cold limit, by cause.
-func WithDrops(drops func(ramp.Cause)) Option { return func(o *options) { o.drops = drops } }
+// WithOnDrop sets who counts the drops to the cold limit, by cause.
+func WithOnDrop(drops func(ramp.Cause)) Option { return func(o *options) { o.drops = drops } }
 
 // New returns a gate for an endpoint that may have just started.
 func New[T any](now clock.Millis, opts ...Option) *Gate[T] {
@@ -167,7 +167,7 @@
 		return Decision[T]{Reason: g.closed}
 	}
 	if g.unlimited {
-		return Decision[T]{Verdict: Runs, Ticket: g.start(now, item.Cost)}
+		return Decision[T]{Verdict: Admitted, Ticket: g.start(now, item.Cost)}
 	}
 	if g.hopeless(now, &item) {
 		g.low *= lowFall
@@ -175,7 +175,7 @@
 	}
 	if g.queue.Len() == 0 && g.Running() < g.limitAt(now) {
 		g.queue.Charge(item.Organisation, item.Weight, item.Cost)
-		return Decision[T]{Verdict: Runs, Ticket: g.start(now, item.Cost)}
+		return Decision[T]{Verdict: Admitted, Ticket: g.start(now, item.Cost)}
 	}
 	decision := g.wait(now, item)
 	decision.Probe = g.Running() < g.Limit()
@@ -184,17 +184,17 @@
 
 // limitAt is the limit as far as the last sign of life vouches for it.
 func (g *Gate[T]) limitAt(now clock.Millis) int {
-	if now-g.alive > DefaultTrust {
+	if now-g.alive > DefaultLivenessTTL {
 		return min(g.Limit(), g.ramp.ColdLimit())
 	}
 	return g.Limit()
 }
 
-// Alive takes a sign of life of the endpoint: bytes of an answer.
-func (g *Gate[T]) Alive(now clock.Millis) { g.alive = max(g.alive, now) }
+// MarkAlive takes a sign of life of the endpoint: bytes of an answer.
+func (g *Gate[T]) MarkAlive(now clock.Millis) { g.alive = max(g.alive, now) }
 
 func (g *Gate[T]) wait(now clock.Millis, item fair.Item[T]) Decision[T] {
-	wait := g.waitFor(g.queue.Ahead(&item))
+	wait := g.waitFor(g.queue.CostAhead(&item))
 	if now+wait+g.meanFor(item.Cost) >= item.Expires {
 		return Decision[T]{Reason: g.fullReason(fault.WontMakeIt), RetryAfter: g.retryAfter()}
 	}
@@ -202,7 +202,7 @@
 	if !fits {
 		return Decision[T]{Reason: g.fullReason(fault.QueueFull), RetryAfter: g.retryAfter()}
 	}
-	return Decision[T]{Verdict: Waits, Evicted: evicted.Work, HasEvicted: hasEvicted}
+	return Decision[T]{Verdict: Queued, Evicted: evicted.Work, HasEvicted: hasEvicted}
 }
 
 // fullReason names the cold start where it is what holds the work back.
@@ -259,20 +259,20 @@
 	g.running--
 	g.cost -= ticket.Cost
 	switch outcome {
-	case OutcomeDone:
+	case OutcomeCompleted:
 		g.sample(now, ticket, inFlight)
 	case OutcomeRejected:
 		g.learned.Rejected()
 	case OutcomeReset:
 		if ticket.generation == g.ramp.Generation() {
-			g.drops(g.ramp.Reset(now))
+			g.drops(g.ramp.ConnectionReset(now))
 		}
-	case OutcomeStopped:
+	case OutcomeCancelled:
 	}
 }
 
 func (g *Gate[T]) sample(now clock.Millis, ticket Ticket, inFlight int) {
-	g.Alive(now)
+	g.MarkAlive(now)
 	perCost := float64(now-ticket.Began) / float64(ticket.Cost)
 	g.samples = min(g.samples+1, meanShare)
 	g.mean += (perCost - g.mean) / float64(g.samples)
@@ -303,30 +303,30 @@
 // Observe takes a load report.
 func (g *Gate[T]) Observe(now clock.Millis, report Report) {
 	g.stated = report.Limit
-	g.Alive(now)
+	g.MarkAlive(now)
 	said := ramp.Report{StartID: report.StartID, Cold: report.Cold, Warm: report.Warm, AsOf: report.AsOf}
 	if cause, dropped := g.ramp.Observe(now, said); dropped {
 		g.drops(cause)
 	}
 }
 
-// Doubt takes a sign that the endpoint may have restarted, such as a stream that
+// MarkSuspect takes a sign that the endpoint may have restarted, such as a stream that
 // was cut: until the next sign of life only the cold limit is trusted.
-func (g *Gate[T]) Doubt(now clock.Millis) { g.alive = now - DefaultTrust - 1 }
+func (g *Gate[T]) MarkSuspect(now clock.Millis) { g.alive = now - DefaultLivenessTTL - 1 }
 
-// Foreign sets how much work runs at the endpoint that this agent did not
+// SetForeign sets how much work runs at the endpoint that this agent did not
 // start: an agent that was replaced leaves work behind, and the new one must
 // not fill the endpoint up on top of it.
-func (g *Gate[T]) Foreign(count int) { g.foreign = max(count, 0) }
+func (g *Gate[T]) SetForeign(count int) { g.foreign = max(count, 0) }
 
-// ForeignCount is the work that other processes run at the endpoint.
-func (g *Gate[T]) ForeignCount() int { return g.foreign }
+// Foreign is the work that other processes run at the endpoint.
+func (g *Gate[T]) Foreign() int { return g.foreign }
 
-// Blind says that the endpoint gives no load reports.
-func (g *Gate[T]) Blind() { g.ramp.Blind() }
+// SetNoReports says that the endpoint gives no load reports.
+func (g *Gate[T]) SetNoReports() { g.ramp.SetNoReports() }
 
-// Reset drops to the cold limit: the endpoint refused a connection.
-func (g *Gate[T]) Reset(now clock.Millis) { g.drops(g.ramp.Reset(now)) }
+// ConnectionReset drops to the cold limit: the endpoint refused a connection.
+func (g *Gate[T]) ConnectionReset(now clock.Millis) { g.drops(g.ramp.ConnectionReset(now)) }
 
 // SetLimits changes what the endpoint bears when cold and when warm.
 func (g *Gate[T]) SetLimits(cold, warm int) {
--- a/internal/guard/admit/admit_test.go
+++ b/internal/guard/admit/admit_test.go
@@ -23,7 +23,7 @@
 	g.Observe(1, admit.Report{StartID: "a", AsOf: 1})
 	for range 50 {
 		d := g.Offer(10, work(0, 1<<40))
-		g.Done(110, d.Ticket, admit.OutcomeDone)
+		g.Done(110, d.Ticket, admit.OutcomeCompleted)
 	}
 	return g
 }
@@ -38,16 +38,16 @@
 	})
 	t.Run("a wait that is too long is refused early", func(t *testing.T) {
 		g := warmGate(64)
-		g.Alive(1000)
+		g.MarkAlive(1000)
 		for i := range 4 + 8 {
 			assert.Assert(t, g.Offer(1000, work(i, 1<<40)).Verdict != admit.Refused)
 		}
 		assert.Equal(t, g.Offer(1000, work(1, 1250)).Reason, fault.WontMakeIt)
-		assert.Equal(t, g.Offer(1000, work(1, 2000)).Verdict, admit.Waits)
+		assert.Equal(t, g.Offer(1000, work(1, 2000)).Verdict, admit.Queued)
 	})
 	t.Run("hopeless is dropped from the queue", func(t *testing.T) {
 		g := warmGate(64)
-		g.Alive(1000)
+		g.MarkAlive(1000)
 		for i := range 5 {
 			g.Offer(1000, work(i, 1200))
 		}
@@ -67,8 +67,8 @@
 
 func TestColdStartIsTheReason(t *testing.T) {
 	g := admit.New[int](0, admit.WithLimits(1, 8), admit.WithQueue(1))
-	assert.Equal(t, g.Offer(0, work(1, 1<<40)).Verdict, admit.Runs)
-	assert.Equal(t, g.Offer(0, work(2, 1<<40)).Verdict, admit.Waits)
+	assert.Equal(t, g.Offer(0, work(1, 1<<40)).Verdict, admit.Admitted)
+	assert.Equal(t, g.Offer(0, work(2, 1<<40)).Verdict, admit.Queued)
 	assert.Equal(t, g.Offer(0, work(3, 1<<40)).Reason, fault.ColdStart)
 }
 
@@ -76,9 +76,9 @@
 // the limit from before, the endpoint would fall over.
 func TestBurstAfterSilenceWaitsForASignOfLife(t *testing.T) {
 	g := warmGate(64)
-	assert.Equal(t, g.Offer(5000, work(1, 1<<40)).Verdict, admit.Runs)
+	assert.Equal(t, g.Offer(5000, work(1, 1<<40)).Verdict, admit.Admitted)
 	d := g.Offer(5000, work(2, 1<<40))
-	assert.Equal(t, d.Verdict, admit.Waits)
+	assert.Equal(t, d.Verdict, admit.Queued)
 	assert.Assert(t, d.Probe)
 	g.Observe(5001, admit.Report{StartID: "b", AsOf: 5001, Cold: true})
 	_, _, ok := g.Next(5001, func(int) {})
@@ -89,11 +89,11 @@
 // A stream is cut: the engine may have just restarted, or only the connection broke.
 func TestDoubtHoldsUntilTheNextSignOfLife(t *testing.T) {
 	g := warmGate(64)
-	g.Alive(5000)
-	g.Doubt(5000)
-	assert.Equal(t, g.Offer(5000, work(1, 1<<40)).Verdict, admit.Runs)
-	assert.Equal(t, g.Offer(5000, work(2, 1<<40)).Verdict, admit.Waits)
-	g.Alive(5001)
+	g.MarkAlive(5000)
+	g.MarkSuspect(5000)
+	assert.Equal(t, g.Offer(5000, work(1, 1<<40)).Verdict, admit.Admitted)
+	assert.Equal(t, g.Offer(5000, work(2, 1<<40)).Verdict, admit.Queued)
+	g.MarkAlive(5001)
 	_, _, ok := g.Next(5001, func(int) {})
 	assert.Assert(t, ok)
 }
@@ -101,9 +101,9 @@
 // A new agent finds work at the endpoint that the one before it started.
 func TestForeignWorkTakesRoom(t *testing.T) {
 	g := admit.New[int](0, admit.WithLimits(2, 8))
-	g.Foreign(2)
-	assert.Equal(t, g.Offer(0, work(1, 1<<40)).Verdict, admit.Waits)
-	g.Foreign(1)
+	g.SetForeign(2)
+	assert.Equal(t, g.Offer(0, work(1, 1<<40)).Verdict, admit.Queued)
+	g.SetForeign(1)
 	_, _, ok := g.Next(1, func(int) {})
 	assert.Assert(t, ok)
 }
@@ -114,7 +114,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := clock.Millis(0)
 		drops := 0
-		g := admit.New[int](0, admit.WithLimits(2, 6), admit.WithQueue(4), admit.WithDrops(func(ramp.Cause) { drops++ }))
+		g := admit.New[int](0, admit.WithLimits(2, 6), admit.WithQueue(4), admit.WithOnDrop(func(ramp.Cause) { drops++ }))
 		running := map[int]admit.Ticket{}
 		waiting := map[int]bool{}
 		leave := func(id int) {
@@ -136,10 +136,10 @@
 					leave(d.Evicted)
 				}
 				switch d.Verdict {
-				case admit.Runs:
+				case admit.Admitted:
 					assert.Assert(t, !closed)
 					started(id, d.Ticket)
-				case admit.Waits:
+				case admit.Queued:
 					waiting[id] = true
 				case admit.Refused:
 					assert.Assert(t, d.Reason != "")
@@ -186,7 +186,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		d := g.Offer(1000, work(1, 1<<40))
-		g.Done(1100, d.Ticket, admit.OutcomeDone)
+		g.Done(1100, d.Ticket, admit.OutcomeCompleted)
 	}
 }
 
@@ -199,7 +199,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		g.Offer(1000, work(1, 1<<40))
-		g.Done(1100, first, admit.OutcomeDone)
+		g.Done(1100, first, admit.OutcomeCompleted)
 		_, first, _ = g.Next(1000, func(int) {})
 	}
 }
--- a/internal/guard/drain/drain.go
+++ b/internal/guard/drain/drain.go
@@ -45,8 +45,8 @@
 	return changed
 }
 
-// Holds reports whether a cause holds.
-func (d *Drain) Holds(cause Cause) bool { return d.holds[cause] }
+// Has reports whether a cause holds.
+func (d *Drain) Has(cause Cause) bool { return d.holds[cause] }
 
 // Reason is why new work is refused; empty when it is taken.
 func (d *Drain) Reason() fault.Reason {
--- a/internal/guard/drain/drain_test.go
+++ b/internal/guard/drain/drain_test.go
@@ -34,7 +34,7 @@
 			left = left || (cause == drain.CauseLeaving && holds)
 			some := false
 			for one := drain.CauseLeaving; one <= drain.CauseFailing; one++ {
-				some = some || d.Holds(one)
+				some = some || d.Has(one)
 			}
 			assert.Equal(t, d.Reason() != "", some)
 			assert.Assert(t, !left || d.Reason() == fault.Leaving)
--- a/internal/guard/fair/fair.go
+++ b/internal/guard/fair/fair.go
@@ -92,8 +92,8 @@
 	return evicted, hasEvicted, true
 }
 
-// Ahead is the estimated cost of what would run before an item pushed now.
-func (q *Queue[T]) Ahead(item *Item[T]) int64 {
+// CostAhead is the estimated cost of what would run before an item pushed now.
+func (q *Queue[T]) CostAhead(item *Item[T]) int64 {
 	start := max(q.virtual, q.finish[item.Organisation])
 	var ahead int64
 	for i := range q.items {
--- a/internal/guard/fence/fence.go
+++ b/internal/guard/fence/fence.go
@@ -31,12 +31,12 @@
 )
 
 const (
-	// DefaultSpan is how long an attempt is remembered after its last change; open
+	// DefaultRetention is how long an attempt is remembered after its last change; open
 	// ones are never forgotten. It is far longer than the silence after which a
 	// session ends and its entry asks on another one.
-	DefaultSpan = 2 * clock.Minute
-	// DefaultKeySpan is how long an idempotency key is remembered.
-	DefaultKeySpan = 10 * clock.Minute
+	DefaultRetention = 2 * clock.Minute
+	// DefaultKeyRetention is how long an idempotency key is remembered.
+	DefaultKeyRetention = 10 * clock.Minute
 	// DefaultBound of remembered attempts, and of keys; about 40 bytes each.
 	DefaultBound = 1 << 16
 )
@@ -55,8 +55,8 @@
 // Option changes a Fence while it is built.
 type Option func(*options)
 
-// WithSpans sets how long attempts and keys are remembered.
-func WithSpans(attempts, keys clock.Millis) Option {
+// WithRetention sets how long attempts and keys are remembered.
+func WithRetention(attempts, keys clock.Millis) Option {
 	return func(o *options) { o.span, o.keySpan = attempts, keys }
 }
 
@@ -65,7 +65,7 @@
 
 // New returns an empty fence.
 func New(opts ...Option) *Fence {
-	o := options{span: DefaultSpan, keySpan: DefaultKeySpan, bound: DefaultBound}
+	o := options{span: DefaultRetention, keySpan: DefaultKeyRetention, bound: DefaultBound}
 	for _, opt := range opts {
 		opt(&o)
 	}
@@ -96,8 +96,8 @@
 	return f.keys.set(now, xxhash.Sum64String(key), state)
 }
 
-// Release forgets an idempotency key whose work provably did not run.
-func (f *Fence) Release(key string) { f.keys.drop(xxhash.Sum64String(key)) }
+// ReleaseKey forgets an idempotency key whose work provably did not run.
+func (f *Fence) ReleaseKey(key string) { f.keys.drop(xxhash.Sum64String(key)) }
 
 // Size is how many attempts and keys are remembered.
 func (f *Fence) Size() int { return len(f.attempts.records) + len(f.keys.records) }
--- a/internal/guard/fence/fence_test.go
+++ b/internal/guard/fence/fence_test.go
@@ -29,7 +29,7 @@
 // More attempts come than the memory holds. An unseen attempt can't be called
 // "not run" until all that may have been forgotten is too old to be asked for.
 func TestForgettingEarlyIsSaid(t *testing.T) {
-	f := fence.New(fence.WithBound(4), fence.WithSpans(100, 100))
+	f := fence.New(fence.WithBound(4), fence.WithRetention(100, 100))
 	for i := range 5 {
 		assert.Assert(t, f.Set(clock.Millis(i), attempt(i), fence.Ended))
 	}
@@ -39,7 +39,7 @@
 }
 
 func TestOpenAttemptsAreNeverForgotten(t *testing.T) {
-	f := fence.New(fence.WithBound(2), fence.WithSpans(10, 10))
+	f := fence.New(fence.WithBound(2), fence.WithRetention(10, 10))
 	assert.Assert(t, f.Set(0, attempt(0), fence.Open))
 	assert.Assert(t, f.Set(0, attempt(1), fence.Open))
 	assert.Assert(t, !f.Set(1000, attempt(2), fence.Open))
@@ -51,7 +51,7 @@
 func TestFenceProperties(t *testing.T) {
 	const span = 100
 	rapid.Check(t, func(t *rapid.T) {
-		f := fence.New(fence.WithBound(8), fence.WithSpans(span, span))
+		f := fence.New(fence.WithBound(8), fence.WithRetention(span, span))
 		truth := map[token.Attempt]fence.State{}
 		changed := map[token.Attempt]clock.Millis{}
 		now := clock.Millis(0)
--- a/internal/guard/keep/keep.go
+++ b/internal/guard/keep/keep.go
@@ -16,8 +16,8 @@
 const (
 	// DefaultBound is the memory for answers, in bytes.
 	DefaultBound = 16 << 20
-	// DefaultAfter is how long an answer stays after its deadline.
-	DefaultAfter = 5 * clock.Second
+	// DefaultRetention is how long an answer stays after its deadline.
+	DefaultRetention = 5 * clock.Second
 	// admitShare: new work is taken while this share of the bound is free, so
 	// that answers already running have room to end.
 	admitShare = 4
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("answers fill their memory of %d bytes", e.Bound)
 }
 
-// Keep is the store of answers. It is not safe for use by several goroutines at once.
-type Keep struct {
+// Store is the store of answers. It is not safe for use by several goroutines at once.
+type Store struct {
 	bound   int
 	after   clock.Millis
 	used    int
@@ -68,17 +68,17 @@
 }
 
 // Option changes a Keep while it is built.
-type Option func(*Keep)
+type Option func(*Store)
 
 // WithBound sets the memory for answers, in bytes.
-func WithBound(bytes int) Option { return func(k *Keep) { k.bound = bytes } }
+func WithBound(bytes int) Option { return func(k *Store) { k.bound = bytes } }
 
-// WithAfter sets how long an answer stays after its deadline.
-func WithAfter(span clock.Millis) Option { return func(k *Keep) { k.after = span } }
+// WithRetention sets how long an answer stays after its deadline.
+func WithRetention(span clock.Millis) Option { return func(k *Store) { k.after = span } }
 
 // New returns an empty store.
-func New(opts ...Option) *Keep {
-	k := &Keep{bound: DefaultBound, after: DefaultAfter, results: make(map[token.Attempt]*Result), held: make(map[string]int)}
+func New(opts ...Option) *Store {
+	k := &Store{bound: DefaultBound, after: DefaultRetention, results: make(map[token.Attempt]*Result), held: make(map[string]int)}
 	for _, opt := range opts {
 		opt(k)
 	}
@@ -88,7 +88,7 @@
 // HasRoom reports whether new work of an organisation may be taken. Refusing
 // work early, as not run, costs little; an answer that finds no room has been
 // worked for in vain.
-func (k *Keep) HasRoom(organisation string) bool {
+func (k *Store) HasRoom(organisation string) bool {
 	limit := k.bound - k.bound/admitShare
 	if k.held[organisation] < k.bound/smallShare {
 		limit = k.bound - k.bound/reserveShare
@@ -97,7 +97,7 @@
 }
 
 // Open begins an answer for an organisation that is of use until the deadline.
-func (k *Keep) Open(id token.Attempt, organisation string, deadline clock.Millis) {
+func (k *Store) Open(id token.Attempt, organisation string, deadline clock.Millis) {
 	result := &Result{deadline: deadline, organisation: organisation}
 	result.digest.Reset()
 	k.results[id] = result
@@ -105,7 +105,7 @@
 }
 
 // use counts bytes for an answer; a negative number gives them back.
-func (k *Keep) use(result *Result, bytes int) {
+func (k *Store) use(result *Result, bytes int) {
 	k.used += bytes
 	k.held[result.organisation] += bytes
 	if k.held[result.organisation] == 0 {
@@ -116,7 +116,7 @@
 // Append adds bytes and returns the offset at which they stand. It takes
 // ownership of nothing. The FullError comes after what is past its deadline
 // was dropped in vain.
-func (k *Keep) Append(now clock.Millis, id token.Attempt, bytes []byte) (int64, error) {
+func (k *Store) Append(now clock.Millis, id token.Attempt, bytes []byte) (int64, error) {
 	result := k.results[id]
 	if result == nil {
 		return 0, &FullError{Bound: k.bound}
@@ -135,7 +135,7 @@
 }
 
 // Finish seals an answer as whole and completes its end mark.
-func (k *Keep) Finish(id token.Attempt, end *wire.End) {
+func (k *Store) Finish(id token.Attempt, end *wire.End) {
 	result := k.results[id]
 	if result == nil || result.Sealed() {
 		return
@@ -147,7 +147,7 @@
 }
 
 // Refuse seals an answer as refused and frees its bytes.
-func (k *Keep) Refuse(id token.Attempt, refuse *wire.Refuse) {
+func (k *Store) Refuse(id token.Attempt, refuse *wire.Refuse) {
 	result := k.results[id]
 	if result == nil || result.Sealed() {
 		return
@@ -158,17 +158,17 @@
 }
 
 // Get returns an answer, or nil.
-func (k *Keep) Get(id token.Attempt) *Result { return k.results[id] }
+func (k *Store) Get(id token.Attempt) *Result { return k.results[id] }
 
 // Ack forgets an answer that its caller has whole.
-func (k *Keep) Ack(id token.Attempt) {
+func (k *Store) Ack(id token.Attempt) {
 	if result := k.results[id]; result != nil && result.Sealed() {
 		k.drop(id, result)
 	}
 }
 
 // Sweep drops the ended answers that nobody can want any more.
-func (k *Keep) Sweep(now clock.Millis) {
+func (k *Store) Sweep(now clock.Millis) {
 	for id, result := range k.results {
 		if result.Sealed() && now > result.deadline+k.after {
 			k.drop(id, result)
@@ -177,7 +177,7 @@
 	}
 }
 
-func (k *Keep) dropLate(now clock.Millis) {
+func (k *Store) dropLate(now clock.Millis) {
 	for id, result := range k.results {
 		if result.Sealed() && now > result.deadline {
 			k.drop(id, result)
@@ -186,16 +186,16 @@
 	}
 }
 
-func (k *Keep) drop(id token.Attempt, result *Result) {
+func (k *Store) drop(id token.Attempt, result *Result) {
 	k.use(result, -len(result.Bytes)-entryBytes)
 	delete(k.results, id)
 }
 
 // Len is the number of answers held.
-func (k *Keep) Len() int { return len(k.results) }
+func (k *Store) Len() int { return len(k.results) }
 
 // Used is the memory counted for answers, in bytes.
-func (k *Keep) Used() int { return k.used }
+func (k *Store) Used() int { return k.used }
 
 // Expired is how many answers were dropped without an acknowledgement.
-func (k *Keep) Expired() int { return k.expired }
+func (k *Store) Expired() int { return k.expired }
--- a/internal/guard/keep/keep_test.go
+++ b/internal/guard/keep/keep_test.go
@@ -18,7 +18,7 @@
 // Answers that nobody acknowledges pile up. The memory stays bounded, and an
 // answer that is still of use is not dropped for a newer one.
 func TestMemoryIsBounded(t *testing.T) {
-	k := keep.New(keep.WithBound(4096), keep.WithAfter(10))
+	k := keep.New(keep.WithBound(4096), keep.WithRetention(10))
 	old, late := token.Attempt{Request: "old"}, token.Attempt{Request: "late"}
 	k.Open(old, "one", 100)
 	_, err := k.Append(1, old, make([]byte, 2600))
@@ -39,7 +39,7 @@
 // with its digest; acknowledged and expired answers leave no memory behind.
 func TestKeepProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := keep.New(keep.WithBound(1<<16), keep.WithAfter(10))
+		k := keep.New(keep.WithBound(1<<16), keep.WithRetention(10))
 		now := clock.Millis(0)
 		truth := map[token.Attempt][]byte{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/guard/memory/memory.go
+++ b/internal/guard/memory/memory.go
@@ -36,10 +36,10 @@
 
 // Limits are what the configuration says of an engine's memory.
 type Limits struct {
-	// Room for results, in bytes.
-	Room int64
-	// Keep is how long a result outlives its call.
-	Keep clock.Millis
+	// Capacity for results, in bytes.
+	Capacity int64
+	// Retention is how long a result outlives its call.
+	Retention clock.Millis
 }
 
 // Result is a result that lies at the engine.
@@ -81,14 +81,14 @@
 // New returns the account of an engine that this process begins to use now.
 func New(now clock.Millis) *Account { return &Account{since: now, held: make(map[string]held)} }
 
-// Own returns the bytes of results that calls of this process have made or will
+// OwnBytes returns the bytes of results that calls of this process have made or will
 // make.
-func (a *Account) Own() int64 { return a.own }
+func (a *Account) OwnBytes() int64 { return a.own }
 
-// Foreign returns the bytes that results of others take, as far as is known.
+// ForeignBytes returns the bytes that results of others take, as far as is known.
 // What an engine that lacked memory holds besides is taken to expire bit by bit:
 // nothing else tells of results whose owner was killed.
-func (a *Account) Foreign(now clock.Millis) int64 {
+func (a *Account) ForeignBytes(now clock.Millis) int64 {
 	switch {
 	case a.foreignUntil <= now:
 		return 0
@@ -99,9 +99,9 @@
 	return int64(float64(a.foreign) * left)
 }
 
-// Room returns the bytes that a call may fill.
-func (a *Account) Room(limits Limits, now clock.Millis) int64 {
-	return max(int64(usableShare*float64(limits.Room))-a.own-a.Foreign(now), 0)
+// Available returns the bytes that a call may fill.
+func (a *Account) Available(limits Limits, now clock.Millis) int64 {
+	return max(int64(usableShare*float64(limits.Capacity))-a.own-a.ForeignBytes(now), 0)
 }
 
 // Reserve counts the result of a piece that a call will make.
@@ -110,8 +110,8 @@
 // Release takes a reservation back: the piece was not made.
 func (a *Account) Release(bytes int64) { a.own -= bytes }
 
-// Hold enters a result whose memory its call has reserved.
-func (a *Account) Hold(result Result, until clock.Millis) {
+// Add enters a result whose memory its call has reserved.
+func (a *Account) Add(result Result, until clock.Millis) {
 	a.held[result.Reference] = held{bytes: result.Bytes, until: until}
 }
 
@@ -124,34 +124,34 @@
 // MayHold reports whether a result that this account doesn't know may lie at
 // the engine, because an owner before this process made it.
 func (a *Account) MayHold(limits Limits, now clock.Millis) bool {
-	return a.asked > 0 && now-a.since <= leftFor*limits.Keep
+	return a.asked > 0 && now-a.since <= leftFor*limits.Retention
 }
 
-// Drop notes that nobody needs a result any more.
-func (a *Account) Drop(result Result) {
+// MarkUnused notes that nobody needs a result any more.
+func (a *Account) MarkUnused(result Result) {
 	if !contains(a.unused, result.Reference) && !contains(a.giving, result.Reference) {
 		a.unused = append(a.unused, result)
 	}
 }
 
-// Spare notes that from an instant on a result is needed again only if a stage
+// MarkReclaimable notes that from an instant on a result is needed again only if a stage
 // fails.
-func (a *Account) Spare(result Result, from clock.Millis) {
+func (a *Account) MarkReclaimable(result Result, from clock.Millis) {
 	a.spare = append(a.spare, spare{Result: result, from: from})
 }
 
-// Give returns the results to give back now, nil for none. Spare ones are among
+// BeginFree returns the results to give back now, nil for none. Spare ones are among
 // them if a call is to fill so many bytes and there is less room than that.
 // Given must follow.
-func (a *Account) Give(limits Limits, wanted int64, now clock.Millis) []string {
+func (a *Account) BeginFree(limits Limits, wanted int64, now clock.Millis) []string {
 	if len(a.giving) > 0 {
 		return nil
 	}
-	if short := wanted - a.Room(limits, now); short > 0 {
+	if short := wanted - a.Available(limits, now); short > 0 {
 		a.useSpare(limits, short, now)
 	}
-	taken := a.own + a.Foreign(now)
-	if len(a.unused) == 0 || float64(taken) < giveFrom*float64(limits.Room) {
+	taken := a.own + a.ForeignBytes(now)
+	if len(a.unused) == 0 || float64(taken) < giveFrom*float64(limits.Capacity) {
 		return nil
 	}
 	a.giving, a.unused = a.unused, nil
@@ -174,7 +174,7 @@
 		case s.from > now || short <= 0 || s.Bytes < short/spareLeast:
 			kept = append(kept, s)
 		default:
-			a.Drop(s.Result)
+			a.MarkUnused(s.Result)
 			short -= s.Bytes
 		}
 	}
@@ -185,9 +185,9 @@
 // being given back early.
 const spareLeast = 50
 
-// Given notes whether the engine took the results back that Give returned. If
+// EndFree notes whether the engine took the results back that Give returned. If
 // it did not they expire by themselves, and count as held until then.
-func (a *Account) Given(taken bool) {
+func (a *Account) EndFree(taken bool) {
 	if taken {
 		for _, result := range a.giving {
 			a.forget(result)
@@ -196,10 +196,10 @@
 	a.giving = nil
 }
 
-// Clearing reports whether a call should wait because memory is just being
+// Freeing reports whether a call should wait because memory is just being
 // given back.
-func (a *Account) Clearing(limits Limits, now clock.Millis) bool {
-	return len(a.giving) > 0 && float64(a.own+a.Foreign(now)) > clearFrom*float64(limits.Room)
+func (a *Account) Freeing(limits Limits, now clock.Millis) bool {
+	return len(a.giving) > 0 && float64(a.own+a.ForeignBytes(now)) > clearFrom*float64(limits.Capacity)
 }
 
 // forget counts a result's memory as free.
@@ -230,13 +230,13 @@
 	return slices.ContainsFunc(results, func(r Result) bool { return r.Reference == reference })
 }
 
-// Ask reports whether the engine is to be asked for its memory now, and notes
+// BeginQuery reports whether the engine is to be asked for its memory now, and notes
 // that it is. Learned or NotLearned must follow.
-func (a *Account) Ask(now clock.Millis) bool {
+func (a *Account) BeginQuery(now clock.Millis) bool {
 	if a.asking {
 		return false
 	}
-	again := a.Foreign(now) > 0 && now-a.asked >= askAgain
+	again := a.ForeignBytes(now) > 0 && now-a.asked >= askAgain
 	if a.asked > 0 && !again {
 		return false
 	}
@@ -244,57 +244,57 @@
 	return true
 }
 
-// Unknown reports whether a call has to wait for the first answer. A new owner
+// NeedsReport reports whether a call has to wait for the first answer. A new owner
 // knows nothing of the results that the one before had made, which lie there
 // until they are given back or expire.
-func (a *Account) Unknown() bool { return a.asked == 0 || (a.asking && a.foreignUntil == 0) }
+func (a *Account) NeedsReport() bool { return a.asked == 0 || (a.asking && a.foreignUntil == 0) }
 
 // Report is what an engine says of its memory.
 type Report struct {
-	// Least and Most are the bounds of what is free, in bytes.
-	Least int64
-	Most  int64
+	// MinFree and Most are the bounds of what is free, in bytes.
+	MinFree int64
+	MaxFree int64
 	// Pending is what a call that it works on for another owner may still take.
 	Pending int64
 }
 
-// Learned takes what the engine says. The most that may be free counts, so that
+// RecordReport takes what the engine says. The most that may be free counts, so that
 // no engine stands idle for a rounded figure. Once it has lacked memory, what
 // followed from that counts as far as the report allows it: a small engine's
 // reports are the same whether a call fits or not, and by the most that they
 // allow its calls fail again and again.
-func (a *Account) Learned(limits Limits, report Report, now clock.Millis) {
+func (a *Account) RecordReport(limits Limits, report Report, now clock.Millis) {
 	a.asking = false
-	least := max(limits.Room-report.Most-a.own, 0)
+	least := max(limits.Capacity-report.MaxFree-a.own, 0)
 	taken := least
-	if a.lacked > 0 && now-a.lacked < limits.Keep {
-		most := max(limits.Room-report.Least-a.own, 0)
-		taken = min(max(a.Foreign(now), least), most)
+	if a.lacked > 0 && now-a.lacked < limits.Retention {
+		most := max(limits.Capacity-report.MinFree-a.own, 0)
+		taken = min(max(a.ForeignBytes(now), least), most)
 	}
-	a.foreign = min(taken+report.Pending, limits.Room)
+	a.foreign = min(taken+report.Pending, limits.Capacity)
 	a.foreignFrom = now
 	if a.foreignUntil == 0 {
-		a.foreignUntil = now + limits.Keep
+		a.foreignUntil = now + limits.Retention
 	}
 }
 
-// NotLearned notes that the engine did not answer. Calls go there all the same.
-func (a *Account) NotLearned(now clock.Millis) {
+// RecordNoReport notes that the engine did not answer. Calls go there all the same.
+func (a *Account) RecordNoReport(now clock.Millis) {
 	a.asking = false
 	if a.foreignUntil == 0 {
 		a.foreignUntil = now
 	}
 }
 
-// Doubt has the engine asked once more before its first call.
-func (a *Account) Doubt() { a.asked, a.foreignUntil = 0, 0 }
+// RequireReport has the engine asked once more before its first call.
+func (a *Account) RequireReport() { a.asked, a.foreignUntil = 0, 0 }
 
-// Lacked notes that an engine had no memory for a piece of so many bytes. What
+// RecordShortage notes that an engine had no memory for a piece of so many bytes. What
 // it has is taken by results that this account doesn't know of; it counts with
 // them until the engine says better, which it is asked next.
-func (a *Account) Lacked(limits Limits, bytes int64, now clock.Millis) {
-	a.foreign = max(a.Foreign(now), limits.Room-a.own-bytes, 0)
-	a.foreignFrom, a.foreignUntil = now, now+limits.Keep
+func (a *Account) RecordShortage(limits Limits, bytes int64, now clock.Millis) {
+	a.foreign = max(a.ForeignBytes(now), limits.Capacity-a.own-bytes, 0)
+	a.foreignFrom, a.foreignUntil = now, now+limits.Retention
 	a.lacked = now
 	a.asked = min(a.asked, now-askAgain)
 }
--- a/internal/guard/pace/pace.go
+++ b/internal/guard/pace/pace.go
@@ -16,14 +16,14 @@
 // maxKept bounds the memory of one pace; no cold bound comes near it.
 const maxKept = 64
 
-// Pace counts the starts at one endpoint. It is not safe for use by several
+// Limiter counts the starts at one endpoint. It is not safe for use by several
 // goroutines at once.
-type Pace struct {
+type Limiter struct {
 	starts []clock.Millis
 }
 
 // Recent returns the number of starts in the window that ends now.
-func (p *Pace) Recent(now clock.Millis) int {
+func (p *Limiter) Recent(now clock.Millis) int {
 	first := 0
 	for first < len(p.starts) && p.starts[first] <= now-Window {
 		first++
@@ -34,17 +34,17 @@
 	return len(p.starts)
 }
 
-// Start counts a request that is sent now.
-func (p *Pace) Start(now clock.Millis) {
+// Record counts a request that is sent now.
+func (p *Limiter) Record(now clock.Millis) {
 	if p.Recent(now) == maxKept {
 		p.starts = append(p.starts[:0], p.starts[1:]...)
 	}
 	p.starts = append(p.starts, now)
 }
 
-// Next returns how long it takes until fewer than bound starts are in the
+// Delay returns how long it takes until fewer than bound starts are in the
 // window; 0 when that is so now.
-func (p *Pace) Next(bound int, now clock.Millis) clock.Millis {
+func (p *Limiter) Delay(bound int, now clock.Millis) clock.Millis {
 	recent := p.Recent(now)
 	if bound <= 0 {
 		return Window
--- a/internal/guard/pace/pace_test.go
+++ b/internal/guard/pace/pace_test.go
@@ -15,15 +15,15 @@
 func TestNoSecondGetsMoreThanTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(1, 20).Draw(t, "bound")
-		var p pace.Pace
+		var p pace.Limiter
 		var sent []clock.Millis
 		now := clock.Millis(1)
 		for range 200 {
 			now += clock.Millis(rapid.IntRange(0, 80).Draw(t, "step"))
-			if p.Next(bound, now) > 0 {
+			if p.Delay(bound, now) > 0 {
 				continue
 			}
-			p.Start(now)
+			p.Record(now)
 			sent = append(sent, now)
 		}
 		for i := bound; i < len(sent); i++ {
@@ -35,12 +35,12 @@
 }
 
 func TestNextSaysWhenOneMoreFits(t *testing.T) {
-	var p pace.Pace
-	p.Start(100)
-	p.Start(300)
-	assert.Equal(t, p.Next(3, 400), clock.Millis(0))
-	assert.Equal(t, p.Next(2, 400), 100+pace.Window-400)
-	assert.Equal(t, p.Next(1, 400), 300+pace.Window-400)
-	assert.Equal(t, p.Next(0, 400), pace.Window)
+	var p pace.Limiter
+	p.Record(100)
+	p.Record(300)
+	assert.Equal(t, p.Delay(3, 400), clock.Millis(0))
+	assert.Equal(t, p.Delay(2, 400), 100+pace.Window-400)
+	assert.Equal(t, p.Delay(1, 400), 300+pace.Window-400)
+	assert.Equal(t, p.Delay(0, 400), pace.Window)
 	assert.Equal(t, p.Recent(100+pace.Window), 1)
 }
--- a/internal/guard/ramp/ramp.go
+++ b/internal/guard/ramp/ramp.go
@@ -118,16 +118,16 @@
 	r.limit = max(r.limit, r.cold)
 }
 
-// Reset drops the limit because the endpoint cut or refused connections: it
+// ConnectionReset drops the limit because the endpoint cut or refused connections: it
 // has most likely fallen over, and its load report won't say so for a while.
-func (r *Ramp) Reset(now clock.Millis) Cause {
+func (r *Ramp) ConnectionReset(now clock.Millis) Cause {
 	r.drop(now)
 	return CauseReset
 }
 
-// Blind says that the endpoint gives no load reports: the ramp then grows on
+// SetNoReports says that the endpoint gives no load reports: the ramp then grows on
 // completed work alone, in more rounds.
-func (r *Ramp) Blind() { r.blind = true }
+func (r *Ramp) SetNoReports() { r.blind = true }
 
 // Observe takes a load report and returns the cause if the limit dropped.
 // Reports lag: one from before the last drop can't show that the endpoint is
--- a/internal/guard/ramp/ramp_test.go
+++ b/internal/guard/ramp/ramp_test.go
@@ -28,7 +28,7 @@
 		name string
 		turn func(r *ramp.Ramp)
 	}{
-		{"connection reset", func(r *ramp.Ramp) { r.Reset(100) }},
+		{"connection reset", func(r *ramp.Ramp) { r.ConnectionReset(100) }},
 		{"another start id", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "b", AsOf: 90, Cold: true}) }},
 		{"report says cold", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "a", AsOf: 90, Cold: true}) }},
 		{"much slower than usual", func(r *ramp.Ramp) {
@@ -74,7 +74,7 @@
 	}
 	t.Run("reset before it says warm", func(t *testing.T) {
 		r := ramp.New(100, ramp.WithCold(2), ramp.WithWarm(16))
-		r.Reset(105)
+		r.ConnectionReset(105)
 		r.Observe(110, ramp.Report{StartID: "a", AsOf: 107, Warm: true})
 		assert.Equal(t, r.Limit(), 2)
 	})
@@ -84,7 +84,7 @@
 // full load onto an endpoint that has just started.
 func TestStaleReportDoesNotWarm(t *testing.T) {
 	r := warmed(t)
-	r.Reset(100)
+	r.ConnectionReset(100)
 	r.Observe(110, ramp.Report{StartID: "a", AsOf: 99})
 	for range 100 {
 		r.Completed(110, r.Generation(), 10)
@@ -119,7 +119,7 @@
 			cold := false
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				r.Reset(now)
+				r.ConnectionReset(now)
 				assert.Equal(t, r.Limit(), 2)
 			case 1:
 				cold = rapid.Bool().Draw(t, "cold")
--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -84,7 +84,7 @@
 	mu       sync.Mutex
 	gate     *admit.Gate[*attempt]
 	fence    *fence.Fence
-	keep     *keep.Keep
+	keep     *keep.Store
 	drain    drain.Drain
 	open     map[token.Attempt]*attempt
 	sessions map[*sess.Session]bool
@@ -164,7 +164,7 @@
 	a.started = a.clock.Now()
 	a.epoch = uint64(a.incarnation)
 	a.meter = newMeter(a)
-	a.gateOptions = append(a.gateOptions, admit.WithQueue(a.queue), admit.WithDrops(a.coldDrop))
+	a.gateOptions = append(a.gateOptions, admit.WithQueue(a.queue), admit.WithOnDrop(a.coldDrop))
 	a.gate = admit.New[*attempt](a.started, a.gateOptions...)
 	a.base, a.stop = context.WithCancelCause(context.Background())
 	a.connect()
@@ -266,7 +266,7 @@
 	switch {
 	case len(a.sessions) >= a.maxSessions:
 		return "too many sessions"
-	case a.drain.Holds(drain.CauseLeaving) && len(a.open) == 0 && len(a.sessions) == 0:
+	case a.drain.Has(drain.CauseLeaving) && len(a.open) == 0 && len(a.sessions) == 0:
 		return "the process ends"
 	default:
 		return ""
@@ -289,7 +289,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sessions[s] = true
-	if a.drain.Holds(drain.CauseLeaving) {
+	if a.drain.Has(drain.CauseLeaving) {
 		a.send(s, a.leaveFrame())
 	}
 }
@@ -298,7 +298,7 @@
 func (a *Agent) leaveFrame() *wire.Frame {
 	reason := a.drain.Reason()
 	return &wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{
-		Reason: string(reason), Back: reason == "", Closing: a.drain.Holds(drain.CauseLeaving),
+		Reason: string(reason), Back: reason == "", Closing: a.drain.Has(drain.CauseLeaving),
 	}}
 }
 
@@ -308,7 +308,7 @@
 	delete(a.sessions, s)
 	now := a.clock.Now()
 	for incarnation, heard := range a.parted {
-		if now-heard > fence.DefaultSpan {
+		if now-heard > fence.DefaultRetention {
 			delete(a.parted, incarnation)
 		}
 	}
--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -96,5 +96,5 @@
 			heard, known = max(heard, s.LastHeard()), true
 		}
 	}
-	return known && now-heard <= fence.DefaultSpan/2
+	return known && now-heard <= fence.DefaultRetention/2
 }
--- a/internal/serve/agent/meter.go
+++ b/internal/serve/agent/meter.go
@@ -50,7 +50,7 @@
 	registerer.MustRegister(m.calls, m.answers, m.refusals, m.dropped, m.coldDrops, m.engineSeconds,
 		m.resumed, m.asks, m.readingsFailed, m.sessionsRefused, m.waited,
 		a.gauge("running", "Work that runs at the endpoint, with what others left there.", func() int { return a.gate.Running() }),
-		a.gauge("foreign", "Work at the endpoint that this agent did not start.", func() int { return a.gate.ForeignCount() }),
+		a.gauge("foreign", "Work at the endpoint that this agent did not start.", func() int { return a.gate.Foreign() }),
 		a.gauge("queued", "Work that waits.", func() int { return a.gate.Queued() }),
 		a.gauge("limit", "Most work that may run at once.", func() int { return a.gate.Limit() }),
 		a.gauge("sessions", "Open sessions.", func() int { return len(a.sessions) }),
--- a/internal/serve/agent/offer.go
+++ b/internal/serve/agent/offer.go
@@ -54,9 +54,9 @@
 		a.refuseWaiting(now, decision.Evicted, fault.QueueFull)
 	}
 	switch decision.Verdict {
-	case admit.Runs:
+	case admit.Admitted:
 		a.start(at, decision.Ticket)
-	case admit.Waits:
+	case admit.Queued:
 	case admit.Refused:
 		refuse := a.refusal(decision.Reason, fault.NotRun, "")
 		refuse.RetryAfter = decision.RetryAfter
@@ -181,7 +181,7 @@
 	if refuse.Ran == fault.NotRun {
 		a.fence.Set(now, at.call.ID, fence.Refused)
 		if at.key != "" {
-			a.fence.Release(at.key)
+			a.fence.ReleaseKey(at.key)
 		}
 	} else {
 		a.ended(now, at)
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -52,7 +52,7 @@
 func (a *Agent) doubt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Doubt(a.clock.Now())
+	a.gate.MarkSuspect(a.clock.Now())
 	a.poller.Poke()
 }
 
@@ -72,7 +72,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	a.gate.Alive(now)
+	a.gate.MarkAlive(now)
 	a.watch.heard = now
 	offset, err := a.keep.Append(now, at.call.ID, bytes)
 	if err != nil {
@@ -141,13 +141,13 @@
 	var status *call.StatusError
 	switch {
 	case err == nil:
-		return admit.OutcomeDone
+		return admit.OutcomeCompleted
 	case errors.As(err, &failed) && failed.Reset:
 		return admit.OutcomeReset
 	case errors.As(err, &status) && status.Busy():
 		return admit.OutcomeRejected
 	default:
-		return admit.OutcomeStopped
+		return admit.OutcomeCancelled
 	}
 }
 
--- a/internal/serve/agent/status.go
+++ b/internal/serve/agent/status.go
@@ -35,7 +35,7 @@
 func (a *Agent) leaving() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.drain.Holds(drain.CauseLeaving)
+	return a.drain.Has(drain.CauseLeaving)
 }
 
 func (a *Agent) openSessions() []*sess.Session {
--- a/internal/serve/agent/stop.go
+++ b/internal/serve/agent/stop.go
@@ -72,7 +72,7 @@
 
 // noteIdle tells a planned stop that nothing is open any more. The lock is held.
 func (a *Agent) noteIdle() {
-	if len(a.open) > 0 || !a.drain.Holds(drain.CauseLeaving) {
+	if len(a.open) > 0 || !a.drain.Has(drain.CauseLeaving) {
 		return
 	}
 	select {
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -142,7 +142,7 @@
 	case reading.Err != nil:
 		a.observeFailure(now, reading.Err)
 	case reading.Absent:
-		a.gate.Blind()
+		a.gate.SetNoReports()
 		a.observeGood(now)
 		a.hold(now, drain.CauseUnknownLoad, false)
 	default:
@@ -172,22 +172,22 @@
 	if report.AsOf >= a.started || now-a.started > unknownMost {
 		a.hold(now, drain.CauseUnknownLoad, false)
 	}
-	a.watch.remember(now, a.gate.Running()-a.gate.ForeignCount())
+	a.watch.remember(now, a.gate.Running()-a.gate.Foreign())
 }
 
 // countForeign finds out how much work runs that this agent did not start: the
 // agent before it may have left some. It only ever gets less.
 func (a *Agent) countForeign(report *load.Report, restarted bool) {
 	if restarted {
-		a.gate.Foreign(0)
+		a.gate.SetForeign(0)
 		return
 	}
-	if a.drain.Holds(drain.CauseUnknownLoad) {
-		a.gate.Foreign(report.Busy())
+	if a.drain.Has(drain.CauseUnknownLoad) {
+		a.gate.SetForeign(report.Busy())
 		return
 	}
-	if foreign := a.gate.ForeignCount(); foreign > 0 {
-		a.gate.Foreign(min(foreign, max(report.Busy()-a.watch.ownAt(report.AsOf), 0)))
+	if foreign := a.gate.Foreign(); foreign > 0 {
+		a.gate.SetForeign(min(foreign, max(report.Busy()-a.watch.ownAt(report.AsOf), 0)))
 	}
 }
 
@@ -222,7 +222,7 @@
 	a.meter.readingsFailed.Inc()
 	a.watch.failed++
 	if !isTimeout(err) && a.watch.failed == 1 {
-		a.gate.Reset(now)
+		a.gate.ConnectionReset(now)
 	}
 	if a.watch.failed < failingAfter || a.watch.heard > a.watch.good {
 		if a.watch.heard > a.watch.good {
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -230,7 +230,7 @@
 	expected := batch.BoundsOf(pool).Duration(len(items))
 	h.Log.Info("pieces made", "pool", q.name, "endpoint", e.ID, "pieces", len(items), "tookMs", int64(now-began),
 		"expectedMs", int64(expected), "waiting", q.waiting.Pieces(), "failed", failures(results),
-		"ownBytes", e.memory.Own(), "foreignBytes", e.memory.Foreign(now), "request", items[0].Group.Request, logs.KeyError, err)
+		"ownBytes", e.memory.OwnBytes(), "foreignBytes", e.memory.ForeignBytes(now), "request", items[0].Group.Request, logs.KeyError, err)
 	if err != nil {
 		h.callFailed(q, e, items, err, now)
 	} else {
@@ -268,7 +268,7 @@
 	var lost *LostAnswerError
 	if errors.As(err, &lost) {
 		// Its results lie in the engine's memory, though nobody knows their names.
-		e.memory.Doubt()
+		e.memory.RequireReport()
 	} else {
 		e.Bar(now + bar)
 	}
@@ -298,9 +298,9 @@
 		return
 	}
 	made := memory.Result{Reference: result.Reference, Bytes: item.Group.Bytes}
-	e.memory.Hold(made, now+pool.Keep)
+	e.memory.Add(made, now+pool.Keep)
 	if job.ended {
-		e.memory.Drop(made)
+		e.memory.MarkUnused(made)
 		return
 	}
 	job.result.References[item.Piece] = result.Reference
@@ -326,7 +326,7 @@
 		}
 	}
 	if least > 0 {
-		e.memory.Lacked(limits, least, now)
+		e.memory.RecordShortage(limits, least, now)
 	}
 	if failed == len(results) {
 		// It answered at once. Without a pause it would be asked hundreds of times
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -71,7 +71,7 @@
 			e, tried = tried[0], tried[1:]
 		}
 		slot := batch.Slot{
-			Zone: e.Zone, Room: e.memory.Room(limits, now), Free: len(free) - i,
+			Zone: e.Zone, Room: e.memory.Available(limits, now), Free: len(free) - i,
 			AgainFunc: func() bool { return h.Retry(h.poolOf(q.name)) },
 		}
 		items := q.waiting.Take(bounds, slot, now)
@@ -88,7 +88,7 @@
 // ready returns those of some engines whose memory is known and not being cleared.
 func (h *Host) ready(q *queue, free []*engine, limits memory.Limits, now clock.Millis) []*engine {
 	return slices.DeleteFunc(free, func(e *engine) bool {
-		return h.unknown(q, e, limits, now) || e.memory.Clearing(limits, now)
+		return h.unknown(q, e, limits, now) || e.memory.Freeing(limits, now)
 	})
 }
 
--- a/internal/serve/host/engines.go
+++ b/internal/serve/host/engines.go
@@ -34,7 +34,7 @@
 
 // limitsOf returns the bounds of an engine's memory for results.
 func limitsOf(pool *table.Batching) memory.Limits {
-	return memory.Limits{Room: pool.Room, Keep: pool.Keep}
+	return memory.Limits{Capacity: pool.Room, Retention: pool.Keep}
 }
 
 // engine returns what is kept for an endpoint, nil for none.
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -196,9 +196,9 @@
 		switch {
 		case e == nil: // its maker is gone, and the result with it
 		case unused.Spare:
-			e.memory.Spare(result, now+unused.Delay)
+			e.memory.MarkReclaimable(result, now+unused.Delay)
 		default:
-			e.memory.Drop(result)
+			e.memory.MarkUnused(result)
 		}
 	}
 	h.dispatch(q)
@@ -222,7 +222,7 @@
 // drop notes that nobody needs a result any more, if it lies at an engine.
 func (q *queue) drop(result memory.Result) {
 	if e := q.holder(result.Reference); e != nil {
-		e.memory.Drop(result)
+		e.memory.MarkUnused(result)
 	}
 }
 
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -18,14 +18,14 @@
 // unknown reports whether a call to an engine has to wait until its memory is
 // known, and asks for it if it is time to.
 func (h *Host) unknown(q *queue, e *engine, limits memory.Limits, now clock.Millis) bool {
-	if e.memory.Ask(now) {
+	if e.memory.BeginQuery(now) {
 		h.group.Add(1)
 		go func() {
 			defer h.group.Done()
 			h.learnRoom(q, e, limits)
 		}()
 	}
-	return e.memory.Unknown()
+	return e.memory.NeedsReport()
 }
 
 func (h *Host) learnRoom(q *queue, e *engine, limits memory.Limits) {
@@ -34,16 +34,16 @@
 	defer h.mu.Unlock()
 	now := h.Clock.Now()
 	if err != nil {
-		e.memory.NotLearned(now)
+		e.memory.RecordNoReport(now)
 		h.Log.Info("memory of engine not known", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
 	} else {
 		// What it works on while no call of this owner is there was sent by another.
 		others := report.Busy && e.calls == 0
-		e.memory.Learned(limits, memory.Report{
-			Least: report.FreeLeast, Most: report.FreeMost, Pending: h.pending(q, others),
+		e.memory.RecordReport(limits, memory.Report{
+			MinFree: report.FreeLeast, MaxFree: report.FreeMost, Pending: h.pending(q, others),
 		}, now)
 		h.Log.Info("memory of engine", "pool", q.name, "endpoint", e.ID, "freeBytes", report.FreeMost, "busy", report.Busy,
-			"ownBytes", e.memory.Own(), "foreignBytes", e.memory.Foreign(now))
+			"ownBytes", e.memory.OwnBytes(), "foreignBytes", e.memory.ForeignBytes(now))
 		h.holdBusy(q, e, others, now)
 	}
 	h.dispatch(q)
@@ -68,7 +68,7 @@
 		return
 	}
 	e.Bar(now + barFull)
-	e.memory.Doubt()
+	e.memory.RequireReport()
 }
 
 func (h *Host) askReport(endpoint *view.Endpoint) (spell.StageReport, error) {
@@ -89,7 +89,7 @@
 		if e.Gone() {
 			continue
 		}
-		references := e.memory.Give(limitsOf(pool), wanted, now)
+		references := e.memory.BeginFree(limitsOf(pool), wanted, now)
 		if len(references) == 0 {
 			continue
 		}
@@ -99,7 +99,7 @@
 			err := h.free(e.Endpoint, references)
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			e.memory.Given(err == nil)
+			e.memory.EndFree(err == nil)
 			if err != nil {
 				h.Log.Info("results not given back", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
 				return
--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -36,7 +36,7 @@
 	Conns *conn.Group
 
 	mu       sync.Mutex
-	pace     pace.Pace
+	pace     pace.Limiter
 	parts    map[Key]clock.Millis
 	failures int
 	// recent is the usual time to an answer in milliseconds, wrong the share of
@@ -139,10 +139,10 @@
 func (t *Target) Start(bound int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if wait := t.pace.Next(bound, now); wait > 0 {
+	if wait := t.pace.Delay(bound, now); wait > 0 {
 		return wait
 	}
-	t.pace.Start(now)
+	t.pace.Record(now)
 	return 0
 }
 
@@ -150,7 +150,7 @@
 func (t *Target) WaitFor(bound int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pace.Next(bound, now)
+	return t.pace.Delay(bound, now)
 }
 
 // Answered remembers a whole answer: how long it took and whether it was a
