--- a/internal/bench/orders/cases.go
+++ b/internal/bench/orders/cases.go
@@ -42,7 +42,7 @@
 		judge := &canary.Judge{}
 		return func(e *canary.Evidence, now clock.Millis, promoting bool) bool {
 			if promoting {
-				judge.Promote()
+				judge.JudgeFailuresOnly()
 			}
 			return judge.Observe(e, now).Bad
 		}
@@ -65,11 +65,11 @@
 func ratio() func(*canary.Evidence, clock.Millis, bool) bool {
 	return func(e *canary.Evidence, _ clock.Millis, _ bool) bool {
 		for route := range e.Candidate {
-			stable, candidate := e.Stable[route], e.Of(route)
+			stable, candidate := e.Stable[route], e.CandidateCounts(route)
 			if stable == nil || candidate.Answers < ratioAnswers || stable.Answers == 0 {
 				continue
 			}
-			for _, slow := range []int{canary.Classes, canary.Class(2.8)} {
+			for _, slow := range []int{canary.Buckets, canary.Bucket(2.8)} {
 				usual := float64(badOf(stable, slow)) / float64(stable.Answers)
 				if float64(badOf(candidate, slow))/float64(candidate.Answers) > ratioTimes*usual+ratioMore {
 					return true
@@ -82,8 +82,8 @@
 
 func badOf(counts *canary.Counts, slowFrom int) int64 {
 	bad := counts.Failed
-	for class := slowFrom; class < canary.Classes; class++ {
-		bad += counts.Spread[class]
+	for class := slowFrom; class < canary.Buckets; class++ {
+		bad += counts.Histogram[class]
 	}
 	return bad
 }
@@ -103,5 +103,5 @@
 			share = at.share
 		}
 	}
-	return &canary.Plan{Other: share}
+	return &canary.Plan{DefaultShare: share}
 }
--- a/internal/bench/orders/orders.go
+++ b/internal/bench/orders/orders.go
@@ -114,7 +114,7 @@
 func Play(method Method, load Load, c Case, bounds canary.Bounds, duration clock.Millis, seed uint64) Outcome {
 	p := &play{
 		load: load, c: c, random: rand.New(rand.NewPCG(seed, 11)), trials: make(map[wire.TrialKey]wire.Trial),
-		order: canary.Order{Pool: "p", Version: "next", Duration: duration}, plan: &canary.Plan{Other: bounds.Share / 2},
+		order: canary.Order{Pool: "p", Version: "next", Duration: duration}, plan: &canary.Plan{DefaultShare: bounds.Share / 2},
 	}
 	judge := method.Judge()
 	outcome := Outcome{Took: duration}
@@ -129,11 +129,11 @@
 		p.rollback = judge(evidence, now, p.plan.Promoting)
 		p.plan = method.Plan(p.order, bounds, evidence, now, func(route string) bool { return !slices.Contains(load.Once, route) })
 		if p.rollback || p.plan.Due {
-			p.rollback = p.rollback || p.plan.Unpaid
+			p.rollback = p.rollback || p.plan.OverBudget
 			decided, outcome.Took, outcome.BadAnswers, outcome.RolledBack = true, now, p.bad, p.rollback
 		}
 	}
-	outcome.Got, outcome.Allowed = float64(p.got), bounds.Share*float64(p.all)+bounds.Spare
+	outcome.Got, outcome.Allowed = float64(p.got), bounds.Share*float64(p.all)+bounds.Base
 	return outcome
 }
 
@@ -169,8 +169,8 @@
 	p.recent[side]++
 	endpoint, each := p.random.IntN(p.load.Endpoints), p.recent[side]/(p.recent[0]+p.recent[1])
 	if candidate && !p.plan.Promoting {
-		tried := canary.Endpoints(p.plan.Other, p.load.Endpoints)
-		endpoint = (canary.First(now, tried, p.load.Endpoints) + p.random.IntN(tried)) % p.load.Endpoints
+		tried := canary.ActiveEndpoints(p.plan.DefaultShare, p.load.Endpoints)
+		endpoint = (canary.FirstActive(now, tried, p.load.Endpoints) + p.random.IntN(tried)) % p.load.Endpoints
 		each *= float64(p.load.Endpoints) / float64(tried)
 	}
 	failed, times := p.strike(fault, each, route, endpoint, now)
@@ -178,14 +178,14 @@
 	if candidate {
 		key.Endpoint = string(rune('A' + endpoint))
 	}
-	spread := make([]int64, canary.Classes)
+	spread := make([]int64, canary.Buckets)
 	took := clock.Millis(float64(p.load.Run) * times)
 	answered := wire.Trial{TrialKey: key, Answers: 1, Took: int64(took)}
 	if failed {
 		answered.Failed = 1
 	} else {
 		if !candidate || now > warmUp {
-			spread[canary.Class(times)] = 1
+			spread[canary.Bucket(times)] = 1
 		}
 		answered.Spread = spread
 	}
--- a/internal/bench/orders/orders_test.go
+++ b/internal/bench/orders/orders_test.go
@@ -12,7 +12,7 @@
 
 const duration = 30 * clock.Second
 
-func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Spare: 50} }
+func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Base: 50} }
 
 // Guards against a candidate that got more requests than it may by the deadline,
 // whenever it turns bad and however late that is noticed.
--- a/internal/cli/daemon/gateway.go
+++ b/internal/cli/daemon/gateway.go
@@ -158,7 +158,7 @@
 		Clock: r.Clock, Log: r.Log, Registry: r.Registry,
 		Store:   platform.NewStore(r.settings.PlatformURL, &http.Client{Transport: transport}, storeTimeout, watchMargin),
 		Dialect: platform.Dialect(), Bounds: bounds(r.settings),
-		Rollouts: r.settings.Rollouts, RolloutBounds: canary.Bounds{Share: r.settings.RolloutShare, Spare: r.settings.RolloutSpare},
+		Rollouts: r.settings.Rollouts, RolloutBounds: canary.Bounds{Share: r.settings.RolloutShare, Base: r.settings.RolloutSpare},
 	})
 	r.gateway.Start(ctx)
 	return nil
--- a/internal/cli/devel/rollouts.go
+++ b/internal/cli/devel/rollouts.go
@@ -92,7 +92,7 @@
 
 // playOrders plays all cases, several at a time.
 func playOrders(options rolloutsOptions) []orders.Summary {
-	bounds := canary.Bounds{Share: options.share, Spare: options.spare}
+	bounds := canary.Bounds{Share: options.share, Base: options.spare}
 	duration := clock.Millis(options.duration.Milliseconds())
 	var tasks []func() orders.Summary
 	for _, load := range orders.Loads() {
--- a/internal/cli/rolls/history.go
+++ b/internal/cli/rolls/history.go
@@ -28,7 +28,7 @@
 func entries(decisions []canary.Decision) []Entry {
 	var all []Entry
 	for _, d := range decisions {
-		e := Entry{Version: d.Version, State: string(d.State), Previous: d.Previous, BeganMs: d.Began, Reason: d.Reason}
+		e := Entry{Version: d.Version, State: string(d.State), Previous: d.Previous, BeganMs: d.StartedAt, Reason: d.Reason}
 		if d.State == canary.Running {
 			e.State = stateReplaced
 		}
--- a/internal/cli/rolls/rolls.go
+++ b/internal/cli/rolls/rolls.go
@@ -70,8 +70,8 @@
 	}
 	r := Rollout{Pool: order.Pool, Version: order.Version, DurationS: float64(order.Duration) / float64(clock.Second), State: stateOrdered}
 	if status.Order == order {
-		r.State, r.Previous, r.BeganMs, r.Reason = string(status.State), status.Previous, status.Began, status.Reason
-		r.Requests, r.Candidate, r.Answers = status.Sent, status.Candidate, status.Answers
+		r.State, r.Previous, r.BeganMs, r.Reason = string(status.State), status.Previous, status.StartedAt, status.Reason
+		r.Requests, r.Candidate, r.Answers = status.Sent, status.CandidateSent, status.CandidateAnswers
 		for _, route := range status.Routes {
 			r.Routes = append(r.Routes, Route{
 				Route: route.Route, Requests: route.Sent, Answers: route.Answers, Failures: route.Failed,
@@ -80,7 +80,7 @@
 		}
 		r.Earlier = entries(status.Earlier)
 	} else {
-		r.Earlier = entries(status.Followed())
+		r.Earlier = entries(status.History())
 	}
 	return r
 }
--- a/internal/flow/sums/sums_test.go
+++ b/internal/flow/sums/sums_test.go
@@ -234,8 +234,8 @@
 			engine := fmt.Sprint("e", i%engines)
 			total[engine]++
 			put(t, nodes[p.Name].book, process(p.Name), whole(running(engine, 1)), 1)
-			if !plan.Aggregates(p.Name) {
-				nodes[p.Name].to = plan.For(p.Name, p.Zone, func(string) bool { return false })
+			if !plan.IsAggregator(p.Name) {
+				nodes[p.Name].to = plan.AggregatorFor(p.Name, p.Zone, func(string) bool { return false })
 			}
 		}
 		for _, p := range members { // first hop: processes to aggregators
--- a/internal/link/wire/relay.go
+++ b/internal/link/wire/relay.go
@@ -66,7 +66,7 @@
 	Answers int64 `cbor:"answers,omitempty"`
 	Failed  int64 `cbor:"failed,omitempty"`
 	// Took is the sum of the answers' durations, in milliseconds, and Spread counts
-	// answers by how long they took against what was expected; see canary.Class.
+	// answers by how long they took against what was expected; see canary.Bucket.
 	Took   int64   `cbor:"took,omitempty"`
 	Spread []int64 `cbor:"spread,omitempty"`
 	// Suspended says that some process has found the candidate bad.
--- a/internal/route/affin/affin.go
+++ b/internal/route/affin/affin.go
@@ -74,8 +74,8 @@
 // New returns an empty table.
 func New() *Table { return &Table{} }
 
-// Ran notes that an endpoint answered an input and so holds its prefixes for now.
-func (t *Table) Ran(keys Keys, endpoint *pool.Endpoint) {
+// Record notes that an endpoint answered an input and so holds its prefixes for now.
+func (t *Table) Record(keys Keys, endpoint *pool.Endpoint) {
 	epoch := endpoint.Report().PrefixEpoch
 	for _, key := range keys.hashes[:keys.count] {
 		slot := &t.seen[key%slots]
@@ -157,7 +157,7 @@
 	var top [candidates]*pool.Endpoint
 	var weights [candidates]uint64
 	consider := func(endpoint *pool.Endpoint) {
-		weight := pool.Mix(key, endpoint.Hash)
+		weight := pool.Weight(key, endpoint.Hash)
 		for i := range top {
 			if top[i] == nil || weight > weights[i] {
 				copy(top[i+1:], top[i:candidates-1])
--- a/internal/route/affin/affin_test.go
+++ b/internal/route/affin/affin_test.go
@@ -15,7 +15,7 @@
 	p := pool.New("a")
 	for i := range n {
 		p.Add(pool.Identity{Pool: "p", Name: fmt.Sprintf("e%d", i), AvailabilityZone: "a"}, 0).
-			Reported(1, pool.Report{Limit: 8})
+			SetReport(1, pool.Report{Limit: 8})
 	}
 	return p
 }
@@ -44,8 +44,8 @@
 			}
 			mean := sum / int64(p.View().Len())
 			assert.Assert(t, chosen.Load(1) == 0 || chosen.Utilisation(1) <= mean*5/4+1)
-			chosen.Sent()
-			table.Ran(key, chosen)
+			chosen.RecordSend()
+			table.Record(key, chosen)
 		}
 	})
 }
@@ -64,11 +64,11 @@
 			other = endpoint
 		}
 	}
-	table.Ran(key, other)
+	table.Record(key, other)
 	assert.Equal(t, table.Prefer(1, p.View(), key), other)
-	other.Reported(1, pool.Report{Limit: 8, PrefixEpoch: 1})
+	other.SetReport(1, pool.Report{Limit: 8, PrefixEpoch: 1})
 	assert.Equal(t, table.Prefer(1, p.View(), key), plain)
-	table.Ran(key, other)
+	table.Record(key, other)
 	p.Remove(other.Name)
 	assert.Equal(t, table.Prefer(1, p.View(), key), plain)
 }
@@ -80,7 +80,7 @@
 	table := affin.New()
 	begin := "instructions that are shared by all, "
 	other := p.View().Near[3]
-	table.Ran(affin.NewKeys("m", []byte(begin+"first")), other)
+	table.Record(affin.NewKeys("m", []byte(begin+"first")), other)
 	assert.Equal(t, table.Prefer(1, p.View(), affin.NewKeys("m", []byte(begin+"second"))), other)
 	assert.Assert(t, table.Prefer(1, p.View(), affin.NewKeys("m", nil)) != nil, "an empty input has a key too")
 }
--- a/internal/route/canary/canary.go
+++ b/internal/route/canary/canary.go
@@ -43,13 +43,13 @@
 	State State
 	// Previous is the version in force when the order was begun.
 	Previous string
-	// Began is when, in milliseconds of the wall clock.
-	Began int64
+	// StartedAt is when, in milliseconds of the wall clock.
+	StartedAt int64
 	// Reason for rolling the version back.
 	Reason string
 	// Sent counts the requests to both versions until the order was decided,
-	// Candidate those to the new one, and Answers its answers.
-	Sent, Candidate, Answers int64
+	// CandidateSent those to the new one, and CandidateAnswers its answers.
+	Sent, CandidateSent, CandidateAnswers int64
 	// Routes holds the counts by route, those with most requests first.
 	Routes []RouteCounts
 	// Earlier holds the orders of the pool before this one, the newest first.
@@ -69,9 +69,9 @@
 type Decision struct {
 	Version, Previous string
 	State             State
-	// Began is when, in milliseconds of the wall clock.
-	Began  int64
-	Reason string
+	// StartedAt is when, in milliseconds of the wall clock.
+	StartedAt int64
+	Reason    string
 }
 
 // mostEarlier and mostRoutes bound what is recorded with an order.
@@ -80,12 +80,12 @@
 	mostRoutes  = 32
 )
 
-// Followed returns the earlier orders for the status of the order after this one.
-func (s *Status) Followed() []Decision {
+// History returns the earlier orders for the status of the order after this one.
+func (s *Status) History() []Decision {
 	if s.State == "" {
 		return s.Earlier
 	}
-	last := Decision{Version: s.Version, Previous: s.Previous, State: s.State, Began: s.Began, Reason: s.Reason}
+	last := Decision{Version: s.Version, Previous: s.Previous, State: s.State, StartedAt: s.StartedAt, Reason: s.Reason}
 	all := append([]Decision{last}, s.Earlier...)
 	return all[:min(len(all), mostEarlier)]
 }
@@ -95,40 +95,40 @@
 	// Share is the part of a pool's requests that a candidate may get between the
 	// order and its deadline, and Spare how many besides.
 	Share float64
-	Spare float64
+	Base  float64
 }
 
-// Classes is the number of classes of durations. Each spans half an octave.
-const Classes = 24
+// Buckets is the number of classes of durations. Each spans half an octave.
+const Buckets = 24
 
 // firstClass is the binary logarithm of the lower end of the first class.
 const firstClass = -4
 
-// Class returns the class of an answer that took so many times as long as
+// Bucket returns the class of an answer that took so many times as long as
 // expected.
-func Class(times float64) int {
+func Bucket(times float64) int {
 	if times <= 0 {
 		return 0
 	}
 	class := math.Floor(2 * (math.Log2(times) - firstClass))
-	return int(min(max(class, 0), Classes-1))
+	return int(min(max(class, 0), Buckets-1))
 }
 
 // Counts is what is known of the answers of one version.
 type Counts struct {
 	Sent, Answers, Failed int64
-	Took                  int64
-	Spread                [Classes]int64
+	TotalMs               int64
+	Histogram             [Buckets]int64
 }
 
 func (c *Counts) add(trial *wire.Trial) {
 	c.Sent += trial.Sent
 	c.Answers += trial.Answers
 	c.Failed += trial.Failed
-	c.Took += trial.Took
+	c.TotalMs += trial.Took
 	for class, count := range trial.Spread {
-		if class < Classes {
-			c.Spread[class] += count
+		if class < Buckets {
+			c.Histogram[class] += count
 		}
 	}
 }
@@ -137,9 +137,9 @@
 	c.Sent += more.Sent
 	c.Answers += more.Answers
 	c.Failed += more.Failed
-	c.Took += more.Took
-	for class, count := range more.Spread {
-		c.Spread[class] += count
+	c.TotalMs += more.TotalMs
+	for class, count := range more.Histogram {
+		c.Histogram[class] += count
 	}
 }
 
@@ -148,10 +148,10 @@
 func (c *Counts) minus(less *Counts) *Counts {
 	left := &Counts{
 		Sent: max(c.Sent-less.Sent, 0), Answers: max(c.Answers-less.Answers, 0), Failed: max(c.Failed-less.Failed, 0),
-		Took: max(c.Took-less.Took, 0),
+		TotalMs: max(c.TotalMs-less.TotalMs, 0),
 	}
-	for class := range left.Spread {
-		left.Spread[class] = max(c.Spread[class]-less.Spread[class], 0)
+	for class := range left.Histogram {
+		left.Histogram[class] = max(c.Histogram[class]-less.Histogram[class], 0)
 	}
 	return left
 }
@@ -159,8 +159,8 @@
 // bad counts the answers that failed or took so long as a class and those above.
 func (c *Counts) bad(slowFrom int) int64 {
 	bad := c.Failed
-	for class := slowFrom; class < Classes; class++ {
-		bad += c.Spread[class]
+	for class := slowFrom; class < Buckets; class++ {
+		bad += c.Histogram[class]
 	}
 	return min(bad, c.Answers)
 }
@@ -168,20 +168,20 @@
 // median returns the class of the median duration, -1 without any.
 func (c *Counts) median() int {
 	all := int64(0)
-	for _, count := range c.Spread {
+	for _, count := range c.Histogram {
 		all += count
 	}
 	if all == 0 {
 		return -1
 	}
 	below := int64(0)
-	for class, count := range c.Spread {
+	for class, count := range c.Histogram {
 		below += count
 		if 2*below >= all {
 			return class
 		}
 	}
-	return Classes - 1
+	return Buckets - 1
 }
 
 // Evidence is all counts of one rollout.
@@ -249,13 +249,13 @@
 	return routes
 }
 
-// Times returns the median durations of both versions over all routes, as multiples of
+// MedianRatios returns the median durations of both versions over all routes, as multiples of
 // the expected ones, rounded down to half octaves; 0 for none.
-func (e *Evidence) Times() (stable, candidate float64) {
+func (e *Evidence) MedianRatios() (stable, candidate float64) {
 	var both [2]Counts
 	for _, route := range e.Routes() {
 		both[0].plus(orNone(e.Stable[route]))
-		both[1].plus(e.Of(route))
+		both[1].plus(e.CandidateCounts(route))
 	}
 	return times(both[0].median()), times(both[1].median())
 }
@@ -272,7 +272,7 @@
 func (e *Evidence) ByRoute() []RouteCounts {
 	var all []RouteCounts
 	for _, route := range e.Routes() {
-		stable, candidate := orNone(e.Stable[route]), e.Of(route)
+		stable, candidate := orNone(e.Stable[route]), e.CandidateCounts(route)
 		if stable.Sent+candidate.Sent == 0 {
 			continue // answers of another kind than requests
 		}
@@ -287,8 +287,8 @@
 	return all[:min(len(all), mostRoutes)]
 }
 
-// Of returns the counts of the candidate for one route, over all endpoints.
-func (e *Evidence) Of(route string) *Counts {
+// CandidateCounts returns the counts of the candidate for one route, over all endpoints.
+func (e *Evidence) CandidateCounts(route string) *Counts {
 	sum := &Counts{}
 	for _, counts := range e.Candidate[route] {
 		sum.plus(counts)
--- a/internal/route/canary/canary_test.go
+++ b/internal/route/canary/canary_test.go
@@ -14,23 +14,23 @@
 
 var order = canary.Order{Pool: "orders", Version: "v2", Duration: 12 * clock.Second}
 
-func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Spare: 50} }
+func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Base: 50} }
 
 func once(string) bool { return false }
 
 // trial counts answers of usual speed, and so many failures, at an endpoint of the
 // candidate or, with "", at the version in force.
 func trial(route, endpoint string, answers, failed int64) wire.Trial {
-	spread := make([]int64, canary.Classes)
-	spread[canary.Class(1)] = answers - failed
+	spread := make([]int64, canary.Buckets)
+	spread[canary.Bucket(1)] = answers - failed
 	return wire.Trial{
 		TrialKey: wire.TrialKey{Pool: order.Pool, Version: order.Version, Candidate: endpoint != "", Route: route, Endpoint: endpoint},
 		Sent:     answers, Answers: answers, Failed: failed, Took: 30 * answers, Spread: spread,
 	}
 }
 
-func ExampleClass() {
-	fmt.Println(canary.Class(1), canary.Class(2), canary.Class(4))
+func ExampleBucket() {
+	fmt.Println(canary.Bucket(1), canary.Bucket(2), canary.Bucket(4))
 	// Output: 8 10 12
 }
 
@@ -41,12 +41,12 @@
 	// Output: 13 of 40 answers on route "*" were failures or slow, 1 of 400 of the version in force
 }
 
-func ExampleEvidence_Times() {
+func ExampleEvidence_MedianRatios() {
 	slow := trial("book", "a", 20, 0)
-	slow.Spread = make([]int64, canary.Classes)
-	slow.Spread[canary.Class(8)] = 20
-	fmt.Println(canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 1), slow}).Times())
-	fmt.Println(canary.NewEvidence(order).Times())
+	slow.Spread = make([]int64, canary.Buckets)
+	slow.Spread[canary.Bucket(8)] = 20
+	fmt.Println(canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 1), slow}).MedianRatios())
+	fmt.Println(canary.NewEvidence(order).MedianRatios())
 	// Output:
 	// 1 8
 	// 0 0
@@ -65,21 +65,21 @@
 // Guards against a status that grows with each order.
 func TestEarlierOrdersAreBounded(t *testing.T) {
 	status := canary.Status{Order: order}
-	assert.Equal(t, len(status.Followed()), 0)
+	assert.Equal(t, len(status.History()), 0)
 	for i := range int64(100) {
-		status = canary.Status{Order: order, State: canary.RolledBack, Began: i, Earlier: status.Followed()}
+		status = canary.Status{Order: order, State: canary.RolledBack, StartedAt: i, Earlier: status.History()}
 	}
-	earlier := status.Followed()
+	earlier := status.History()
 	assert.Equal(t, len(earlier), 20)
-	assert.Equal(t, earlier[0].Began, int64(99))
-	assert.Equal(t, earlier[19].Began, int64(80))
+	assert.Equal(t, earlier[0].StartedAt, int64(99))
+	assert.Equal(t, earlier[19].StartedAt, int64(80))
 }
 
 func TestJudge(t *testing.T) {
 	slow := func(route, endpoint string, answers int64, times float64) wire.Trial {
 		tr := trial(route, endpoint, answers, 0)
-		tr.Spread = make([]int64, canary.Classes)
-		tr.Spread[canary.Class(times)] = answers
+		tr.Spread = make([]int64, canary.Buckets)
+		tr.Spread[canary.Bucket(times)] = answers
 		return tr
 	}
 	for _, tt := range []struct {
@@ -124,14 +124,14 @@
 // when nothing runs at the version before.
 func TestBurstDuringThePromotionIsNoFault(t *testing.T) {
 	slow := trial("book", "a", 60, 0)
-	slow.Spread = make([]int64, canary.Classes)
-	slow.Spread[canary.Class(4)] = 60
+	slow.Spread = make([]int64, canary.Buckets)
+	slow.Spread[canary.Bucket(4)] = 60
 	other := slow
 	other.Endpoint = "b"
 	e := canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 2), slow, other})
 	assert.Assert(t, (&canary.Judge{}).Observe(e, 5000).Bad)
 	promoted := &canary.Judge{}
-	promoted.Promote()
+	promoted.JudgeFailuresOnly()
 	assert.Assert(t, !promoted.Observe(e, 5000).Bad)
 	failing := canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 2), trial("book", "a", 60, 20), trial("book", "b", 60, 20)})
 	assert.Assert(t, promoted.Observe(failing, 5100).Bad)
@@ -189,7 +189,7 @@
 				got, all = got+count*share, all+count
 			}
 		}
-		most := bounds().Share*all + bounds().Spare
+		most := bounds().Share*all + bounds().Base
 		if got > most {
 			t.Fatalf("%.0f of %.0f requests, at most %.0f", got, all, most)
 		}
@@ -203,7 +203,7 @@
 		rate := float64(rapid.IntRange(20, 400).Draw(t, "requests a second")) / 1000
 		o := order
 		// The shortest order that pays for so many requests, and longer ones.
-		least := max((1.3*450*rate-0.7*bounds().Spare)/(bounds().Share*rate), 4000)
+		least := max((1.3*450*rate-0.7*bounds().Base)/(bounds().Share*rate), 4000)
 		o.Duration = clock.Millis(least) + clock.Millis(rapid.IntRange(0, 2000).Draw(t, "more"))
 		stable, candidate := make([]float64, o.Duration+1), make([]float64, o.Duration+1)
 		share, look, begun := 0.0, clock.Millis(100), false
@@ -215,9 +215,9 @@
 			seen := max(now-clock.Millis(rapid.IntRange(50, 300).Draw(t, "age")), 0)
 			trials := []wire.Trial{trial("calls", "", int64(stable[seen]), 0), trial("calls", "a", int64(candidate[seen]), 0)}
 			plan := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, once)
-			if plan.Due && !plan.Unpaid {
+			if plan.Due && !plan.OverBudget {
 				got := candidate[now] + rate*float64(o.Duration-now)
-				if most := bounds().Share*rate*float64(o.Duration) + bounds().Spare; got > most {
+				if most := bounds().Share*rate*float64(o.Duration) + bounds().Base; got > most {
 					t.Fatalf("%.0f requests until the deadline, at most %.0f", got, most)
 				}
 				return
@@ -230,15 +230,15 @@
 }
 
 func TestEndpointsTakeTurns(t *testing.T) {
-	assert.Equal(t, canary.Endpoints(0.05, 38), 2)
-	assert.Equal(t, canary.Endpoints(0.05, 300), 15)
-	assert.Equal(t, canary.Endpoints(0.05, 1), 1)
+	assert.Equal(t, canary.ActiveEndpoints(0.05, 38), 2)
+	assert.Equal(t, canary.ActiveEndpoints(0.05, 300), 15)
+	assert.Equal(t, canary.ActiveEndpoints(0.05, 1), 1)
 	seen := make(map[int]bool)
 	for at := clock.Millis(0); at < 60_000; at += 500 {
-		seen[canary.First(at, 2, 38)] = true
+		seen[canary.FirstActive(at, 2, 38)] = true
 	}
 	assert.Equal(t, len(seen), 19)
-	assert.Equal(t, canary.First(9000, 2, 0), 0)
+	assert.Equal(t, canary.FirstActive(9000, 2, 0), 0)
 }
 
 // Guards against a bad version that gets what it may once more after each restart of the
@@ -270,7 +270,7 @@
 			}
 			got, all = got+count*share, all+count
 		}
-		if most := bounds().Share*all + bounds().Spare; got > most {
+		if most := bounds().Share*all + bounds().Base; got > most {
 			t.Fatalf("%.0f of %.0f requests, at most %.0f", got, all, most)
 		}
 	})
--- a/internal/route/canary/judge.go
+++ b/internal/route/canary/judge.go
@@ -46,14 +46,14 @@
 type Verdict struct {
 	Bad bool
 	// Route on which the version is bad, with the counts that show it.
-	Route            string
-	Answers, Wrong   int64
-	Stable, StableBy int64
+	Route                          string
+	CandidateAnswers, CandidateBad int64
+	StableAnswers, StableBad       int64
 }
 
 // String returns why a version was found bad.
 func (v Verdict) String() string {
-	return fmt.Sprintf("%d of %d answers on route %q were failures or slow, %d of %d of the version in force", v.Wrong, v.Answers, v.Route, v.StableBy, v.Stable)
+	return fmt.Sprintf("%d of %d answers on route %q were failures or slow, %d of %d of the version in force", v.CandidateBad, v.CandidateAnswers, v.Route, v.StableBad, v.StableAnswers)
 }
 
 // Judge finds bad versions from counts that grow. It compares the candidate with
@@ -73,9 +73,9 @@
 	evidence *Evidence
 }
 
-// Promote has only failures judged from now on: all requests go to the candidate, and
+// JudgeFailuresOnly has only failures judged from now on: all requests go to the candidate, and
 // what slows them has no version beside it that it could be compared with.
-func (j *Judge) Promote() { j.failuresOnly = true }
+func (j *Judge) JudgeFailuresOnly() { j.failuresOnly = true }
 
 // Observe takes the newest counts and returns the verdict, which stays once a
 // version was found bad.
@@ -148,7 +148,7 @@
 // findBad looks at failures alone and at each bound of slowness, on all routes
 // together and on each by itself.
 func (j *Judge) findBad(e *Evidence, chance float64) Verdict {
-	steps := []int{Classes}
+	steps := []int{Buckets}
 	if !j.failuresOnly {
 		steps = append(steps, slowSteps[:]...)
 	}
@@ -157,9 +157,9 @@
 		byRoute := make(map[string]*comparison)
 		for _, route := range e.Routes() {
 			stable := orNone(e.Stable[route])
-			slowFrom := Classes
+			slowFrom := Buckets
 			if median := stable.median(); median >= 0 {
-				slowFrom = min(median+step, Classes)
+				slowFrom = min(median+step, Buckets)
 			}
 			all.add(stable, e.Candidate[route], slowFrom)
 			byRoute[route] = &comparison{candidate: make(map[string]answers)}
@@ -189,7 +189,7 @@
 			worst = own
 		}
 	}
-	v := Verdict{Route: route, Answers: candidate.all, Wrong: candidate.bad, Stable: c.stable.all, StableBy: c.stable.bad}
+	v := Verdict{Route: route, CandidateAnswers: candidate.all, CandidateBad: candidate.bad, StableAnswers: c.stable.all, StableBad: c.stable.bad}
 	others := candidate.minus(worst)
 	if candidate.bad < leastBad || others.bad < leastOthers {
 		return v
--- a/internal/route/canary/plan.go
+++ b/internal/route/canary/plan.go
@@ -38,23 +38,23 @@
 	// margin is how many requests are kept in hand for the promotion: counts are some
 	// hundred milliseconds old.
 	margin = 8
-	// LeastAnswers is how many answers of a candidate are needed to promote it.
-	LeastAnswers = 5
+	// MinAnswers is how many answers of a candidate are needed to promote it.
+	MinAnswers = 5
 )
 
 // Plan is what a pool's processes do now.
 type Plan struct {
 	// Shares is the part of each route's new requests that goes to the candidate,
 	// Other that of routes without counts.
-	Shares map[string]float64
-	Other  float64
+	Shares       map[string]float64
+	DefaultShare float64
 	// Promoting is set if all requests of some route go to the candidate, Due if the
 	// rollout is to be decided now.
 	Promoting bool
 	Due       bool
-	// Unpaid is set if the bounds don't allow the requests between the completion and
+	// OverBudget is set if the bounds don't allow the requests between the completion and
 	// the deadline: the order is too short for its traffic, and is not promoted.
-	Unpaid bool
+	OverBudget bool
 }
 
 // Share returns the part of a route's new requests that goes to the candidate.
@@ -62,7 +62,7 @@
 	if share, found := p.Shares[route]; found {
 		return share
 	}
-	return p.Other
+	return p.DefaultShare
 }
 
 // traffic is the requests of one route.
@@ -81,7 +81,7 @@
 // all requests until the deadline. Once counts are lost, Bounds.Spare counts as spent.
 func NewPlan(order Order, bounds Bounds, e *Evidence, elapsed clock.Millis, repeats func(route string) bool) *Plan {
 	if e.Restarted {
-		bounds.Spare = 0
+		bounds.Base = 0
 	}
 	sent, candidate, _ := e.Totals()
 	routes := trafficOf(e, elapsed, repeats)
@@ -90,7 +90,7 @@
 		all += r.rate
 	}
 	left := float64(max(order.Duration-elapsed, 0))
-	total := bounds.Share*(float64(sent)+all*left) + spareUse*bounds.Spare
+	total := bounds.Share*(float64(sent)+all*left) + spareUse*bounds.Base
 	before, needed, wanted := promotion(routes, total-float64(candidate))
 	use := firstUse * bounds.Share
 	if elapsed >= ratesKnown && all > 0 {
@@ -99,12 +99,12 @@
 		use = min(max((total-reserve)/requests, leastUse*bounds.Share), mostUse*total/requests, mostShare)
 	}
 	plan := canaryPlan(use, routes, all)
-	spent := float64(candidate) > bounds.Share*float64(sent)+spareUse*bounds.Spare
+	spent := float64(candidate) > bounds.Share*float64(sent)+spareUse*bounds.Base
 	if spent || (elapsed >= ratesKnown && total-float64(candidate) < all*float64(leastBefore)+margin) {
 		plan = &Plan{Shares: map[string]float64{}}
 	}
 	plan.Due = left <= before
-	if plan.Unpaid = total-float64(candidate) < all*before; plan.Unpaid {
+	if plan.OverBudget = total-float64(candidate) < all*before; plan.OverBudget {
 		return plan
 	}
 	for _, r := range routes {
@@ -113,7 +113,7 @@
 		}
 	}
 	if plan.Due {
-		plan.Other, plan.Promoting = 1, true
+		plan.DefaultShare, plan.Promoting = 1, true
 	}
 	return plan
 }
@@ -154,13 +154,13 @@
 func trafficOf(e *Evidence, elapsed clock.Millis, repeats func(string) bool) []traffic {
 	var routes []traffic
 	for _, route := range e.Routes() {
-		stable, candidate := orNone(e.Stable[route]), e.Of(route)
+		stable, candidate := orNone(e.Stable[route]), e.CandidateCounts(route)
 		if stable.Sent+candidate.Sent == 0 {
 			continue // answers of another kind than requests
 		}
 		r := traffic{route: route, needed: float64(leastRun), rate: float64(stable.Sent+candidate.Sent) / float64(max(elapsed, 1))}
 		if stable.Answers > 0 && !repeats(route) {
-			r.needed = min(max(runTimes*float64(stable.Took)/float64(stable.Answers), float64(leastRun)), float64(mostRun))
+			r.needed = min(max(runTimes*float64(stable.TotalMs)/float64(stable.Answers), float64(leastRun)), float64(mostRun))
 		}
 		r.wanted = max(r.needed, float64(wantedRun))
 		routes = append(routes, r)
@@ -172,7 +172,7 @@
 // the other half in equal numbers from each, so that one with few requests is
 // tried as well.
 func canaryPlan(use float64, routes []traffic, all float64) *Plan {
-	plan := &Plan{Shares: make(map[string]float64, len(routes)), Other: use}
+	plan := &Plan{Shares: make(map[string]float64, len(routes)), DefaultShare: use}
 	for _, r := range routes {
 		if r.rate > 0 {
 			plan.Shares[r.route] = min(use/2+use/2*all/(float64(len(routes))*r.rate), mostShare)
@@ -181,9 +181,9 @@
 	return plan
 }
 
-// Endpoints returns how many of a candidate's endpoints are tried at a time, so
+// ActiveEndpoints returns how many of a candidate's endpoints are tried at a time, so
 // that each bears about what one of the version in force does.
-func Endpoints(share float64, all int) int {
+func ActiveEndpoints(share float64, all int) int {
 	const least = 2
 	return min(max(int(share*float64(all)+0.5), least), all)
 }
@@ -191,9 +191,9 @@
 // turn is how long the same endpoints are tried.
 const turn = 1500 * clock.Millis(1)
 
-// First returns the position of the first of so many endpoints that are tried so
+// FirstActive returns the position of the first of so many endpoints that are tried so
 // long after an order; the others follow it. All have their turn.
-func First(elapsed clock.Millis, tried, all int) int {
+func FirstActive(elapsed clock.Millis, tried, all int) int {
 	if all == 0 {
 		return 0
 	}
--- a/internal/route/owner/owner.go
+++ b/internal/route/owner/owner.go
@@ -50,9 +50,9 @@
 	return processes[best].Name
 }
 
-// In returns the owner of a subject whose engines stand in an availability zone:
+// InZone returns the owner of a subject whose engines stand in an availability zone:
 // a process of that zone, or any if the zone has none.
-func In(subject, zone string, processes []Process) string {
+func InZone(subject, zone string, processes []Process) string {
 	var near []Process
 	for _, process := range processes {
 		if process.Zone == zone {
@@ -65,8 +65,8 @@
 	return Of(subject, near)
 }
 
-// Strong returns the processes on hosts large enough to work for others.
-func Strong(processes []Process) []Process {
+// Eligible returns the processes on hosts large enough to work for others.
+func Eligible(processes []Process) []Process {
 	least := strongShare * largest(processes)
 	var strong []Process
 	for _, process := range processes {
--- a/internal/route/pick/imbalance_test.go
+++ b/internal/route/pick/imbalance_test.go
@@ -46,10 +46,10 @@
 		p := pool.New("a")
 		for e := range a.endpoints {
 			p.Add(pool.Identity{Name: fmt.Sprintf("e%03d", e), AvailabilityZone: "a"}, 0).
-				Reported(0, pool.Report{Limit: a.limit})
+				SetReport(0, pool.Report{Limit: a.limit})
 		}
 		views[i] = p.View()
-		pickers[i] = pick.New(pick.WithPolicy(a.policy), pick.WithDraw(draw.IntN))
+		pickers[i] = pick.New(pick.WithPolicy(a.policy), pick.WithRandom(draw.IntN))
 	}
 	work := make([]int, a.endpoints)
 	history := make([][]int, 0, arenaSpan)
@@ -59,7 +59,7 @@
 	for now := range arenaSpan {
 		for _, f := range ends[now] {
 			work[f.endpoint]--
-			views[f.entry].Near[f.endpoint].Answered(clock.Millis(now), clock.Millis(now-f.sent))
+			views[f.entry].Near[f.endpoint].RecordAnswer(clock.Millis(now), clock.Millis(now-f.sent))
 		}
 		delete(ends, now)
 		history = append(history, append([]int{}, work...))
@@ -68,7 +68,7 @@
 			entry := draw.IntN(a.entries)
 			chosen := pickers[entry].Pick(clock.Millis(now), views[entry], &pick.Avoid{})
 			endpoint := index(views[entry], chosen)
-			chosen.Sent()
+			chosen.RecordSend()
 			work[endpoint]++
 			span := 1 + int(math.Min(draw.ExpFloat64(), 5)*arenaService)
 			ends[now+span] = append(ends[now+span], finish{entry: entry, endpoint: endpoint, sent: now})
@@ -91,7 +91,7 @@
 	for i, view := range views {
 		for e, endpoint := range view.Near {
 			if (now+i*37+e*13)%lag == 0 {
-				endpoint.Reported(clock.Millis(now), pool.Report{Load: history[now-lag][e], Limit: a.limit, Age: a.lag})
+				endpoint.SetReport(clock.Millis(now), pool.Report{Load: history[now-lag][e], Limit: a.limit, Age: a.lag})
 			}
 		}
 	}
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -89,8 +89,8 @@
 // WithPolicy replaces the policy.
 func WithPolicy(policy Policy) Option { return func(p *Picker) { p.policy = policy } }
 
-// WithDraw replaces the source of random numbers below n.
-func WithDraw(draw func(n int) int) Option { return func(p *Picker) { p.draw = draw } }
+// WithRandom replaces the source of random numbers below n.
+func WithRandom(draw func(n int) int) Option { return func(p *Picker) { p.draw = draw } }
 
 // New returns a picker that uses the power of two choices.
 func New(opts ...Option) *Picker {
--- a/internal/route/pick/pick_test.go
+++ b/internal/route/pick/pick_test.go
@@ -16,7 +16,7 @@
 	p := pool.New("a")
 	for i, zone := range zones {
 		endpoint := p.Add(pool.Identity{Pool: "p", Name: fmt.Sprintf("e%03d", i), AvailabilityZone: zone}, 0)
-		endpoint.Reported(1, pool.Report{Limit: 8})
+		endpoint.SetReport(1, pool.Report{Limit: 8})
 	}
 	return p
 }
@@ -41,7 +41,7 @@
 		tried := map[*pool.Endpoint]bool{}
 		for range zones {
 			for _, endpoint := range append(append([]*pool.Endpoint{}, view.Near...), view.Far...) {
-				endpoint.Reported(1, pool.Report{Load: rapid.IntRange(0, 20).Draw(t, "load"), Limit: 8})
+				endpoint.SetReport(1, pool.Report{Load: rapid.IntRange(0, 20).Draw(t, "load"), Limit: 8})
 			}
 			chosen := picker.Pick(1, view, avoid)
 			assert.Assert(t, chosen != nil)
@@ -73,7 +73,7 @@
 		assert.Equal(t, picker.Pick(1, view, &pick.Avoid{}).AvailabilityZone, "a")
 	}
 	for _, endpoint := range view.Near {
-		endpoint.Reported(1, pool.Report{Load: 8, Limit: 8})
+		endpoint.SetReport(1, pool.Report{Load: 8, Limit: 8})
 	}
 	for range 50 {
 		assert.Equal(t, picker.Pick(1, view, &pick.Avoid{}).AvailabilityZone, "b")
@@ -85,11 +85,11 @@
 func TestStragglerLosesToFasterEndpoint(t *testing.T) {
 	view := newPool("a", "a").View()
 	for i, span := range []int64{400, 20} {
-		view.Near[i].Sent()
-		view.Near[i].Answered(1, 20*1)
+		view.Near[i].RecordSend()
+		view.Near[i].RecordAnswer(1, 20*1)
 		for range 20 {
-			view.Near[i].Sent()
-			view.Near[i].Answered(1, millis(span))
+			view.Near[i].RecordSend()
+			view.Near[i].RecordAnswer(1, millis(span))
 		}
 	}
 	assert.Equal(t, pick.New().Pick(1, view, &pick.Avoid{}), view.Near[1])
@@ -101,10 +101,10 @@
 func TestNearStragglerLosesUntilItsTimesAreOld(t *testing.T) {
 	view := newPool("a", "b").View()
 	for now := range clock.Millis(20) {
-		view.Near[0].Sent()
-		view.Near[0].Answered(now, 400)
-		view.Far[0].Sent()
-		view.Far[0].Answered(now, 20)
+		view.Near[0].RecordSend()
+		view.Near[0].RecordAnswer(now, 400)
+		view.Far[0].RecordSend()
+		view.Far[0].RecordAnswer(now, 20)
 	}
 	assert.Equal(t, pick.New().Pick(30, view, &pick.Avoid{}), view.Far[0])
 	assert.Equal(t, pick.New().Pick(4000, view, &pick.Avoid{}), view.Near[0])
@@ -116,7 +116,7 @@
 			b.Run(fmt.Sprintf("%s/load=%d", policy, load), func(b *testing.B) {
 				view := newPool(append(many("a", 64), many("b", 64)...)...).View()
 				for _, endpoint := range append(append([]*pool.Endpoint{}, view.Near...), view.Far...) {
-					endpoint.Reported(1, pool.Report{Load: load, Limit: 8})
+					endpoint.SetReport(1, pool.Report{Load: load, Limit: 8})
 				}
 				picker := pick.New(pick.WithPolicy(policy))
 				avoid := &pick.Avoid{}
--- a/internal/route/place/place.go
+++ b/internal/route/place/place.go
@@ -58,10 +58,10 @@
 	Output int64
 	// Hot is the tokens of the parts that were read somewhere a moment ago.
 	Hot int64
-	// First and Group name the first and the last of the parts that other
+	// FirstPart and Group name the first and the last of the parts that other
 	// requests have too; empty without any.
-	First string
-	Group string
+	FirstPart string
+	LastPart  string
 	// TokensPerMs is how fast engines read prompts, 0 where it isn't known; see
 	// Rate.
 	TokensPerMs float64
@@ -101,19 +101,19 @@
 	// CachedHot how many of those are hot.
 	Cached    int64
 	CachedHot int64
-	// Shut engines get nothing: they were tried before, are cold or failed.
-	Shut bool
+	// Excluded engines get nothing: they were tried before, are cold or failed.
+	Excluded bool
 }
 
 // NoEngine is the choice when every engine is shut.
 const NoEngine = -1
 
-// Generation returns the index of the engine with the least cost, and the
+// ChooseEngine returns the index of the engine with the least cost, and the
 // expected delay to the first token there, in milliseconds.
-func Generation(prompt *Prompt, engines []Engine) (int, float64) {
+func ChooseEngine(prompt *Prompt, engines []Engine) (int, float64) {
 	best, least, chosen := NoEngine, 0.0, 0.0
 	for i := range engines {
-		if engines[i].Shut {
+		if engines[i].Excluded {
 			continue
 		}
 		delay := delayAt(prompt, &engines[i])
@@ -146,8 +146,8 @@
 	cost := delay + plannedShare*float64(engine.Planned)/prompt.rate() + hotMsPerToken*float64(max(prompt.Hot-engine.CachedHot, 0))
 	cost += crossMsPerMB * crossMB(prompt.InputBytes, engine.Zone)
 	cost += lateMs * lateness(delay, float64(prompt.Slack))
-	if prompt.Group != "" {
-		cost += hashMs * (unit(prompt.Group, engine.ID) + unit(prompt.First, engine.ID))
+	if prompt.LastPart != "" {
+		cost += hashMs * (unit(prompt.LastPart, engine.ID) + unit(prompt.FirstPart, engine.ID))
 	}
 	return cost
 }
@@ -183,35 +183,35 @@
 
 // Server is what is known of one endpoint of a plain service.
 type Server struct {
-	// Near tells whether it stands in this process's availability zone.
-	Near bool
+	// SameZone tells whether it stands in this process's availability zone.
+	SameZone bool
 	// Running requests and slots.
 	Running int64
 	Slots   int64
-	// Recent is the duration of its latest answers.
-	Recent clock.Millis
-	Shut   bool
+	// Latency is the duration of its latest answers.
+	Latency  clock.Millis
+	Excluded bool
 }
 
 // farShare is what another availability zone weighs against a place: requests
 // of 20 ms and more lose about a tenth of that on the way.
 const farShare = 0.1
 
-// Plain returns the index of the server that will probably answer first: the
+// ChooseServer returns the index of the server that will probably answer first: the
 // one with the fewest requests for its slots, weighed by how slow it was.
 // Start is where equal ones are looked at first; callers pass a random number,
 // so that many processes with the same view don't all choose the same.
-func Plain(servers []Server, start int) int {
+func ChooseServer(servers []Server, start int) int {
 	best, least := NoEngine, 0.0
 	for i := range servers {
 		at := (start + i) % len(servers)
 		server := &servers[at]
-		if server.Shut {
+		if server.Excluded {
 			continue
 		}
 		load := float64(server.Running+1) / float64(max(server.Slots, 1))
-		cost := (1 + max(load-1, 0)*2 + load/2) * float64(max(server.Recent, 1))
-		if !server.Near {
+		cost := (1 + max(load-1, 0)*2 + load/2) * float64(max(server.Latency, 1))
+		if !server.SameZone {
 			cost *= 1 + farShare
 		}
 		if best == NoEngine || cost < least {
--- a/internal/route/place/place_test.go
+++ b/internal/route/place/place_test.go
@@ -22,7 +22,7 @@
 func TestLongPromptsAreAvoided(t *testing.T) {
 	all := engines(2)
 	all[0].Prefill = 40_000
-	chosen, delay := place.Generation(&place.Prompt{Tokens: 1000}, all)
+	chosen, delay := place.ChooseEngine(&place.Prompt{Tokens: 1000}, all)
 	assert.Equal(t, chosen, 1)
 	assert.Assert(t, delay < 50, delay)
 }
@@ -31,14 +31,14 @@
 // among them, and stay there while it is in memory, unless that engine is so
 // busy that reading again is better for the caller.
 func TestSharedBeginningsMeet(t *testing.T) {
-	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, First: "glue", Group: "sheet-4", Slack: 900}
+	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, FirstPart: "glue", LastPart: "sheet-4", Slack: 900}
 	all := engines(18)
-	home, _ := place.Generation(prompt, all)
+	home, _ := place.ChooseEngine(prompt, all)
 	all[home].Cached, all[home].CachedHot, all[home].Prefill = 6300, 6300, 8000
-	again, _ := place.Generation(prompt, all)
+	again, _ := place.ChooseEngine(prompt, all)
 	assert.Equal(t, again, home)
 	all[home].Prefill = 60_000
-	elsewhere, _ := place.Generation(prompt, all)
+	elsewhere, _ := place.ChooseEngine(prompt, all)
 	assert.Assert(t, elsewhere != home)
 }
 
@@ -48,7 +48,7 @@
 	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, Slack: 400}
 	all := engines(2)
 	all[0].Cached, all[0].CachedHot, all[0].Prefill = 6300, 6300, 20_000
-	chosen, _ := place.Generation(prompt, all)
+	chosen, _ := place.ChooseEngine(prompt, all)
 	assert.Equal(t, chosen, 1)
 }
 
@@ -57,7 +57,7 @@
 func TestPlannedPromptsCount(t *testing.T) {
 	all := engines(2)
 	all[0].Planned = 20_000
-	chosen, delay := place.Generation(&place.Prompt{Tokens: 1000, Slack: 900}, all)
+	chosen, delay := place.ChooseEngine(&place.Prompt{Tokens: 1000, Slack: 900}, all)
 	assert.Equal(t, chosen, 1)
 	assert.Assert(t, delay < 30, delay)
 }
@@ -66,7 +66,7 @@
 	prompt := &place.Prompt{Tokens: 3000, InputBytes: []place.ZoneBytes{{Zone: "b", Bytes: 4_500_000}}}
 	all := engines(4)
 	all[1].Prefill, all[3].Prefill = 4000, 5000
-	chosen, _ := place.Generation(prompt, all)
+	chosen, _ := place.ChooseEngine(prompt, all)
 	assert.Equal(t, chosen, 1)
 }
 
@@ -76,34 +76,34 @@
 	all := engines(2)
 	all[0].Memory = 290_000
 	all[1].Prefill = 10_000
-	chosen, _ := place.Generation(&place.Prompt{Tokens: 30_000, Output: 400}, all)
+	chosen, _ := place.ChooseEngine(&place.Prompt{Tokens: 30_000, Output: 400}, all)
 	assert.Equal(t, chosen, 1)
 }
 
 func TestShutEnginesGetNothing(t *testing.T) {
 	all := engines(2)
-	all[0].Shut, all[1].Shut = true, true
-	chosen, _ := place.Generation(&place.Prompt{Tokens: 1, Group: "g"}, all)
+	all[0].Excluded, all[1].Excluded = true, true
+	chosen, _ := place.ChooseEngine(&place.Prompt{Tokens: 1, LastPart: "g"}, all)
 	assert.Equal(t, chosen, place.NoEngine)
 }
 
 func TestPlainGoesWhereItIsAnsweredFirst(t *testing.T) {
 	servers := []place.Server{
-		{Near: true, Running: 5, Slots: 6, Recent: 30},
-		{Running: 0, Slots: 6, Recent: 30},
-		{Near: true, Running: 0, Slots: 6, Recent: 150},
+		{SameZone: true, Running: 5, Slots: 6, Latency: 30},
+		{Running: 0, Slots: 6, Latency: 30},
+		{SameZone: true, Running: 0, Slots: 6, Latency: 150},
 	}
-	assert.Equal(t, place.Plain(servers, 0), 1)
-	servers[1].Shut = true
-	assert.Equal(t, place.Plain(servers, 2), 0)
-	assert.Equal(t, place.Plain([]place.Server{{Shut: true}}, 0), place.NoEngine)
+	assert.Equal(t, place.ChooseServer(servers, 0), 1)
+	servers[1].Excluded = true
+	assert.Equal(t, place.ChooseServer(servers, 2), 0)
+	assert.Equal(t, place.ChooseServer([]place.Server{{Excluded: true}}, 0), place.NoEngine)
 }
 
 func BenchmarkGeneration(b *testing.B) {
 	all := engines(48)
-	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, First: "glue", Group: "sheet-4", InputBytes: []place.ZoneBytes{{Zone: "b", Bytes: 4_500_000}}}
+	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, FirstPart: "glue", LastPart: "sheet-4", InputBytes: []place.ZoneBytes{{Zone: "b", Bytes: 4_500_000}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		place.Generation(prompt, all)
+		place.ChooseEngine(prompt, all)
 	}
 }
--- a/internal/route/place/rate_test.go
+++ b/internal/route/place/rate_test.go
@@ -42,9 +42,9 @@
 	all := engines(2)
 	all[0].Cached, all[0].CachedHot, all[0].Prefill = 6300, 6300, 24_000
 	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, Slack: 700, TokensPerMs: 120}
-	chosen, _ := place.Generation(prompt, all)
+	chosen, _ := place.ChooseEngine(prompt, all)
 	assert.Equal(t, chosen, 0)
 	prompt.TokensPerMs = 30
-	chosen, _ = place.Generation(prompt, all)
+	chosen, _ = place.ChooseEngine(prompt, all)
 	assert.Equal(t, chosen, 1)
 }
--- a/internal/route/pool/endpoint.go
+++ b/internal/route/pool/endpoint.go
@@ -71,16 +71,16 @@
 	return e
 }
 
-// Sent counts one own call on its way.
-func (e *Endpoint) Sent() { e.own.Add(1) }
+// RecordSend counts one own call on its way.
+func (e *Endpoint) RecordSend() { e.own.Add(1) }
 
 // latencyShift is the weight of a new answer time in the smoothed one: 1/8.
 const latencyShift = 3
 
-// Answered counts the end of one own call. A positive span is the time of an
+// RecordAnswer counts the end of one own call. A positive span is the time of an
 // answer and moves the smoothed latency; calls that failed pass zero, since a
 // fast failure must not make an endpoint look fast.
-func (e *Endpoint) Answered(now, span clock.Millis) {
+func (e *Endpoint) RecordAnswer(now, span clock.Millis) {
 	e.own.Add(-1)
 	if span > 0 {
 		e.learn(now, int64(span)*1000, latencyShift)
@@ -90,11 +90,11 @@
 // givenUpShift is the weight of a call that was given up: 1/2.
 const givenUpShift = 1
 
-// GivenUp counts the end of one own call that was withdrawn after a span. It
+// RecordCancel counts the end of one own call that was withdrawn after a span. It
 // would have taken longer still, so a span above the smoothed latency counts:
 // without it a straggler whose calls are always given up would never show its
 // slowness.
-func (e *Endpoint) GivenUp(now, span clock.Millis) {
+func (e *Endpoint) RecordCancel(now, span clock.Millis) {
 	e.own.Add(-1)
 	if micros := int64(span) * 1000; micros > e.latency.Load() {
 		e.learn(now, micros, givenUpShift)
@@ -118,8 +118,8 @@
 // usualShift is the weight of one report in the usual work of others: 1/32.
 const usualShift = 5
 
-// Reported takes in what the agent said last.
-func (e *Endpoint) Reported(now clock.Millis, r Report) {
+// SetReport takes in what the agent said last.
+func (e *Endpoint) SetReport(now clock.Millis, r Report) {
 	r.Limit = max(r.Limit, 1)
 	others := max(int64(r.Load)-e.own.Load(), 0) * 1000
 	e.last.Store(&report{said: r, at: now - r.Age, others: others})
@@ -128,8 +128,8 @@
 	e.usual.CompareAndSwap(usual, usual+(others/int64(r.Limit)-usual)>>usualShift)
 }
 
-// Own returns the number of own calls without an answer.
-func (e *Endpoint) Own() int64 { return e.own.Load() }
+// OwnCalls returns the number of own calls without an answer.
+func (e *Endpoint) OwnCalls() int64 { return e.own.Load() }
 
 // Report returns what the agent said last.
 func (e *Endpoint) Report() Report { return e.last.Load().said }
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -9,19 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bar is a reason why an endpoint gets no new work. Several can hold at once.
-type Bar uint8
+// Exclusion is a reason why an endpoint gets no new work. Several can hold at once.
+type Exclusion uint8
 
 // Reasons why an endpoint gets no new work.
 const (
-	// BarLeaving: its agent or the platform says that it leaves.
-	BarLeaving Bar = 1 << iota
-	// BarZoneLeft: operators took its availability zone out.
-	BarZoneLeft
-	// BarTakenOut: operators took the endpoint out.
-	BarTakenOut
-	// BarSilent: its session has been silent for too long.
-	BarSilent
+	// ExcludeLeaving: its agent or the platform says that it leaves.
+	ExcludeLeaving Exclusion = 1 << iota
+	// ExcludeZone: operators took its availability zone out.
+	ExcludeZone
+	// ExcludeDisabled: operators took the endpoint out.
+	ExcludeDisabled
+	// ExcludeUnreachable: its session has been silent for too long.
+	ExcludeUnreachable
 )
 
 // View is an immutable picture of the endpoints that may get new work.
@@ -30,8 +30,8 @@
 	Near []*Endpoint
 	// Far are the others.
 	Far []*Endpoint
-	// Known counts all endpoints, also those without new work.
-	Known int
+	// Total counts all endpoints, also those without new work.
+	Total int
 }
 
 // Len returns the number of endpoints that may get new work.
@@ -58,7 +58,7 @@
 
 type member struct {
 	endpoint *Endpoint
-	bars     Bar
+	bars     Exclusion
 }
 
 // New returns an empty pool as seen from an availability zone.
@@ -73,7 +73,7 @@
 
 // Add makes an endpoint known, and returns it; one that is known already under
 // the same address and zone stays as it is. A new one starts with bars.
-func (p *Pool) Add(identity Identity, bars Bar) *Endpoint {
+func (p *Pool) Add(identity Identity, bars Exclusion) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.members[identity.Name]; known != nil && known.endpoint.Identity == identity {
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// SetBar sets or lifts one reason against new work and reports whether this
+// SetExclusion sets or lifts one reason against new work and reports whether this
 // changed anything.
-func (p *Pool) SetBar(name string, bar Bar, set bool) bool {
+func (p *Pool) SetExclusion(name string, bar Exclusion, set bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.setBar(p.members[name], bar, set) {
@@ -120,7 +120,7 @@
 
 // Apply sets or lifts one reason for every endpoint as the rule says. It takes
 // in a new release: zones and endpoints that were taken out take effect at once.
-func (p *Pool) Apply(bar Bar, rule func(Identity) bool) {
+func (p *Pool) Apply(bar Exclusion, rule func(Identity) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	changed := false
@@ -134,7 +134,7 @@
 	}
 }
 
-func (p *Pool) setBar(known *member, bar Bar, set bool) bool {
+func (p *Pool) setBar(known *member, bar Exclusion, set bool) bool {
 	if known == nil {
 		return false
 	}
@@ -149,7 +149,7 @@
 
 // publish rebuilds the view, ordered by name so that equal pools look equal.
 func (p *Pool) publish() {
-	view := &View{Known: len(p.members)}
+	view := &View{Total: len(p.members)}
 	for _, known := range p.members {
 		switch {
 		case known.bars != 0:
@@ -180,7 +180,7 @@
 	}
 	seed := xxhash.Sum64String(entry)
 	ranked := slices.Clone(members)
-	weight := func(m Identity) uint64 { return Mix(seed, xxhash.Sum64String(m.Pool+"/"+m.Name)) }
+	weight := func(m Identity) uint64 { return Weight(seed, xxhash.Sum64String(m.Pool+"/"+m.Name)) }
 	sort.Slice(ranked, func(i, j int) bool { return weight(ranked[i]) > weight(ranked[j]) })
 	chosen := make([]Identity, 0, size)
 	rest := make([]Identity, 0, len(members))
@@ -194,8 +194,8 @@
 	return append(chosen, rest[:size-len(chosen)]...)
 }
 
-// Mix joins two hashes into one rendezvous weight.
-func Mix(a, b uint64) uint64 {
+// Weight joins two hashes into one rendezvous weight.
+func Weight(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -16,8 +16,8 @@
 
 func ExampleEndpoint_Load() {
 	endpoint := pool.NewEndpoint(identity("e1", "a"))
-	endpoint.Reported(1, pool.Report{Load: 5, Limit: 8})
-	endpoint.Sent()
+	endpoint.SetReport(1, pool.Report{Load: 5, Limit: 8})
+	endpoint.RecordSend()
 	fmt.Println(endpoint.Load(1), endpoint.Utilisation(1))
 	// Output: 6000 875
 }
@@ -28,7 +28,7 @@
 func TestViewHoldsExactlyUnbarredEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pool.New("a")
-		bars := map[string]pool.Bar{}
+		bars := map[string]pool.Exclusion{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(t, "name")
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
@@ -40,9 +40,9 @@
 				p.Remove(name)
 				delete(bars, name)
 			default:
-				bar := rapid.SampledFrom([]pool.Bar{pool.BarLeaving, pool.BarSilent, pool.BarZoneLeft}).Draw(t, "bar")
+				bar := rapid.SampledFrom([]pool.Exclusion{pool.ExcludeLeaving, pool.ExcludeUnreachable, pool.ExcludeZone}).Draw(t, "bar")
 				set := rapid.Bool().Draw(t, "set")
-				p.SetBar(name, bar, set)
+				p.SetExclusion(name, bar, set)
 				if old, known := bars[name]; known {
 					bars[name] = old &^ bar
 					if set {
@@ -57,7 +57,7 @@
 				}
 			}
 			assert.Equal(t, p.View().Len(), want)
-			assert.Equal(t, p.View().Known, len(bars))
+			assert.Equal(t, p.View().Total, len(bars))
 			for _, endpoint := range p.View().Near {
 				assert.Equal(t, endpoint.AvailabilityZone, "a")
 			}
@@ -69,7 +69,7 @@
 // not be believed of the new one, which is cold and bears little.
 func TestReplacedEndpointStartsUnknown(t *testing.T) {
 	p := pool.New("a")
-	p.Add(identity("e1", "a"), 0).Reported(1, pool.Report{Limit: 8})
+	p.Add(identity("e1", "a"), 0).SetReport(1, pool.Report{Limit: 8})
 	moved := identity("e1", "a")
 	moved.Address = "elsewhere:1"
 	assert.Equal(t, p.Add(moved, 0).Report().Limit, 1)
@@ -83,16 +83,16 @@
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			switch event := rapid.IntRange(0, 2).Draw(t, "event"); {
 			case event == 0:
-				endpoint.Sent()
+				endpoint.RecordSend()
 				own++
 			case event == 1 && own > 0:
-				endpoint.Answered(1, 7)
+				endpoint.RecordAnswer(1, 7)
 				own--
 			default:
-				endpoint.Reported(1, pool.Report{Load: rapid.IntRange(0, 9).Draw(t, "load"), Limit: 4})
+				endpoint.SetReport(1, pool.Report{Load: rapid.IntRange(0, 9).Draw(t, "load"), Limit: 4})
 			}
 			assert.Assert(t, endpoint.Load(1) >= own*1000)
-			assert.Equal(t, endpoint.Own(), own)
+			assert.Equal(t, endpoint.OwnCalls(), own)
 		}
 	})
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -47,7 +47,7 @@
 	group := max(leastGroup, math.Sqrt(float64(len(processes))))
 	for zone, members := range zones {
 		count := int(math.Ceil(float64(len(members)) / group))
-		names := first(ranked("aggregator/"+zone, owner.Strong(members)), count)
+		names := first(ranked("aggregator/"+zone, owner.Eligible(members)), count)
 		plan.ByZone[zone] = names
 		plan.Aggregators = append(plan.Aggregators, names...)
 	}
@@ -62,15 +62,15 @@
 	return plan
 }
 
-// Aggregates reports whether a process is an aggregator.
-func (p *Plan) Aggregates(name string) bool {
+// IsAggregator reports whether a process is an aggregator.
+func (p *Plan) IsAggregator(name string) bool {
 	_, found := slices.BinarySearch(p.Aggregators, name)
 	return found
 }
 
-// For returns the aggregator that a process reports to: one of its zone, or of
+// AggregatorFor returns the aggregator that a process reports to: one of its zone, or of
 // any zone if its own has none. Avoid excludes aggregators that do not answer.
-func (p *Plan) For(name, zone string, avoid func(aggregator string) bool) string {
+func (p *Plan) AggregatorFor(name, zone string, avoid func(aggregator string) bool) string {
 	for _, candidates := range [][]string{p.ByZone[zone], p.Aggregators} {
 		best := ""
 		var top uint64
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -32,7 +32,7 @@
 func ExampleNew() {
 	plan := relay.New([]owner.Process{{Name: "a", Key: "a/1", Zone: "east"}, {Name: "b", Key: "b/1", Zone: "west"}})
 	fmt.Println(plan.Aggregators)
-	fmt.Println(plan.For("c", "west", func(string) bool { return false }))
+	fmt.Println(plan.AggregatorFor("c", "west", func(string) bool { return false }))
 	// Output:
 	// [a b]
 	// b
@@ -46,8 +46,8 @@
 		plan := relay.New(all)
 		groups := make(map[string]int)
 		for _, process := range all {
-			if !plan.Aggregates(process.Name) {
-				groups[plan.For(process.Name, process.Zone, nobody)]++
+			if !plan.IsAggregator(process.Name) {
+				groups[plan.AggregatorFor(process.Name, process.Zone, nobody)]++
 			}
 		}
 		most := 0
@@ -58,7 +58,7 @@
 		assert.Assert(t, most <= 12+int(4*math.Sqrt(float64(count))), "%d processes: %d destinations", count, most)
 		assert.Equal(t, len(plan.Watchers), min(relay.Watchers, len(plan.Aggregators)))
 		for _, name := range plan.Watchers {
-			assert.Assert(t, plan.Aggregates(name))
+			assert.Assert(t, plan.IsAggregator(name))
 		}
 	}
 }
@@ -83,8 +83,8 @@
 		after := relay.New(left)
 		moved := 0
 		for _, process := range left {
-			to := before.For(process.Name, process.Zone, nobody)
-			if to != lost && to != after.For(process.Name, process.Zone, nobody) {
+			to := before.AggregatorFor(process.Name, process.Zone, nobody)
+			if to != lost && to != after.AggregatorFor(process.Name, process.Zone, nobody) {
 				moved++
 			}
 		}
@@ -96,13 +96,13 @@
 // zone has no other, or because the aggregators there do not answer.
 func TestProcessReportsElsewhereWhenItsZoneHasNobody(t *testing.T) {
 	plan := relay.New(fleet(100))
-	assert.Assert(t, plan.For("new", "an empty zone", nobody) != "")
+	assert.Assert(t, plan.AggregatorFor("new", "an empty zone", nobody) != "")
 	own := plan.ByZone["zone-1"]
-	to := plan.For("new", "zone-1", func(name string) bool { return slices.Contains(own, name) })
+	to := plan.AggregatorFor("new", "zone-1", func(name string) bool { return slices.Contains(own, name) })
 	assert.Assert(t, to != "" && !slices.Contains(own, to), to)
-	assert.Equal(t, plan.For("new", "zone-1", func(string) bool { return true }), "")
+	assert.Equal(t, plan.AggregatorFor("new", "zone-1", func(string) bool { return true }), "")
 	alone := relay.New(fleet(1))
-	assert.Equal(t, alone.For("gateway-0000", "zone-0", nobody), "")
+	assert.Equal(t, alone.AggregatorFor("gateway-0000", "zone-0", nobody), "")
 	assert.DeepEqual(t, alone.Watchers, []string{"gateway-0000"})
 	assert.Equal(t, len(relay.New(nil).Aggregators), 0)
 }
--- a/internal/route/subset/subset.go
+++ b/internal/route/subset/subset.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// Whole is the largest pool that is used as a whole.
-	Whole = 30
+	// MaxWholePool is the largest pool that is used as a whole.
+	MaxWholePool = 30
 	// users is how many processes an endpoint should have on average, so that none
 	// is left without any.
 	users = 10
@@ -41,7 +41,7 @@
 	for i, e := range endpoints {
 		byZone[e.Zone] = append(byZone[e.Zone], i)
 	}
-	if len(endpoints) <= Whole {
+	if len(endpoints) <= MaxWholePool {
 		return everyone(endpoints)
 	}
 	others := len(byZone)
--- a/internal/route/view/load_test.go
+++ b/internal/route/view/load_test.go
@@ -13,21 +13,21 @@
 // sent elsewhere and have their beginnings read again there.
 func TestPromptThatIsBeingReadCountsLessAndLess(t *testing.T) {
 	var l view.Load
-	l.Sent(24_000, 60, 1000)
-	assert.Equal(t, l.Unread(60, 1000), int64(24_000))
-	assert.Equal(t, l.Unread(60, 1200), int64(12_000))
-	l.Sent(6000, 60, 1200)
-	assert.Equal(t, l.Unread(60, 1200), int64(18_000))
-	assert.Equal(t, l.Unread(60, 1600), int64(0), "it is late, but soon read")
+	l.AddPrompt(24_000, 60, 1000)
+	assert.Equal(t, l.PendingPrefill(60, 1000), int64(24_000))
+	assert.Equal(t, l.PendingPrefill(60, 1200), int64(12_000))
+	l.AddPrompt(6000, 60, 1200)
+	assert.Equal(t, l.PendingPrefill(60, 1200), int64(18_000))
+	assert.Equal(t, l.PendingPrefill(60, 1600), int64(0), "it is late, but soon read")
 	l.Prefill.Add(-24_000)
-	assert.Equal(t, l.Unread(60, 1200), int64(6000), "its first event is there")
+	assert.Equal(t, l.PendingPrefill(60, 1200), int64(6000), "its first event is there")
 }
 
 // Peers' prompts are read first, where they were sent before.
 func TestPromptWaitsBehindThoseOfPeers(t *testing.T) {
 	var l view.Load
 	l.PeerPrefill.Store(6000)
-	l.Sent(6000, 60, 1000)
-	assert.Equal(t, l.Unread(60, 1100), int64(6000))
-	assert.Equal(t, l.Unread(60, 1150), int64(3000))
+	l.AddPrompt(6000, 60, 1000)
+	assert.Equal(t, l.PendingPrefill(60, 1100), int64(6000))
+	assert.Equal(t, l.PendingPrefill(60, 1150), int64(3000))
 }
--- a/internal/route/view/shard.go
+++ b/internal/route/view/shard.go
@@ -26,8 +26,8 @@
 	return s.byShard[name]
 }
 
-// MostShards returns the number of shards of the pool that has most.
-func (s *Snapshot) MostShards() int {
+// MaxShards returns the number of shards of the pool that has most.
+func (s *Snapshot) MaxShards() int {
 	if s == nil {
 		return 0
 	}
--- a/internal/route/view/version.go
+++ b/internal/route/view/version.go
@@ -45,7 +45,7 @@
 }
 
 // SetRollouts takes all rollouts. Publish puts them in force.
-func (b *Book) SetRollouts(rollouts []Rollout) {
+func (b *Registry) SetRollouts(rollouts []Rollout) {
 	b.rollouts = make(map[string]Rollout, len(rollouts))
 	for _, rollout := range rollouts {
 		b.rollouts[rollout.Pool] = rollout
@@ -54,7 +54,7 @@
 
 // selectVersions takes the endpoints out of a snapshot's pools whose version gets
 // no work, and sets those of candidates apart.
-func (b *Book) selectVersions(s *Snapshot) {
+func (b *Registry) selectVersions(s *Snapshot) {
 	s.versions = make(map[string]poolVersions)
 	for _, pool := range b.poolNames() {
 		rollout, ordered := b.rollouts[pool]
@@ -76,7 +76,7 @@
 }
 
 // poolNames returns the pools that have endpoints.
-func (b *Book) poolNames() []string {
+func (b *Registry) poolNames() []string {
 	var names []string
 	for _, e := range b.byID {
 		names = append(names, e.Pool)
@@ -87,7 +87,7 @@
 
 // versionInForce returns the version that gets work, and remembers it: without
 // an order, the version that was in force goes on, whatever joins.
-func (b *Book) versionInForce(pool string, rollout Rollout, ordered bool) string {
+func (b *Registry) versionInForce(pool string, rollout Rollout, ordered bool) string {
 	known, found := b.inForce[pool]
 	switch {
 	case ordered && rollout.Completed:
@@ -105,13 +105,13 @@
 
 // oldestVersion returns the version of the endpoint of a pool that started first,
 // among those of another version than one; that one if there is no other.
-func (b *Book) oldestVersion(pool, except string) string {
+func (b *Registry) oldestVersion(pool, except string) string {
 	var oldest *Endpoint
 	for _, e := range b.byID {
 		if e.Pool != pool || (except != "" && e.Version == except) {
 			continue
 		}
-		if oldest == nil || cmp.Or(cmp.Compare(e.Born, oldest.Born), cmp.Compare(e.ID, oldest.ID)) < 0 {
+		if oldest == nil || cmp.Or(cmp.Compare(e.StartedAt, oldest.StartedAt), cmp.Compare(e.ID, oldest.ID)) < 0 {
 			oldest = e
 		}
 	}
--- a/internal/route/view/version_test.go
+++ b/internal/route/view/version_test.go
@@ -30,11 +30,11 @@
 	} {
 		b := view.New(view.WithVersions())
 		b.SetRollouts(tt.rollouts)
-		b.List([]view.Entry{versioned("a", "v1", 5), versioned("b", "v2", 9), versioned("c", "v3", 7)}, 10, 0)
+		b.Sync([]view.Entry{versioned("a", "v1", 5), versioned("b", "v2", 9), versioned("c", "v3", 7)}, 10, 0)
 		b.Publish()
-		assert.Equal(t, b.Now().Version("orders"), tt.inForce, tt.name)
-		assert.DeepEqual(t, ids(b.Now().Pool("orders")), tt.endpoints)
-		assert.DeepEqual(t, ids(b.Now().Candidates("orders")), tt.atCandidate)
+		assert.Equal(t, b.Snapshot().Version("orders"), tt.inForce, tt.name)
+		assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), tt.endpoints)
+		assert.DeepEqual(t, ids(b.Snapshot().Candidates("orders")), tt.atCandidate)
 	}
 }
 
@@ -43,39 +43,39 @@
 func TestVersionInForceStays(t *testing.T) {
 	b := view.New(view.WithVersions())
 	b.SetRollouts(nil)
-	b.List([]view.Entry{versioned("a", "v1", 5), versioned("b", "v2", 9)}, 10, 0)
+	b.Sync([]view.Entry{versioned("a", "v1", 5), versioned("b", "v2", 9)}, 10, 0)
 	b.Publish()
 	b.SetRollouts([]view.Rollout{{Pool: "orders", Version: "v2", Previous: "v1", Canary: true}})
 	b.Put(versioned("a", "v1", 30), 20)
 	b.Publish()
 	b.SetRollouts(nil)
 	b.Publish()
-	assert.DeepEqual(t, ids(b.Now().Pool("orders")), []string{"a"})
+	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"a"})
 	b.Remove("a", 30, 0)
 	b.Publish()
-	assert.Equal(t, len(b.Now().Pool("orders")), 0, "an endpoint that no order allows gets nothing")
+	assert.Equal(t, len(b.Snapshot().Pool("orders")), 0, "an endpoint that no order allows gets nothing")
 }
 
 // Guards against a process that serves before it knows of the rollouts.
 func TestBookIsIncompleteWithoutRollouts(t *testing.T) {
 	b := view.New(view.WithVersions())
-	b.List([]view.Entry{versioned("a", "v1", 5)}, 10, 0)
+	b.Sync([]view.Entry{versioned("a", "v1", 5)}, 10, 0)
 	b.Publish()
-	assert.Assert(t, !b.Now().Complete())
+	assert.Assert(t, !b.Snapshot().Complete())
 	b.SetRollouts(nil)
 	b.Publish()
-	assert.Assert(t, b.Now().Complete())
+	assert.Assert(t, b.Snapshot().Complete())
 }
 
 // Guards against an endpoint that is updated in place and goes on as what it was.
 func TestAnotherVersionIsAnotherEndpoint(t *testing.T) {
 	b := view.New(view.WithVersions())
 	b.SetRollouts(nil)
-	b.List([]view.Entry{versioned("a", "v1", 5)}, 10, 0)
+	b.Sync([]view.Entry{versioned("a", "v1", 5)}, 10, 0)
 	b.Publish()
-	old := b.Now().Find("a")
+	old := b.Snapshot().Find("a")
 	b.Put(versioned("a", "v2", 5), 20)
 	b.Publish()
 	assert.Assert(t, old.Gone())
-	assert.Equal(t, len(b.Now().Pool("orders")), 0)
+	assert.Equal(t, len(b.Snapshot().Pool("orders")), 0)
 }
--- a/internal/route/view/view.go
+++ b/internal/route/view/view.go
@@ -16,11 +16,11 @@
 type Entry struct {
 	// ID of the endpoint. An endpoint may start again under the id that it had.
 	ID string
-	// Born tells two starts under one id apart, in milliseconds of the wall clock.
-	Born    int64
-	Address string
-	Pool    string
-	Zone    string
+	// StartedAt tells two starts under one id apart, in milliseconds of the wall clock.
+	StartedAt int64
+	Address   string
+	Pool      string
+	Zone      string
 	// Version of its software, "" where it isn't told.
 	Version string
 	Slots   int
@@ -35,13 +35,13 @@
 // Endpoint is one start of one endpoint. Its identity never changes; what
 // changes is atomic.
 type Endpoint struct {
-	ID      string
-	Born    int64
-	Address string
-	Pool    string
-	Zone    string
-	Version string
-	Slots   int
+	ID        string
+	StartedAt int64
+	Address   string
+	Pool      string
+	Zone      string
+	Version   string
+	Slots     int
 	// Joined is when this process learned of it.
 	Joined clock.Millis
 
@@ -88,9 +88,9 @@
 	l.PeerPlanned.Store(work.Planned)
 }
 
-// Sent counts a prompt that this process sends, at an engine that reads so many
+// AddPrompt counts a prompt that this process sends, at an engine that reads so many
 // tokens in a millisecond.
-func (l *Load) Sent(tokens int64, tokensPerMs float64, now clock.Millis) {
+func (l *Load) AddPrompt(tokens int64, tokensPerMs float64, now clock.Millis) {
 	l.Prefill.Add(tokens)
 	ahead := int64(now) + int64(float64(l.PeerPrefill.Load())/tokensPerMs)
 	takes := int64(float64(tokens) / tokensPerMs)
@@ -102,10 +102,10 @@
 	}
 }
 
-// Unread returns the prompt tokens sent by this process that are probably still
+// PendingPrefill returns the prompt tokens sent by this process that are probably still
 // to be read. A prompt counts as a whole until its first event; of a long one,
 // most has been read by then.
-func (l *Load) Unread(tokensPerMs float64, now clock.Millis) int64 {
+func (l *Load) PendingPrefill(tokensPerMs float64, now clock.Millis) int64 {
 	left := float64(max(l.readBy.Load()-int64(now), 0)) * tokensPerMs
 	return min(l.Prefill.Load(), int64(left))
 }
@@ -124,17 +124,17 @@
 	}
 }
 
-// Bar keeps requests away until an instant, because the endpoint failed.
-func (e *Endpoint) Bar(until clock.Millis) { e.barred.Store(int64(until)) }
+// Block keeps requests away until an instant, because the endpoint failed.
+func (e *Endpoint) Block(until clock.Millis) { e.barred.Store(int64(until)) }
 
-// Barred reports whether requests should stay away for now.
-func (e *Endpoint) Barred(now clock.Millis) bool { return e.barred.Load() > int64(now) }
+// Blocked reports whether requests should stay away for now.
+func (e *Endpoint) Blocked(now clock.Millis) bool { return e.barred.Load() > int64(now) }
 
-// Heard returns when the endpoint's entry changed last.
-func (e *Endpoint) Heard() clock.Millis { return clock.Millis(e.heard.Load()) }
+// UpdatedAt returns when the endpoint's entry changed last.
+func (e *Endpoint) UpdatedAt() clock.Millis { return clock.Millis(e.heard.Load()) }
 
-// Out reports whether the endpoint leaves or is gone.
-func (e *Endpoint) Out() bool { return e.leaving.Load() || e.gone.Load() }
+// Unavailable reports whether the endpoint leaves or is gone.
+func (e *Endpoint) Unavailable() bool { return e.leaving.Load() || e.gone.Load() }
 
 // Leaving reports whether the endpoint leaves as planned.
 func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
@@ -189,8 +189,8 @@
 	}
 }
 
-// Emptied reports whether operators have emptied an availability zone.
-func (s *Snapshot) Emptied(zone string) bool { return s != nil && s.emptied[zone] }
+// Evacuated reports whether operators have emptied an availability zone.
+func (s *Snapshot) Evacuated(zone string) bool { return s != nil && s.emptied[zone] }
 
 // Len returns the number of endpoints that are known.
 func (s *Snapshot) Len() int {
@@ -205,22 +205,22 @@
 	Endpoint *Endpoint
 	// Before is the start of the endpoint that this one replaces, nil for none.
 	Before *Endpoint
-	What   string
+	Kind   string
 }
 
 // What changed of an endpoint.
 const (
-	Joined   = "joined"
-	Replaced = "restarted"
-	Left     = "leaving"
-	Returned = "returned"
-	Lost     = "gone"
-	Cooled   = "cold"
+	Joined    = "joined"
+	Restarted = "restarted"
+	Leaving   = "leaving"
+	Returned  = "returned"
+	Gone      = "gone"
+	Cold      = "cold"
 )
 
-// Book gathers entries into snapshots. One goroutine writes; Now may be called
+// Registry gathers entries into snapshots. One goroutine writes; Now may be called
 // by any.
-type Book struct {
+type Registry struct {
 	byID    map[string]*Endpoint
 	missing map[string]clock.Millis
 	emptied map[string]bool
@@ -234,15 +234,15 @@
 }
 
 // Option changes a Book while it is built.
-type Option func(*Book)
+type Option func(*Registry)
 
 // WithVersions has only endpoints of a version that is in force, or of one that a
 // rollout goes to, get work.
-func WithVersions() Option { return func(b *Book) { b.byVersion = true } }
+func WithVersions() Option { return func(b *Registry) { b.byVersion = true } }
 
 // New returns an empty book.
-func New(opts ...Option) *Book {
-	b := &Book{
+func New(opts ...Option) *Registry {
+	b := &Registry{
 		byID: make(map[string]*Endpoint), missing: make(map[string]clock.Millis), emptied: make(map[string]bool),
 		inForce: make(map[string]string),
 	}
@@ -252,14 +252,14 @@
 	return b
 }
 
-// Now returns the newest snapshot, nil before the first.
-func (b *Book) Now() *Snapshot { return b.now.Load() }
+// Snapshot returns the newest snapshot, nil before the first.
+func (b *Registry) Snapshot() *Snapshot { return b.now.Load() }
 
 // Put takes an entry that was written.
-func (b *Book) Put(entry Entry, now clock.Millis) []Change {
+func (b *Registry) Put(entry Entry, now clock.Millis) []Change {
 	delete(b.missing, entry.ID)
 	known := b.byID[entry.ID]
-	if known == nil || known.Born != entry.Born || known.Address != entry.Address || known.Pool != entry.Pool || known.Version != entry.Version {
+	if known == nil || known.StartedAt != entry.StartedAt || known.Address != entry.Address || known.Pool != entry.Pool || known.Version != entry.Version {
 		return b.begin(known, entry, now)
 	}
 	var changes []Change
@@ -271,17 +271,17 @@
 		known.leaving.Store(entry.Leaving)
 		what := Returned
 		if entry.Leaving {
-			what = Left
+			what = Leaving
 		}
-		changes = append(changes, Change{Endpoint: known, What: what})
+		changes = append(changes, Change{Endpoint: known, Kind: what})
 	}
 	return b.chill(known, entry.Cold, now, changes)
 }
 
-func (b *Book) chill(e *Endpoint, cold, now clock.Millis, changes []Change) []Change {
+func (b *Registry) chill(e *Endpoint, cold, now clock.Millis, changes []Change) []Change {
 	if cold > 0 {
 		if !e.Cold(now) {
-			changes = append(changes, Change{Endpoint: e, What: Cooled})
+			changes = append(changes, Change{Endpoint: e, Kind: Cold})
 		}
 		e.SetCold(now + cold)
 	}
@@ -290,30 +290,30 @@
 
 // begin replaces what was known under an id: another start knows nothing of
 // the one before, and work meant for that one must not reach it.
-func (b *Book) begin(known *Endpoint, entry Entry, now clock.Millis) []Change {
+func (b *Registry) begin(known *Endpoint, entry Entry, now clock.Millis) []Change {
 	what := Joined
 	if known != nil {
-		known.restarted.Store(known.Born != entry.Born)
+		known.restarted.Store(known.StartedAt != entry.StartedAt)
 		known.gone.Store(true)
-		what = Replaced
+		what = Restarted
 	}
 	e := &Endpoint{
-		ID: entry.ID, Born: entry.Born, Address: entry.Address, Pool: entry.Pool, Zone: entry.Zone, Version: entry.Version,
+		ID: entry.ID, StartedAt: entry.StartedAt, Address: entry.Address, Pool: entry.Pool, Zone: entry.Zone, Version: entry.Version,
 		Slots: entry.Slots, Joined: now, count: entry.Count,
 	}
 	e.leaving.Store(entry.Leaving)
 	e.heard.Store(int64(now))
 	b.byID[entry.ID] = e
-	changes := append(b.supersede(e), Change{Endpoint: e, Before: known, What: what})
+	changes := append(b.supersede(e), Change{Endpoint: e, Before: known, Kind: what})
 	return b.chill(e, entry.Cold, now, changes)
 }
 
 // supersede drops the endpoints that had the address of one that started later:
 // they have ended, though their entries stay until the platform misses them.
-func (b *Book) supersede(e *Endpoint) []Change {
+func (b *Registry) supersede(e *Endpoint) []Change {
 	var changes []Change
 	for id, other := range b.byID {
-		if other.Address == e.Address && other.Born < e.Born {
+		if other.Address == e.Address && other.StartedAt < e.StartedAt {
 			other.restarted.Store(true)
 			changes = append(changes, b.drop(id)...)
 		}
@@ -324,7 +324,7 @@
 // Remove takes an entry that was deleted. The endpoint counts as gone at once,
 // or, while the store has only just come back, after patience: entries lapse
 // while the store is away and return soon after if the endpoint lives.
-func (b *Book) Remove(id string, now, patience clock.Millis) []Change {
+func (b *Registry) Remove(id string, now, patience clock.Millis) []Change {
 	if b.byID[id] == nil {
 		return nil
 	}
@@ -337,16 +337,16 @@
 	return b.drop(id)
 }
 
-func (b *Book) drop(id string) []Change {
+func (b *Registry) drop(id string) []Change {
 	e := b.byID[id]
 	e.gone.Store(true)
 	delete(b.byID, id)
 	delete(b.missing, id)
-	return []Change{{Endpoint: e, What: Lost}}
+	return []Change{{Endpoint: e, Kind: Gone}}
 }
 
-// List takes the whole list: what it lacks is removed, with patience.
-func (b *Book) List(entries []Entry, now, patience clock.Millis) []Change {
+// Sync takes the whole list: what it lacks is removed, with patience.
+func (b *Registry) Sync(entries []Entry, now, patience clock.Millis) []Change {
 	b.listed = true
 	var changes []Change
 	there := make(map[string]bool, len(entries))
@@ -363,7 +363,7 @@
 }
 
 // Expire drops the endpoints whose entries did not come back in time.
-func (b *Book) Expire(now clock.Millis) []Change {
+func (b *Registry) Expire(now clock.Millis) []Change {
 	var changes []Change
 	for id, until := range b.missing {
 		if until <= now {
@@ -373,8 +373,8 @@
 	return changes
 }
 
-// SetEmptied takes the availability zones that operators have emptied.
-func (b *Book) SetEmptied(zones []string) {
+// SetEvacuated takes the availability zones that operators have emptied.
+func (b *Registry) SetEvacuated(zones []string) {
 	b.emptied = make(map[string]bool, len(zones))
 	for _, zone := range zones {
 		b.emptied[zone] = true
@@ -382,14 +382,14 @@
 }
 
 // Publish makes the newest snapshot.
-func (b *Book) Publish() {
+func (b *Registry) Publish() {
 	s := &Snapshot{
 		pools: make(map[string][]*Endpoint), shards: make(map[string][]Shard), byShard: make(map[string]*Shard), emptied: b.emptied,
 		byID: make(map[string]*Endpoint, len(b.byID)), entries: len(b.byID), complete: b.listed && (!b.byVersion || b.rollouts != nil),
 	}
 	for id, e := range b.byID {
 		s.byID[id] = e
-		if !e.Out() && !b.emptied[e.Zone] {
+		if !e.Unavailable() && !b.emptied[e.Zone] {
 			s.pools[e.Pool] = append(s.pools[e.Pool], e)
 		}
 	}
--- a/internal/route/view/view_test.go
+++ b/internal/route/view/view_test.go
@@ -9,7 +9,7 @@
 )
 
 func entry(id string, born int64) view.Entry {
-	return view.Entry{ID: id, Born: born, Address: "10.0.0.1:80", Pool: "orders", Zone: "a", Slots: 4}
+	return view.Entry{ID: id, StartedAt: born, Address: "10.0.0.1:80", Pool: "orders", Zone: "a", Slots: 4}
 }
 
 func ids(endpoints []*view.Endpoint) []string {
@@ -26,42 +26,42 @@
 func TestLaterEndpointAtAnAddressReplacesTheOneBefore(t *testing.T) {
 	b := view.New()
 	first := entry("x", 1)
-	b.List([]view.Entry{first}, 10, 0)
+	b.Sync([]view.Entry{first}, 10, 0)
 	b.Publish()
-	old := b.Now().Find("x")
+	old := b.Snapshot().Find("x")
 	other := entry("y", 1)
 	other.Address = "10.0.0.2:80"
 	b.Put(other, 15)
 	later := entry("z", 2)
 	changes := b.Put(later, 20)
-	assert.Equal(t, changes[0].What, view.Lost)
+	assert.Equal(t, changes[0].Kind, view.Gone)
 	assert.Equal(t, changes[0].Endpoint, old)
 	assert.Assert(t, old.Gone())
 	b.Publish()
-	assert.DeepEqual(t, ids(b.Now().Pool("orders")), []string{"y", "z"})
+	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"y", "z"})
 	// An entry that claims to have started earlier replaces nobody.
 	b.Put(entry("v", 1), 30)
 	b.Publish()
-	assert.Assert(t, !b.Now().Find("z").Gone())
+	assert.Assert(t, !b.Snapshot().Find("z").Gone())
 }
 
 func TestLeavingAndEmptiedGetNothingNew(t *testing.T) {
 	b := view.New()
-	b.List([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
+	b.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
 	b.Publish()
-	assert.Assert(t, b.Now().Complete())
-	assert.DeepEqual(t, ids(b.Now().Pool("orders")), []string{"x", "y"})
+	assert.Assert(t, b.Snapshot().Complete())
+	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"x", "y"})
 	leaving := entry("x", 1)
 	leaving.Leaving = true
 	changes := b.Put(leaving, 20)
-	assert.Equal(t, changes[0].What, view.Left)
-	assert.Assert(t, changes[0].Endpoint.Out())
+	assert.Equal(t, changes[0].Kind, view.Leaving)
+	assert.Assert(t, changes[0].Endpoint.Unavailable())
 	b.Publish()
-	assert.DeepEqual(t, ids(b.Now().Pool("orders")), []string{"y"})
-	b.SetEmptied([]string{"a"})
+	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"y"})
+	b.SetEvacuated([]string{"a"})
 	b.Publish()
-	assert.Equal(t, len(b.Now().Pool("orders")), 0)
-	assert.Assert(t, b.Now().Emptied("a"))
+	assert.Equal(t, len(b.Snapshot().Pool("orders")), 0)
+	assert.Assert(t, b.Snapshot().Evacuated("a"))
 }
 
 // The store was away and entries lapsed meanwhile although their endpoints
@@ -69,15 +69,15 @@
 // endpoint for two seconds.
 func TestLapsedEntriesMayReturn(t *testing.T) {
 	b := view.New()
-	b.List([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
-	assert.Equal(t, len(b.List(nil, 100, 1500)), 0)
+	b.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
+	assert.Equal(t, len(b.Sync(nil, 100, 1500)), 0)
 	b.Put(entry("x", 1), 900)
 	assert.Equal(t, len(b.Expire(1599)), 0)
 	changes := b.Expire(1600)
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, changes[0].Endpoint.ID, "y")
 	b.Publish()
-	assert.DeepEqual(t, ids(b.Now().Pool("orders")), []string{"x"})
+	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"x"})
 }
 
 // An endpoint crashes and starts again under its old id. Whoever still holds
@@ -87,23 +87,23 @@
 	b := view.New()
 	b.Put(entry("x", 1), 10)
 	b.Publish()
-	old := b.Now().Find("x")
+	old := b.Snapshot().Find("x")
 	again := entry("x", 2)
 	again.Cold = 3000
 	changes := b.Put(again, 20)
-	assert.Equal(t, changes[0].What, view.Replaced)
+	assert.Equal(t, changes[0].Kind, view.Restarted)
 	assert.Assert(t, old.Gone())
 	b.Publish()
-	assert.Assert(t, b.Now().Find("x").Cold(3019))
-	assert.Assert(t, !b.Now().Find("x").Cold(3020))
+	assert.Assert(t, b.Snapshot().Find("x").Cold(3019))
+	assert.Assert(t, !b.Snapshot().Find("x").Cold(3020))
 	// The wall clock of a host may have stepped back between two starts: the
 	// order in the store decides, not the time that an entry claims.
-	assert.Equal(t, b.Put(entry("x", 1), 30)[0].What, view.Replaced)
+	assert.Equal(t, b.Put(entry("x", 1), 30)[0].Kind, view.Restarted)
 }
 
 func TestRemovedAtOnceInCalm(t *testing.T) {
 	b := view.New()
 	b.Put(entry("x", 1), 10)
-	assert.Equal(t, b.Remove("x", 20, 0)[0].What, view.Lost)
+	assert.Equal(t, b.Remove("x", 20, 0)[0].Kind, view.Gone)
 	assert.Equal(t, len(b.Remove("x", 20, 0)), 0)
 }
--- a/internal/serve/deploy/deploy.go
+++ b/internal/serve/deploy/deploy.go
@@ -191,7 +191,7 @@
 	if known == nil || known.order != order {
 		known = newRollout(object.Name, order, c.clock.Now())
 		if old && status.Order == order && status.State == canary.Running {
-			since := clock.Millis(c.wall() - status.Began)
+			since := clock.Millis(c.wall() - status.StartedAt)
 			known.began -= min(max(since, 0), order.Duration)
 			known.restarted = true
 		}
@@ -205,7 +205,7 @@
 		if status.State == canary.Completed {
 			previous = status.Version
 		}
-		status = canary.Status{Order: order, Previous: previous, Earlier: status.Followed()}
+		status = canary.Status{Order: order, Previous: previous, Earlier: status.History()}
 	}
 	if known.status.State != status.State {
 		c.meter.event(order.Pool, string(status.State))
@@ -274,8 +274,8 @@
 	if r == nil || len(candidates) == 0 {
 		return nil
 	}
-	tried := canary.Endpoints(r.plan.Load().Other, len(candidates))
-	first := canary.First(c.clock.Since(r.began), tried, len(candidates))
+	tried := canary.ActiveEndpoints(r.plan.Load().DefaultShare, len(candidates))
+	first := canary.FirstActive(c.clock.Since(r.began), tried, len(candidates))
 	some := make([]*view.Endpoint, 0, tried)
 	for i := range tried {
 		some = append(some, candidates[(first+i)%len(candidates)])
--- a/internal/serve/deploy/record.go
+++ b/internal/serve/deploy/record.go
@@ -76,15 +76,15 @@
 	plan := canary.NewPlan(r.order, c.bounds, evidence, now-r.began, func(route string) bool { return c.repeatsFunc(r.order.Pool, route) })
 	if r.decided {
 		// The decision stands, even if the bounds no longer allow the requests.
-		plan = &canary.Plan{Other: 1, Promoting: true, Due: true}
+		plan = &canary.Plan{DefaultShare: 1, Promoting: true, Due: true}
 	}
-	r.decided = r.decided || (plan.Due && !plan.Unpaid)
+	r.decided = r.decided || (plan.Due && !plan.OverBudget)
 	r.plan.Store(plan)
 	if plan.Promoting && !r.promoting && !r.suspended.Load() {
 		r.promoting = true
-		r.judge.Promote()
+		r.judge.JudgeFailuresOnly()
 		sent, candidate, answers := evidence.Totals()
-		stableTimes, candidateTimes := evidence.Times()
+		stableTimes, candidateTimes := evidence.MedianRatios()
 		c.log.Info("rollout promoting", "pool", r.order.Pool, "version", r.order.Version, "elapsedMs", int64(now-r.began),
 			"sent", sent, "candidate", candidate, "answers", answers, "stableTimes", stableTimes, "candidateTimes", candidateTimes)
 	}
@@ -94,7 +94,7 @@
 func (c *Controller) next(r *rollout, status canary.Status) (canary.Status, bool) {
 	elapsed := c.clock.Since(r.began)
 	next := canary.Status{
-		Order: r.order, Previous: status.Previous, State: canary.Running, Began: c.wall() - int64(elapsed), Earlier: status.Earlier,
+		Order: r.order, Previous: status.Previous, State: canary.Running, StartedAt: c.wall() - int64(elapsed), Earlier: status.Earlier,
 	}
 	if status.State == "" {
 		previous, refusal := c.previous(r, status)
@@ -105,9 +105,9 @@
 		next.Previous = previous
 		return next, true
 	}
-	next.Began = status.Began
+	next.StartedAt = status.StartedAt
 	evidence := canary.NewEvidence(r.order, r.trials(c.clock.Now()), c.peers.TrialsFunc())
-	next.Sent, next.Candidate, next.Answers = evidence.Totals()
+	next.Sent, next.CandidateSent, next.CandidateAnswers = evidence.Totals()
 	next.Routes = evidence.ByRoute()
 	if r.suspended.Load() {
 		next.State, next.Reason = canary.RolledBack, "bad"
@@ -120,12 +120,12 @@
 	if !plan.Due {
 		return next, false
 	}
-	if plan.Unpaid {
+	if plan.OverBudget {
 		next.State, next.Reason = canary.RolledBack, "the order is too short: more requests than the candidate may get would reach it before the deadline"
 		return next, true
 	}
-	if next.Answers < canary.LeastAnswers || len(c.viewFunc().Candidates(r.order.Pool)) == 0 {
-		next.State, next.Reason = canary.RolledBack, fmt.Sprintf("only %d answers until the deadline", next.Answers)
+	if next.CandidateAnswers < canary.MinAnswers || len(c.viewFunc().Candidates(r.order.Pool)) == 0 {
+		next.State, next.Reason = canary.RolledBack, fmt.Sprintf("only %d answers until the deadline", next.CandidateAnswers)
 		return next, true
 	}
 	next.State = canary.Completed
--- a/internal/serve/deploy/rollout.go
+++ b/internal/serve/deploy/rollout.go
@@ -57,7 +57,7 @@
 // counter counts the answers of one key.
 type counter struct {
 	sent, answers, failed, took atomic.Int64
-	spread                      [canary.Classes]atomic.Int64
+	spread                      [canary.Buckets]atomic.Int64
 }
 
 func (r *rollout) counter(key wire.TrialKey) *counter {
@@ -78,8 +78,8 @@
 	r.open.Range(func(key, _ any) bool {
 		a := key.(*Attempt)
 		if times := a.times(now); times >= overdue && !a.fresh {
-			spread := make([]int64, canary.Classes)
-			spread[canary.Class(times)] = 1
+			spread := make([]int64, canary.Buckets)
+			spread[canary.Bucket(times)] = 1
 			byKey[a.key] = byKey[a.key].Plus(wire.Trial{Answers: 1, Spread: spread})
 		}
 		return true
@@ -150,7 +150,7 @@
 			a.controller.meter.failed(a.key.Pool, a.key.Version)
 		}
 	case !a.fresh:
-		c.spread[canary.Class(a.times(now))].Add(1)
+		c.spread[canary.Bucket(a.times(now))].Add(1)
 	}
 }
 
@@ -193,7 +193,7 @@
 	key.Route += pausesOf
 	c := a.rollout.counter(key)
 	c.answers.Add(1)
-	c.spread[canary.Class(mean/pauseUnit)].Add(1)
+	c.spread[canary.Bucket(mean/pauseUnit)].Add(1)
 }
 
 // AnswerUnit stands for the expected duration of answers where none is known, in
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -113,13 +113,13 @@
 // retire gives an endpoint no new work and ends the session to it when the
 // calls that are there can't run any more.
 func (e *Entry) retire(name, address string) {
-	e.peers.Bar(name, address, pool.BarLeaving, true)
+	e.peers.Bar(name, address, pool.ExcludeLeaving, true)
 	e.sharing.group.Go(func() {
 		_ = e.clock.Sleep(e.base, retireAfter)
 		e.sharing.mu.Lock()
 		defer e.sharing.mu.Unlock()
 		if _, again := e.sharing.held[address]; again {
-			e.peers.Bar(name, address, pool.BarLeaving, false)
+			e.peers.Bar(name, address, pool.ExcludeLeaving, false)
 			return
 		}
 		e.peers.Disconnect([]string{address})
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -49,7 +49,7 @@
 	g.Log.Info("request sent", "request", req.Request, "route", req.route.Name, "pool", req.pool.Name,
 		"endpoint", t.ID, "version", t.Version, "running", t.Load.Running.Load(), "peerRunning", t.Load.PeerRunning.Load(),
 		"prefill", t.Load.Prefill.Load()+t.Load.PeerPrefill.Load(), "unread", chosen.unread, "delayMs", int64(chosen.delay),
-		"zone", t.Zone, "wish", req.wish, "farBytes", req.farBytes(t.Zone), "cold", t.Cold(now), "heardMs", int64(now-t.Heard()), "sent", req.sent, "timeLeftMs", int64(req.deadline-now))
+		"zone", t.Zone, "wish", req.wish, "farBytes", req.farBytes(t.Zone), "cold", t.Cold(now), "heardMs", int64(now-t.UpdatedAt()), "sent", req.sent, "timeLeftMs", int64(req.deadline-now))
 	l := g.countLoad(t, req, chosen)
 	defer l.end()
 	ctx, cancel := context.WithCancel(ctx)
@@ -107,7 +107,7 @@
 	t.Load.Running.Add(1)
 	l.alone = t.Load.Prefill.Load()+t.Load.PeerPrefill.Load() == 0
 	l.from = g.Clock.Now()
-	t.Load.Sent(l.prefill, g.rates.of(req.pool.Name).TokensPerMs(), l.from)
+	t.Load.AddPrompt(l.prefill, g.rates.of(req.pool.Name).TokensPerMs(), l.from)
 	t.Load.Memory.Add(l.memory)
 	if l.prefill >= longPrompt {
 		g.mesh.Tell()
@@ -239,7 +239,7 @@
 	now := g.Clock.Now()
 	var full *conn.FullError
 	if errors.As(err, &full) {
-		t.Bar(now + fullBar)
+		t.Block(now + fullBar)
 		return result{end: unsent, err: fault.Refuse(fault.QueueFull, err.Error())}
 	}
 	t.Failed(now)
@@ -297,7 +297,7 @@
 	case http.StatusBadRequest:
 		return result{end: notRun, err: fault.Refuse(fault.BadRequest, "the endpoint refused the request")}
 	}
-	t.Bar(now + fullBar)
+	t.Block(now + fullBar)
 	return result{end: notRun, err: refuseAgain(fault.Overloaded, comeBackFull)}
 }
 
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -56,7 +56,7 @@
 	for i, e := range endpoints {
 		t := g.targets.Of(e)
 		found[i] = t
-		if e.Out() || slices.Contains(req.tried, e) || (!barred && e.Barred(now)) {
+		if e.Unavailable() || slices.Contains(req.tried, e) || (!barred && e.Blocked(now)) {
 			shut[i] = true
 			continue
 		}
@@ -100,7 +100,7 @@
 		}
 		if usual || (grouped && g.targets.Of(e).Holds(group, now)) || (e.Cold(now) && g.mesh.Owns(e.ID)) {
 			candidates = append(candidates, e)
-			usable = usable || (!e.Barred(now) && !e.Out() && !slices.Contains(req.tried, e))
+			usable = usable || (!e.Blocked(now) && !e.Unavailable() && !slices.Contains(req.tried, e))
 		}
 	}
 	if !usable {
@@ -124,7 +124,7 @@
 		return nil
 	}
 	takes := func(e *view.Endpoint) bool {
-		return !e.Out() && !e.Barred(now) && !slices.Contains(req.tried, e) && (!e.Cold(now) || g.mesh.Owns(e.ID))
+		return !e.Unavailable() && !e.Blocked(now) && !slices.Contains(req.tried, e) && (!e.Cold(now) || g.mesh.Owns(e.ID))
 	}
 	if !slices.ContainsFunc(next, takes) {
 		return nil
@@ -167,18 +167,18 @@
 	hot := g.prefixes.Hot(req.parts, now)
 	rate := g.rates.of(req.pool.Name).TokensPerMs()
 	for i, t := range found {
-		engines[i] = place.Engine{ID: t.ID, Zone: t.Zone, Shut: shut[i], Capacity: req.pool.Generation.Tokens}
+		engines[i] = place.Engine{ID: t.ID, Zone: t.Zone, Excluded: shut[i], Capacity: req.pool.Generation.Tokens}
 		if shut[i] {
 			continue
 		}
 		engines[i].Running = t.Load.Running.Load() + t.Load.PeerRunning.Load()
-		engines[i].Prefill = t.Load.Unread(rate, now) + t.Load.PeerPrefill.Load()
+		engines[i].Prefill = t.Load.PendingPrefill(rate, now) + t.Load.PeerPrefill.Load()
 		engines[i].Planned = req.othersPlanned(t)
 		engines[i].Memory = t.Load.Memory.Load() + t.Load.PeerMemory.Load()
 		engines[i].Slots = int64(req.pool.Generation.Slots)
 		engines[i].Cached, engines[i].CachedHot = t.Cached(req.Parts, req.parts, hot, now)
 	}
-	at, delay := place.Generation(req.prompt(hot, rate, now), engines)
+	at, delay := place.ChooseEngine(req.prompt(hot, rate, now), engines)
 	if at == place.NoEngine {
 		return choice{wait: wait}
 	}
@@ -191,13 +191,13 @@
 	p := &place.Prompt{TokensPerMs: rate, Tokens: r.PromptTokens, Output: r.outputTokens(), Slack: r.objective - now}
 	shared := max(len(r.Parts)-1, 0) // the last part is the request's own
 	for i, part := range r.Parts[:shared] {
-		p.Group = part.ID
+		p.LastPart = part.ID
 		if hot[i] {
 			p.Hot += part.Tokens
 		}
 	}
 	if shared > 0 {
-		p.First = r.Parts[0].ID
+		p.FirstPart = r.Parts[0].ID
 	}
 	if r.run == nil {
 		return p
@@ -245,17 +245,17 @@
 func (g *Gate) chooseServer(found []*target.Target, shut []bool, wait clock.Millis) choice {
 	servers := make([]place.Server, len(found))
 	for i, t := range found {
-		servers[i] = place.Server{Shut: shut[i]}
+		servers[i] = place.Server{Excluded: shut[i]}
 		if shut[i] {
 			continue
 		}
 		running := max(t.Load.Running.Load()+t.Load.PeerRunning.Load(), 0)
-		servers[i] = place.Server{Near: t.Zone == g.Zone, Running: running, Slots: int64(t.Slots), Recent: t.Speed()}
+		servers[i] = place.Server{SameZone: t.Zone == g.Zone, Running: running, Slots: int64(t.Slots), Latency: t.Speed()}
 	}
 	if len(servers) == 0 {
 		return choice{wait: wait}
 	}
-	at := place.Plain(servers, rand.IntN(len(servers)))
+	at := place.ChooseServer(servers, rand.IntN(len(servers)))
 	if at == place.NoEngine {
 		return choice{wait: wait}
 	}
@@ -302,5 +302,5 @@
 // Unread returns the prompt tokens that this process sent to an endpoint and
 // that are probably still to be read.
 func (g *Gate) Unread(e *view.Endpoint) int64 {
-	return e.Load.Unread(g.rates.of(e.Pool).TokensPerMs(), g.Clock.Now())
+	return e.Load.PendingPrefill(g.rates.of(e.Pool).TokensPerMs(), g.Clock.Now())
 }
--- a/internal/serve/gate/crash.go
+++ b/internal/serve/gate/crash.go
@@ -233,12 +233,12 @@
 	if b.key != (crash.Key{}) {
 		all = append(all, b)
 	}
-	endpoint := b.target.ID + "/" + strconv.FormatInt(b.target.Born, 10)
+	endpoint := b.target.ID + "/" + strconv.FormatInt(b.target.StartedAt, 10)
 	for _, under := range all {
 		crashes, begins := g.crashes.Crashed(under.key, endpoint, g.Clock.Now())
 		g.meter.crashes.WithLabelValues(b.target.Pool).Inc()
 		g.Log.Info("endpoint crashed under request", "request", under.request, "key", under.key, "pool", b.target.Pool,
-			"endpoint", b.target.ID, "born", b.target.Born, "endedMs", int64(g.Clock.Since(under.at)), "crashes", crashes)
+			"endpoint", b.target.ID, "born", b.target.StartedAt, "endedMs", int64(g.Clock.Since(under.at)), "crashes", crashes)
 		if begins {
 			g.noteQuarantine(under.key, "crashes here")
 		}
--- a/internal/serve/gate/crash_test.go
+++ b/internal/serve/gate/crash_test.go
@@ -110,10 +110,10 @@
 			assert.NilError(t, err)
 			defer func() { _ = listener.Close() }()
 			b := view.New()
-			entry := view.Entry{ID: "e", Address: listener.Addr().String(), Pool: "p", Born: 1}
+			entry := view.Entry{ID: "e", Address: listener.Addr().String(), Pool: "p", StartedAt: 1}
 			b.Put(entry, 1)
 			b.Publish()
-			e := &target.Target{Endpoint: b.Now().Find("e")}
+			e := &target.Target{Endpoint: b.Snapshot().Find("e")}
 			if entry.Leaving = leaving; leaving {
 				b.Put(entry, 2)
 				assert.NilError(t, listener.Close())
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -105,7 +105,7 @@
 	g.targets = target.NewSet(g.Clock, g.mostConns, g.meter.dialed)
 	g.prefixes = target.NewPrefixes(g.targets)
 	g.extras = extra.New(g.Clock, g.extraBounds, func() int { return g.mesh.Count() })
-	g.pieceExtras = extra.New(g.Clock, g.extraBounds, func() int { return g.View().MostShards() + 1 })
+	g.pieceExtras = extra.New(g.Clock, g.extraBounds, func() int { return g.View().MaxShards() + 1 })
 	g.subsets.process, g.subsets.zone = settings.Name, settings.Zone
 	g.subsets.processes = func() int { return g.mesh.Count() }
 	g.cut, g.cutAll = context.WithCancel(context.Background())
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -270,7 +270,7 @@
 		// Its results lie in the engine's memory, though nobody knows their names.
 		e.memory.Doubt()
 	} else {
-		e.Bar(now + bar)
+		e.Block(now + bar)
 	}
 	h.Meter.failed(h.poolOf(q.name))
 	for _, item := range items {
@@ -331,7 +331,7 @@
 	if failed == len(results) {
 		// It answered at once. Without a pause it would be asked hundreds of times
 		// a second, and each piece would soon have been sent too often.
-		e.Bar(now + barNoRoom)
+		e.Block(now + barNoRoom)
 	}
 }
 
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -25,11 +25,11 @@
 func (h *Host) usableOf(q *queue, pool *table.Batching, endpoints []*view.Endpoint) (all int, free []*engine) {
 	now := h.Clock.Now()
 	for _, endpoint := range endpoints {
-		if endpoint.Out() {
+		if endpoint.Unavailable() {
 			continue
 		}
 		all++ // one that failed a moment ago, too: it is back before a queue of any length
-		if endpoint.Barred(now) {
+		if endpoint.Blocked(now) {
 			continue
 		}
 		e := q.engine(endpoint)
--- a/internal/serve/host/host_test.go
+++ b/internal/serve/host/host_test.go
@@ -150,15 +150,15 @@
 	book := view.New()
 	var entries []view.Entry
 	for _, e := range engines {
-		entries = append(entries, view.Entry{ID: e.name, Born: 1, Address: strings.TrimPrefix(e.server.URL, "http://"), Pool: pool})
+		entries = append(entries, view.Entry{ID: e.name, StartedAt: 1, Address: strings.TrimPrefix(e.server.URL, "http://"), Pool: pool})
 	}
-	book.List(entries, 1, 0)
+	book.Sync(entries, 1, 0)
 	book.Publish()
 	groups := map[*view.Endpoint]*conn.Group{}
-	book.Now().Each(func(e *view.Endpoint) { groups[e] = conn.New(e.Address) })
+	book.Snapshot().Each(func(e *view.Endpoint) { groups[e] = conn.New(e.Address) })
 	b.Host = host.New(t.Context(), host.Settings{
 		Clock: clock.New(), Log: log.New(io.Discard), Spelling: spelling(),
-		Table: func() *table.Table { return routes }, View: book.Now,
+		Table: func() *table.Table { return routes }, View: book.Snapshot,
 		Conns: func(e *view.Endpoint) *conn.Group { return groups[e] },
 		Retry: func(string) bool { return b.extras.Add(-1) >= 0 }, Earn: func(string) {},
 		Meter: host.NewMeter(prometheus.NewRegistry()),
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -67,7 +67,7 @@
 	if pool == nil || pool.Queue > 0 || !others {
 		return
 	}
-	e.Bar(now + barFull)
+	e.Block(now + barFull)
 	e.memory.Doubt()
 }
 
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -128,7 +128,7 @@
 	f.knows(f.all)
 	plan := planOf(membersOf(f.all))
 	for _, p := range f.all {
-		if !plan.Aggregates(p.member.Name) {
+		if !plan.IsAggregator(p.member.Name) {
 			assert.Assert(t, p.Sessions() <= 2, "%s has %d sessions", p.member.Name, p.Sessions())
 		}
 	}
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -216,11 +216,11 @@
 // reports otherwise.
 func (m *Mesh) chooseRole(now clock.Millis) {
 	r, plan, before := &m.reports, m.view.Load().plan, m.uplink.Load()
-	acting := plan.Aggregates(m.self.Name) || m.book.Reporters(m.self.Name) > 0
+	acting := plan.IsAggregator(m.self.Name) || m.book.Reporters(m.self.Name) > 0
 	to := ""
 	if !acting {
 		m.avoidSilent(before.aggregator, now)
-		to = plan.For(m.self.Name, m.self.Zone, func(name string) bool { return r.avoided[name] > now })
+		to = plan.AggregatorFor(m.self.Name, m.self.Zone, func(name string) bool { return r.avoided[name] > now })
 		acting = to == ""
 	}
 	if acting && !r.acting {
--- a/internal/serve/mesh/view.go
+++ b/internal/serve/mesh/view.go
@@ -88,14 +88,14 @@
 	for _, member := range m.members {
 		processes = append(processes, processOf(member))
 	}
-	return len(processes) < leastPeers || len(owner.Strong(processes)) == len(processes) || isStrong(m.self, processes)
+	return len(processes) < leastPeers || len(owner.Eligible(processes)) == len(processes) || isStrong(m.self, processes)
 }
 
 // leastPeers is the number of processes up to which each reads the lists itself.
 const leastPeers = 8
 
 func isStrong(self Member, processes []owner.Process) bool {
-	return slices.ContainsFunc(owner.Strong(processes), func(p owner.Process) bool { return p.Name == self.Name })
+	return slices.ContainsFunc(owner.Eligible(processes), func(p owner.Process) bool { return p.Name == self.Name })
 }
 
 // Watches reports whether this process watches the store for others.
@@ -114,7 +114,7 @@
 	}
 	name := owner.Of(subject, v.processes)
 	if zone != "" {
-		name = owner.In(subject, zone, v.processes)
+		name = owner.InZone(subject, zone, v.processes)
 	}
 	v.owners.Store(key, name)
 	return name
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -114,7 +114,7 @@
 	member := l.peers.Pool(peer.Pool)
 	endpoint := member.Add(pool.Identity{
 		Pool: peer.Pool, Name: peer.Endpoint, AvailabilityZone: peer.AvailabilityZone, Address: l.address,
-	}, pool.BarSilent)
+	}, pool.ExcludeUnreachable)
 	l.mu.Lock()
 	l.session, l.closing, l.endpoint, l.member, l.leaving = s, false, endpoint, member, peer.Leaving
 	l.withdrawAgain(s)
@@ -125,10 +125,10 @@
 	l.mu.Unlock()
 	l.report(peer.Load)
 	l.peers.links.Store(endpoint, l)
-	member.SetBar(endpoint.Name, pool.BarLeaving, peer.Leaving)
+	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, peer.Leaving)
 	l.peers.bar(member)
 	// Only now may it be chosen.
-	member.SetBar(endpoint.Name, pool.BarSilent, false)
+	member.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, false)
 	l.peers.meter.Sessions.Inc()
 	l.peers.openedFunc(s, l.address)
 }
@@ -141,7 +141,7 @@
 	}
 	endpoint, member := l.endpoint, l.member
 	l.mu.Unlock()
-	member.SetBar(endpoint.Name, pool.BarSilent, true)
+	member.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, true)
 	l.peers.meter.Sessions.Dec()
 	l.peers.closedFunc(s, l.address)
 	if ctx.Err() != nil {
@@ -344,7 +344,7 @@
 	if load == nil || endpoint == nil {
 		return
 	}
-	endpoint.Reported(l.peers.clock.Now(), pool.Report{
+	endpoint.SetReport(l.peers.clock.Now(), pool.Report{
 		Load: load.Running + load.Queued, Limit: load.Limit, Cold: load.Cold,
 		ServiceTime: load.ServiceTime, PrefixEpoch: load.PrefixEpoch,
 	})
@@ -358,7 +358,7 @@
 	if endpoint == nil {
 		return
 	}
-	member.SetBar(endpoint.Name, pool.BarLeaving, !leave.Back)
+	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Back)
 	if leave.Closing {
 		l.mu.Lock()
 		l.closing = true
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -166,7 +166,7 @@
 }
 
 // Bar sets or lifts a reason against new work for the endpoint at an address.
-func (p *Peers) Bar(name, address string, bar pool.Bar, set bool) {
+func (p *Peers) Bar(name, address string, bar pool.Exclusion, set bool) {
 	p.mu.Lock()
 	l := p.address[address]
 	p.mu.Unlock()
@@ -177,7 +177,7 @@
 	endpoint := l.endpoint
 	l.mu.Unlock()
 	if endpoint != nil {
-		p.Pool(name).SetBar(endpoint.Name, bar, set)
+		p.Pool(name).SetExclusion(endpoint.Name, bar, set)
 	}
 }
 
@@ -270,8 +270,8 @@
 		if release == nil {
 			return
 		}
-		member.Apply(pool.BarZoneLeft, func(i pool.Identity) bool { return release.ZoneHasLeft(i.AvailabilityZone) })
-		member.Apply(pool.BarTakenOut, func(i pool.Identity) bool { return release.EndpointHasLeft(i.Pool, i.Name) })
+		member.Apply(pool.ExcludeZone, func(i pool.Identity) bool { return release.ZoneHasLeft(i.AvailabilityZone) })
+		member.Apply(pool.ExcludeDisabled, func(i pool.Identity) bool { return release.EndpointHasLeft(i.Pool, i.Name) })
 		if p.holder.Current() == release {
 			return
 		}
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -62,8 +62,8 @@
 	if away >= blindAfter {
 		g.back, wait = now, patience
 	}
-	first := !g.book.Now().Complete()
-	changes := g.book.List(entries, now, wait)
+	first := !g.book.Snapshot().Complete()
+	changes := g.book.Sync(entries, now, wait)
 	g.book.Publish()
 	g.bookLock.Unlock()
 	if first {
@@ -124,11 +124,11 @@
 		switch {
 		case change.Before != nil:
 			g.gate.EndpointGone(change.Before)
-		case change.What == view.Lost:
+		case change.Kind == view.Gone:
 			g.gate.EndpointGone(e)
 		}
-		g.Log.Info("endpoint changed", "endpoint", e.ID, "what", change.What, "pool", e.Pool, "availabilityZone", e.Zone,
-			"address", e.Address, "born", e.Born, "version", e.Version)
+		g.Log.Info("endpoint changed", "endpoint", e.ID, "what", change.Kind, "pool", e.Pool, "availabilityZone", e.Zone,
+			"address", e.Address, "born", e.StartedAt, "version", e.Version)
 	}
 }
 
@@ -163,7 +163,7 @@
 
 func (g *Gateway) setEmptied(zones []string) {
 	g.bookLock.Lock()
-	g.book.SetEmptied(zones)
+	g.book.SetEvacuated(zones)
 	g.book.Publish()
 	g.bookLock.Unlock()
 	g.Log.Info("emptied availability zones", "zones", zones)
--- a/internal/serve/router/harness_test.go
+++ b/internal/serve/router/harness_test.go
@@ -207,7 +207,7 @@
 		Registry: g.registry, Dialect: platform.Dialect(),
 		Store:    platform.NewStore("http://"+b.Address, &http.Client{Transport: toStore}, clock.Second, 300),
 		Bounds:   gate.Bounds{ExtraShare: 0.2, ExtraSpare: 50, ExtraWindow: 10 * clock.Second, ColdShare: 1.5, ColdSpare: 5},
-		Rollouts: b.rollouts, RolloutBounds: canary.Bounds{Share: rolloutShare, Spare: rolloutSpare},
+		Rollouts: b.rollouts, RolloutBounds: canary.Bounds{Share: rolloutShare, Base: rolloutSpare},
 	})
 	servers := []*http.Server{
 		serve(sessions, g.SessionHandler()), serve(callers, g.Handler()), serve(ready, g.ReadyHandler()),
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -72,7 +72,7 @@
 
 // owns reports whether this process owns a pool that is not divided, or a shard.
 func (g *Gateway) owns(name string) bool {
-	part := g.book.Now().Shard(name)
+	part := g.book.Snapshot().Shard(name)
 	return part != nil && g.mesh.OwnerIn(name, part.Zone) == g.Name
 }
 
@@ -100,7 +100,7 @@
 
 // setWork takes what peers have running at endpoints: what changed, or all.
 func (g *Gateway) setWork(work []wire.Work, whole bool) {
-	endpoints := g.book.Now()
+	endpoints := g.book.Snapshot()
 	if whole {
 		endpoints.Each(func(e *view.Endpoint) { e.Load.SetPeers(view.Work{}) })
 	}
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -100,7 +100,7 @@
 	incarnation token.Incarnation
 	began       clock.Millis
 	table       atomic.Pointer[table.Table]
-	book        *view.Book
+	book        *view.Registry
 	bookLock    sync.Mutex
 	back        clock.Millis // when the store came back last
 	member      atomic.Bool  // whether this process is listed
@@ -127,11 +127,11 @@
 	g.makeBook()
 	g.gate = gate.New(gate.Settings{
 		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Registry: g.Registry, Name: g.Name, Zone: g.Zone,
-		Table: g.table.Load, View: g.book.Now, Starting: g.starting, Deploy: g.deploy,
+		Table: g.table.Load, View: g.book.Snapshot, Starting: g.starting, Deploy: g.deploy,
 	})
 	g.SetBounds(settings.Bounds)
 	g.host = host.New(ctx, host.Settings{
-		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.book.Now,
+		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.book.Snapshot,
 		Conns: g.gate.Conns, Retry: g.gate.PieceExtras().Take, Earn: g.gate.PieceExtras().Earn, Meter: host.NewMeter(g.Registry),
 		Deploy: g.deploy,
 	})
@@ -157,7 +157,7 @@
 	g.book = view.New(view.WithVersions())
 	g.deploy = deploy.New(g.Dialect.RolloutKind, g.Store, g.Dialect.Rollouts,
 		deploy.WithClock(g.Clock), deploy.WithLog(g.Log), deploy.WithRegistry(g.Registry), deploy.WithBounds(g.RolloutBounds),
-		deploy.WithView(g.book.Now, g.setRollouts),
+		deploy.WithView(g.book.Snapshot, g.setRollouts),
 		deploy.WithPools(g.knowsPool, g.repeats),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -238,7 +238,7 @@
 		x.flights[action.Try] = flight{}
 		return false
 	}
-	endpoint.Sent()
+	endpoint.RecordSend()
 	if x.retry != "" {
 		x.meter.Retried.WithLabelValues(x.job.pool, string(x.retry)).Inc()
 		x.retry = ""
@@ -262,14 +262,14 @@
 	now := x.clock.Now()
 	switch state {
 	case trace.Answered:
-		f.endpoint.Answered(now, max(now-f.sentAt, 1))
+		f.endpoint.RecordAnswer(now, max(now-f.sentAt, 1))
 		if x.job.affine {
-			x.member.Prefix.Ran(x.job.prefix, f.endpoint)
+			x.member.Prefix.Record(x.job.prefix, f.endpoint)
 		}
 	case trace.Withdrawn:
-		f.endpoint.GivenUp(now, now-f.sentAt)
+		f.endpoint.RecordCancel(now, now-f.sentAt)
 	default:
-		f.endpoint.Answered(now, 0)
+		f.endpoint.RecordAnswer(now, 0)
 	}
 	x.job.record.Ended(f.id.Stage, try, now, state, reason)
 }
--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -177,7 +177,7 @@
 }
 
 // Replaced keeps requests away because another endpoint has the address now.
-func (t *Target) Replaced(now clock.Millis) { t.Bar(now + maxBar) }
+func (t *Target) Replaced(now clock.Millis) { t.Block(now + maxBar) }
 
 // Failed keeps requests away from the endpoint, longer with each failure in a row.
 func (t *Target) Failed(now clock.Millis) {
@@ -186,5 +186,5 @@
 	t.failures++
 	t.wrong += answerWeight * (1 - t.wrong)
 	t.mu.Unlock()
-	t.Bar(now + bar)
+	t.Block(now + bar)
 }
