--- a/internal/serve/gate/again.go
+++ b/internal/serve/gate/again.go
@@ -47,8 +47,8 @@
 	g.recall.Refuse(recall.Refusal{Key: key, First: req.arrived, Return: now + refused.RetryAfter}, now)
 }
 
-// Refused returns the callers told to come back that peers don't know of yet.
-func (g *Gate) Refused() []wire.Refused {
+// UnsentRefusals returns the callers told to come back that peers don't know of yet.
+func (g *Gate) UnsentRefusals() []wire.Refused {
 	now := g.Clock.Now()
 	var refused []wire.Refused
 	for _, refusal := range g.recall.Untold() {
@@ -57,8 +57,8 @@
 	return refused
 }
 
-// TakeRefused remembers callers that a peer told to come back.
-func (g *Gate) TakeRefused(refused []wire.Refused) {
+// AddPeerRefusals remembers callers that a peer told to come back.
+func (g *Gate) AddPeerRefusals(refused []wire.Refused) {
 	now := g.Clock.Now()
 	refusals := make([]recall.Refusal, 0, len(refused))
 	for _, r := range refused {
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -299,8 +299,8 @@
 	}
 }
 
-// Unread returns the prompt tokens that this process sent to an endpoint and
+// UnreadTokens returns the prompt tokens that this process sent to an endpoint and
 // that are probably still to be read.
-func (g *Gate) Unread(e *view.Endpoint) int64 {
+func (g *Gate) UnreadTokens(e *view.Endpoint) int64 {
 	return e.Load.Unread(g.rates.of(e.Pool).TokensPerMs(), g.Clock.Now())
 }
--- a/internal/serve/gate/crash.go
+++ b/internal/serve/gate/crash.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// EndpointGone has an endpoint looked at whose entry is gone.
-func (g *Gate) EndpointGone(e *view.Endpoint) {
+// CheckRemovedEndpoint has an endpoint looked at whose entry is gone.
+func (g *Gate) CheckRemovedEndpoint(e *view.Endpoint) {
 	if g.watch.left(e) {
 		g.look(unfinished{target: g.targets.Of(e), at: g.Clock.Now()})
 	}
@@ -272,9 +272,9 @@
 // Quarantines returns the book of requests under which endpoints crashed.
 func (g *Gate) Quarantines() *crash.Book { return g.crashes }
 
-// Crashes returns what peers have not been sent yet of requests under which
+// UnsentCrashes returns what peers have not been sent yet of requests under which
 // endpoints crashed.
-func (g *Gate) Crashes() []wire.Crash {
+func (g *Gate) UnsentCrashes() []wire.Crash {
 	reports, dropped := g.crashes.Unsent()
 	if dropped > 0 {
 		g.Log.Warn("crashes not reported", "dropped", dropped)
@@ -286,8 +286,8 @@
 	return crashes
 }
 
-// TakeCrashes takes what a peer learned.
-func (g *Gate) TakeCrashes(crashes []wire.Crash) {
+// AddPeerCrashes takes what a peer learned.
+func (g *Gate) AddPeerCrashes(crashes []wire.Crash) {
 	reports := make([]crash.Report, 0, len(crashes))
 	for _, c := range crashes {
 		if len(c.Key) == len(crash.Key{}) {
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -115,18 +115,18 @@
 // SetBounds changes what may change while the gate serves.
 func (g *Gate) SetBounds(bounds Bounds) { g.bounds.Store(&bounds) }
 
-// Staying reports whether no planned stop has begun.
-func (g *Gate) Staying() bool { return !g.leaving.Load() }
+// NotDraining reports whether no planned stop has begun.
+func (g *Gate) NotDraining() bool { return !g.leaving.Load() }
 
 // Sweep forgets endpoints that are gone and closes unused connections.
 func (g *Gate) Sweep() { g.targets.Sweep() }
 
-// EachUsed calls visit for every endpoint that this process has used.
-func (g *Gate) EachUsed(visit func(*view.Endpoint)) { g.targets.Each(visit) }
+// EachUsedEndpoint calls visit for every endpoint that this process has used.
+func (g *Gate) EachUsedEndpoint(visit func(*view.Endpoint)) { g.targets.Each(visit) }
 
-// Interest returns the endpoints that this process uses normally, nil while it uses
+// SubsetEndpoints returns the endpoints that this process uses normally, nil while it uses
 // all of every pool.
-func (g *Gate) Interest() []string { return g.subsets.interest(g.View(), g.Table()) }
+func (g *Gate) SubsetEndpoints() []string { return g.subsets.interest(g.View(), g.Table()) }
 
 // Conns returns the connections to an endpoint.
 func (g *Gate) Conns(e *view.Endpoint) *conn.Group { return g.targets.Of(e).Conns }
@@ -136,19 +136,19 @@
 	return extra.Bounds{Share: bounds.ExtraShare, Spare: bounds.ExtraSpare, Window: bounds.ExtraWindow}
 }
 
-// PieceExtras returns the budget for pieces that are sent once more to the
+// PieceRetryBudget returns the budget for pieces that are sent once more to the
 // stage engines of pools that this process owns. The owners of a pool's shards
 // share it, and for some moments the owner before one of them.
-func (g *Gate) PieceExtras() *extra.Budget { return g.pieceExtras }
+func (g *Gate) PieceRetryBudget() *extra.Budget { return g.pieceExtras }
 
-// Prefixes returns what peers have not been told yet of prompts that were sent.
-func (g *Gate) Prefixes() []wire.PrefixUse { return g.prefixes.Untold() }
+// UnsentPrefixes returns what peers have not been told yet of prompts that were sent.
+func (g *Gate) UnsentPrefixes() []wire.PrefixUse { return g.prefixes.Untold() }
 
-// Inflow returns what requests under way will ask stage engines for.
-func (g *Gate) Inflow() []inflow.Load { return g.inflow.Loads(g.Clock.Now()) }
+// PendingArrivals returns what requests under way will ask stage engines for.
+func (g *Gate) PendingArrivals() []inflow.Load { return g.inflow.Loads(g.Clock.Now()) }
 
-// TakePrefixes remembers what a peer sent.
-func (g *Gate) TakePrefixes(uses []wire.PrefixUse) { g.prefixes.Take(uses, g.View().Find) }
+// AddPeerPrefixes remembers what a peer sent.
+func (g *Gate) AddPeerPrefixes(uses []wire.PrefixUse) { g.prefixes.Take(uses, g.View().Find) }
 
 // mostConns is this process's part of the connections that an endpoint accepts
 // from everybody; an eighth is left for processes that start just now.
@@ -164,9 +164,9 @@
 	return max(pool.MaxConns*7/8/max(g.mesh.Count(), 1), 2)
 }
 
-// Join sets the processes that pools are shared with, and the host of the
+// Attach sets the processes that pools are shared with, and the host of the
 // pools that this process owns.
-func (g *Gate) Join(m *mesh.Mesh, h *host.Host) { g.mesh, g.host = m, h }
+func (g *Gate) Attach(m *mesh.Mesh, h *host.Host) { g.mesh, g.host = m, h }
 
 // Handler serves callers: every method and path, since routes decide.
 func (g *Gate) Handler() http.Handler { return http.HandlerFunc(g.serve) }
@@ -191,15 +191,15 @@
 	return !g.leaving.Load() && g.Table() != nil && g.View().Complete()
 }
 
-// Leave begins a planned stop: the process is not ready any more, and asks
+// StartDrain begins a planned stop: the process is not ready any more, and asks
 // callers to open new connections, which lead elsewhere.
-func (g *Gate) Leave() { g.leaving.Store(true) }
+func (g *Gate) StartDrain() { g.leaving.Store(true) }
 
-// Refuse has requests refused that come from now on.
-func (g *Gate) Refuse() { g.refusing.Store(true) }
+// RefuseNew has requests refused that come from now on.
+func (g *Gate) RefuseNew() { g.refusing.Store(true) }
 
-// Open returns the number of requests that are not finished.
-func (g *Gate) Open() int64 { return g.count.Load() }
+// OpenRequests returns the number of requests that are not finished.
+func (g *Gate) OpenRequests() int64 { return g.count.Load() }
 
 // Wait returns once no request is open, or cuts those that are left when the
 // context ends; it returns how many were cut.
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -123,9 +123,9 @@
 		e := change.Endpoint
 		switch {
 		case change.Before != nil:
-			g.gate.EndpointGone(change.Before)
+			g.gate.CheckRemovedEndpoint(change.Before)
 		case change.What == view.Lost:
-			g.gate.EndpointGone(e)
+			g.gate.CheckRemovedEndpoint(e)
 		}
 		g.Log.Info("endpoint changed", "endpoint", e.ID, "what", change.What, "pool", e.Pool, "availabilityZone", e.Zone,
 			"address", e.Address, "born", e.Born, "version", e.Version)
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -78,17 +78,17 @@
 
 // loads is what this process reports.
 func (g *Gateway) loads() *wire.Loads {
-	loads := &wire.Loads{Pools: g.host.Loads(g.owns), Prefixes: g.gate.Prefixes(), Refused: g.gate.Refused(), Crashes: g.gate.Crashes()}
-	loads.Interest = g.gate.Interest()
+	loads := &wire.Loads{Pools: g.host.Loads(g.owns), Prefixes: g.gate.UnsentPrefixes(), Refused: g.gate.UnsentRefusals(), Crashes: g.gate.UnsentCrashes()}
+	loads.Interest = g.gate.SubsetEndpoints()
 	if g.deploy != nil {
 		loads.Trials = g.deploy.Trials()
 	}
-	for _, load := range g.gate.Inflow() {
+	for _, load := range g.gate.PendingArrivals() {
 		loads.Inflow = append(loads.Inflow, wire.Inflow{Pool: load.Pool, Pieces: load.Pieces})
 	}
-	g.gate.EachUsed(func(e *view.Endpoint) {
+	g.gate.EachUsedEndpoint(func(e *view.Endpoint) {
 		load := wire.EndpointLoad{
-			Endpoint: e.ID, Running: e.Load.Running.Load(), Prefill: g.gate.Unread(e), Memory: e.Load.Memory.Load(),
+			Endpoint: e.ID, Running: e.Load.Running.Load(), Prefill: g.gate.UnreadTokens(e), Memory: e.Load.Memory.Load(),
 			Planned: e.Load.Planned.Load(),
 		}
 		if load.Running > 0 || load.Planned > 0 {
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	k, reports := reportsOf(body, 3)
-	b.gateways[0].Gate().TakeCrashes(reports)
+	b.gateways[0].Gate().AddPeerCrashes(reports)
 	// No request is sent meanwhile: it would be answered, and end the quarantine.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, g := range b.gateways {
@@ -224,7 +224,7 @@
 	for i := range many {
 		_, reports := reportsOf(fmt.Sprint("body ", i), 3)
 		for _, g := range b.gateways {
-			g.Gate().TakeCrashes(reports)
+			g.Gate().AddPeerCrashes(reports)
 		}
 	}
 	time.Sleep(2 * time.Second)
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -132,17 +132,17 @@
 	g.SetBounds(settings.Bounds)
 	g.host = host.New(ctx, host.Settings{
 		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.book.Now,
-		Conns: g.gate.Conns, Retry: g.gate.PieceExtras().Take, Earn: g.gate.PieceExtras().Earn, Meter: host.NewMeter(g.Registry),
+		Conns: g.gate.Conns, Retry: g.gate.PieceRetryBudget().Take, Earn: g.gate.PieceRetryBudget().Earn, Meter: host.NewMeter(g.Registry),
 		Deploy: g.deploy,
 	})
 	g.mesh = mesh.New(ctx, mesh.Member{Name: g.Name, Address: g.Address, Incarnation: g.incarnation, Zone: g.Zone, Capacity: g.Capacity},
 		mesh.WithClock(g.Clock), mesh.WithLog(g.Log), mesh.WithPieces(g.takePieces, g.dropPieces),
 		mesh.WithUnused(g.host.Unused),
-		mesh.WithLoads(g.loads, g.setWork), mesh.WithPrefixes(g.gate.TakePrefixes), mesh.WithRefused(g.gate.TakeRefused),
-		mesh.WithCrashes(g.gate.TakeCrashes),
+		mesh.WithLoads(g.loads, g.setWork), mesh.WithPrefixes(g.gate.AddPeerPrefixes), mesh.WithRefused(g.gate.AddPeerRefusals),
+		mesh.WithCrashes(g.gate.AddPeerCrashes),
 		mesh.WithLost(g.abandon, g.clear), mesh.WithIgnored(g.meter.ignored), mesh.WithFollower(g.follower()),
 		mesh.WithRelease(g.release, g.newerRelease))
-	g.gate.Join(g.mesh, g.host)
+	g.gate.Attach(g.mesh, g.host)
 	g.makeFeeds()
 	return g
 }
@@ -195,7 +195,7 @@
 func (g *Gateway) Peers() int { return g.mesh.Sessions() }
 
 // Open returns the number of requests that are not finished.
-func (g *Gateway) Open() int64 { return g.gate.Open() }
+func (g *Gateway) Open() int64 { return g.gate.OpenRequests() }
 
 // SetBounds changes what may change while the process runs.
 func (g *Gateway) SetBounds(bounds gate.Bounds) { g.gate.SetBounds(bounds) }
@@ -361,14 +361,14 @@
 // process stays listed until Withdraw: one that starts meanwhile finds it, and
 // serves as owner for the requests that are still open here.
 func (g *Gateway) Leave() {
-	g.gate.Leave()
+	g.gate.StartDrain()
 	g.mesh.Leave()
 	g.host.Retire()
 }
 
 // Refuse has requests refused that still come, after Leave: callers are to go
 // elsewhere, where nothing cuts them.
-func (g *Gateway) Refuse() { g.gate.Refuse() }
+func (g *Gateway) Refuse() { g.gate.RefuseNew() }
 
 // Wait returns once no request is open; those that are left when the context
 // ends are cut, and counted.
