--- a/internal/flow/batch/batch.go
+++ b/internal/flow/batch/batch.go
@@ -28,20 +28,20 @@
 	// Rank orders groups: the lowest goes first. It is the instant by which the
 	// result is wanted, put off for requests that are worth less.
 	Rank clock.Millis
-	// Wanted is the instant by which the result must be there for the request to
+	// NeededBy is the instant by which the result must be there for the request to
 	// meet its objective. Groups that can't be ready by then go behind all others.
-	Wanted clock.Millis
-	// Until is the instant after which the result is of no use.
-	Until clock.Millis
-	// Bytes is the memory that one result takes at the engine.
-	Bytes int64
+	NeededBy clock.Millis
+	// Deadline is the instant after which the result is of no use.
+	Deadline clock.Millis
+	// ResultBytes is the memory that one result takes at the engine.
+	ResultBytes int64
 	// Zone that most inputs lie in, or where the results are wanted; may be empty.
 	Zone string
 	// HoldUntil is the instant until which the group rather waits for an engine
 	// of its zone than going to another one. It does so while little waits, or,
 	// if Firm is set, also when much does.
-	HoldUntil clock.Millis
-	Firm      bool
+	HoldUntil     clock.Millis
+	HoldUnderLoad bool
 	// Owner is the job that the group belongs to; the queue doesn't look at it.
 	Owner any
 
@@ -52,8 +52,8 @@
 	dropped   bool
 }
 
-// Waiting returns the number of pieces that are not with an engine.
-func (g *Group) Waiting() int {
+// Queued returns the number of pieces that are not with an engine.
+func (g *Group) Queued() int {
 	if g.dropped {
 		return 0
 	}
@@ -110,16 +110,16 @@
 // Pieces returns the number of pieces that wait.
 func (q *Queue) Pieces() int { return q.pieces }
 
-// Wanted returns the bytes of results that the first pieces would make, as many
+// ResultBytes returns the bytes of results that the first pieces would make, as many
 // as are given.
-func (q *Queue) Wanted(pieces int) int64 {
+func (q *Queue) ResultBytes(pieces int) int64 {
 	var wanted int64
 	for _, g := range q.groups {
 		if pieces <= 0 {
 			break
 		}
-		count := min(g.Waiting(), pieces)
-		wanted += int64(count) * g.Bytes
+		count := min(g.Queued(), pieces)
+		wanted += int64(count) * g.ResultBytes
 		pieces -= count
 	}
 	return wanted
@@ -132,7 +132,7 @@
 		at++ // behind those of the same rank that came before
 	}
 	q.groups = slices.Insert(q.groups, at, g)
-	q.pieces += g.Waiting()
+	q.pieces += g.Queued()
 }
 
 // Drop takes out what still waits of a group, because its request ended.
@@ -142,13 +142,13 @@
 	}
 	if at := slices.Index(q.groups, g); at >= 0 {
 		q.groups = slices.Delete(q.groups, at, at+1)
-		q.pieces -= g.Waiting()
+		q.pieces -= g.Queued()
 	}
 	g.dropped = true
 }
 
-// Back gives a piece back that an engine did not make.
-func (q *Queue) Back(item Item, now clock.Millis) {
+// Requeue gives a piece back that an engine did not make.
+func (q *Queue) Requeue(item Item, now clock.Millis) {
 	g := item.Group
 	if g.dropped {
 		return
@@ -156,7 +156,7 @@
 	if len(g.back) == 0 {
 		g.backSince = now
 	}
-	if g.Waiting() == 0 {
+	if g.Queued() == 0 {
 		g.back = append(g.back, item.Piece)
 		q.Add(g)
 		return
@@ -172,21 +172,21 @@
 	}
 }
 
-// LateBehind is how far groups are put behind that will be late, in
+// LatePenalty is how far groups are put behind that will be late, in
 // milliseconds: further than objectives differ. An answer beyond its objective
 // is worth little to its caller, however late it is.
-const LateBehind = 3 * clock.Second
+const LatePenalty = 3 * clock.Second
 
-// Yield puts groups behind the others that can't be ready when they are wanted,
+// DeferLate puts groups behind the others that can't be ready when they are wanted,
 // even if a call with them began now. Once more work waits than engines do,
 // those first in rank are the ones that are late already; served first, they
 // make each one behind them late in turn, and nobody gets an answer in time. It
 // returns the groups that yield now.
-func (q *Queue) Yield(bounds Bounds, now clock.Millis) []*Group {
+func (q *Queue) DeferLate(bounds Bounds, now clock.Millis) []*Group {
 	var late []*Group
 	ready := now + clock.Millis(bounds.Duration(min(q.pieces, bounds.Pieces)))
 	q.groups = slices.DeleteFunc(q.groups, func(g *Group) bool {
-		if g.behind || g.Wanted >= ready {
+		if g.behind || g.NeededBy >= ready {
 			return false
 		}
 		late = append(late, g)
@@ -194,8 +194,8 @@
 	})
 	for _, g := range late {
 		g.behind = true
-		g.Rank += LateBehind
-		q.pieces -= g.Waiting()
+		g.Rank += LatePenalty
+		q.pieces -= g.Queued()
 		q.Add(g)
 	}
 	return late
@@ -207,9 +207,9 @@
 // time to come back.
 const backMost = 600 * clock.Millis(1)
 
-// Stuck takes out the groups with pieces that were given back and could not be
+// DropStuck takes out the groups with pieces that were given back and could not be
 // sent again for too long.
-func (q *Queue) Stuck(now clock.Millis) []*Group {
+func (q *Queue) DropStuck(now clock.Millis) []*Group {
 	var stuck []*Group
 	for _, g := range q.groups {
 		if len(g.back) > 0 && now-g.backSince > backMost {
@@ -222,14 +222,14 @@
 	return stuck
 }
 
-// Late takes out the groups that could not be finished in time even if a call
+// DropTooLate takes out the groups that could not be finished in time even if a call
 // began now, so that no engine works for nobody.
-func (q *Queue) Late(bounds Bounds, now clock.Millis) []*Group {
+func (q *Queue) DropTooLate(bounds Bounds, now clock.Millis) []*Group {
 	soonest := now + clock.Millis(bounds.Duration(1))
 	var late []*Group
 	for i := 0; i < len(q.groups); {
 		g := q.groups[i]
-		if g.Until >= soonest {
+		if g.Deadline >= soonest {
 			i++
 			continue
 		}
@@ -260,39 +260,39 @@
 // Slot is an engine that could take a call now.
 type Slot struct {
 	Zone string
-	// Room is the bytes of results that it still holds.
-	Room int64
-	// Free is how many engines in all could take a call now.
-	Free int
-	// AgainFunc reports whether a piece that was sent before may be sent once
+	// FreeBytes is the bytes of results that it still holds.
+	FreeBytes int64
+	// FreeEngines is how many engines in all could take a call now.
+	FreeEngines int
+	// AllowRetryFunc reports whether a piece that was sent before may be sent once
 	// more, and spends that. Until it may, the piece waits: failing its request
 	// for want of a repeat costs more than the wait.
-	AgainFunc func() bool
+	AllowRetryFunc func() bool
 }
 
 // crowdedShare is the part of a full call that waits when an engine should not
 // stand idle any more.
 const crowdedShare = 2
 
-// Take returns the pieces for one call to an engine. Waiting pieces are divided
+// NextBatch returns the pieces for one call to an engine. Waiting pieces are divided
 // among the free engines, because a smaller call is faster and the engines
 // would stand idle otherwise. Groups that want another availability zone are
 // left for an engine there as long as they may wait: results that cross zones
 // are paid for by the byte.
-func (q *Queue) Take(bounds Bounds, slot Slot, now clock.Millis) []Item {
-	f := filling{room: slot.Room, most: bounds.Pieces, bound: bounds.Pieces, again: slot.AgainFunc}
-	if slot.Free > 1 {
-		f.most = min(f.most, (q.pieces+slot.Free-1)/slot.Free)
+func (q *Queue) NextBatch(bounds Bounds, slot Slot, now clock.Millis) []Item {
+	f := filling{room: slot.FreeBytes, most: bounds.Pieces, bound: bounds.Pieces, again: slot.AllowRetryFunc}
+	if slot.FreeEngines > 1 {
+		f.most = min(f.most, (q.pieces+slot.FreeEngines-1)/slot.FreeEngines)
 	}
 	crowded := q.pieces > bounds.Pieces/crowdedShare
 	for at := 0; at < len(q.groups) && len(f.items) < f.most; {
 		g := q.groups[at]
-		if g.Zone != "" && g.Zone != slot.Zone && now < g.HoldUntil && (g.Firm || !crowded) {
+		if g.Zone != "" && g.Zone != slot.Zone && now < g.HoldUntil && (g.HoldUnderLoad || !crowded) {
 			at++
 			continue
 		}
 		q.pieces -= f.takeFrom(g)
-		if g.Waiting() == 0 {
+		if g.Queued() == 0 {
 			q.groups = slices.Delete(q.groups, at, at+1)
 			continue
 		}
@@ -305,24 +305,24 @@
 // group that has begun is finished beyond the even share, up to the engine's
 // bound: its request waits for all of its pieces.
 func (f *filling) takeFrom(g *Group) int {
-	if f.blocked > 0 && g.Bytes*smallShare > f.blocked {
+	if f.blocked > 0 && g.ResultBytes*smallShare > f.blocked {
 		return 0
 	}
 	limit := f.most
-	if whole := len(f.items) + g.Waiting(); whole <= f.bound {
+	if whole := len(f.items) + g.Queued(); whole <= f.bound {
 		limit = whole
 	}
 	taken := 0
-	for g.Waiting() > 0 && len(f.items) < limit {
-		if g.Bytes > f.room {
-			f.blocked = max(f.blocked, g.Bytes)
+	for g.Queued() > 0 && len(f.items) < limit {
+		if g.ResultBytes > f.room {
+			f.blocked = max(f.blocked, g.ResultBytes)
 			break
 		}
 		piece, ok := g.take(f.again)
 		if !ok {
 			break
 		}
-		f.room -= g.Bytes
+		f.room -= g.ResultBytes
 		f.items = append(f.items, Item{Group: g, Piece: piece})
 		taken++
 	}
--- a/internal/flow/batch/batch_test.go
+++ b/internal/flow/batch/batch_test.go
@@ -16,12 +16,14 @@
 const plenty = 1 << 30
 
 // slot is an engine with room for all results.
-func slot(free int) batch.Slot { return batch.Slot{Room: plenty, Free: free, AgainFunc: always} }
+func slot(free int) batch.Slot {
+	return batch.Slot{FreeBytes: plenty, FreeEngines: free, AllowRetryFunc: always}
+}
 
 func always() bool { return true }
 
 func group(rank, pieces int) *batch.Group {
-	return &batch.Group{Request: fmt.Sprint("r", rank), Count: pieces, Rank: clock.Millis(rank), Wanted: 5000, Until: 10_000, Bytes: 1000}
+	return &batch.Group{Request: fmt.Sprint("r", rank), Count: pieces, Rank: clock.Millis(rank), NeededBy: 5000, Deadline: 10_000, ResultBytes: 1000}
 }
 
 func taken(items []batch.Item) []string {
@@ -32,11 +34,11 @@
 	return all
 }
 
-func ExampleQueue_Take() {
+func ExampleQueue_NextBatch() {
 	var q batch.Queue
 	q.Add(group(30, 2))
 	q.Add(group(10, 1))
-	fmt.Println(taken(q.Take(bounds, slot(1), 0)), q.Pieces())
+	fmt.Println(taken(q.NextBatch(bounds, slot(1), 0)), q.Pieces())
 	// Output: [r10/0 r30/0 r30/1] 0
 }
 
@@ -45,9 +47,9 @@
 	for i := range 6 {
 		q.Add(group(i, 1))
 	}
-	assert.Equal(t, len(q.Take(bounds, slot(3), 0)), 2)
-	assert.Equal(t, len(q.Take(bounds, slot(2), 0)), 2)
-	assert.Equal(t, len(q.Take(bounds, slot(1), 0)), 2)
+	assert.Equal(t, len(q.NextBatch(bounds, slot(3), 0)), 2)
+	assert.Equal(t, len(q.NextBatch(bounds, slot(2), 0)), 2)
+	assert.Equal(t, len(q.NextBatch(bounds, slot(1), 0)), 2)
 }
 
 // Results lie in an engine's small memory until the next stage has read them.
@@ -56,16 +58,16 @@
 func TestRoomForResultsIsKept(t *testing.T) {
 	var q batch.Queue
 	big := group(1, 8)
-	big.Bytes = 1_500_000
+	big.ResultBytes = 1_500_000
 	medium := group(2, 2)
-	medium.Bytes = 1_000_000
+	medium.ResultBytes = 1_000_000
 	small := group(3, 2)
 	q.Add(big)
 	q.Add(medium)
 	q.Add(small)
 	// Small results pass the big one that waits for room, medium ones don't:
 	// they would take the room that it waits for.
-	assert.DeepEqual(t, taken(q.Take(bounds, batch.Slot{Room: 4_600_000, Free: 1}, 0)), []string{"r1/0", "r1/1", "r1/2", "r3/0", "r3/1"})
+	assert.DeepEqual(t, taken(q.NextBatch(bounds, batch.Slot{FreeBytes: 4_600_000, FreeEngines: 1}, 0)), []string{"r1/0", "r1/1", "r1/2", "r3/0", "r3/1"})
 	assert.Equal(t, q.Pieces(), 7)
 }
 
@@ -73,8 +75,8 @@
 // another one they cross zones, which costs more than the request is worth; but
 // a request that waits for long misses its objective.
 func TestGroupsWaitAWhileForTheirZone(t *testing.T) {
-	far := batch.Slot{Zone: "b", Room: plenty, Free: 2}
-	near := batch.Slot{Zone: "a", Room: plenty, Free: 2}
+	far := batch.Slot{Zone: "b", FreeBytes: plenty, FreeEngines: 2}
+	near := batch.Slot{Zone: "a", FreeBytes: plenty, FreeEngines: 2}
 	for _, tt := range []struct {
 		name string
 		slot batch.Slot
@@ -89,24 +91,24 @@
 		g := group(1, 2)
 		g.Zone, g.HoldUntil = "a", 100
 		q.Add(g)
-		assert.Equal(t, len(q.Take(bounds, tt.slot, tt.now)), tt.want, tt.name)
+		assert.Equal(t, len(q.NextBatch(bounds, tt.slot, tt.now)), tt.want, tt.name)
 	}
 	for _, firm := range []bool{false, true} {
 		var q batch.Queue
 		crowd := group(1, 8)
-		crowd.Zone, crowd.HoldUntil, crowd.Firm = "a", 100, firm
+		crowd.Zone, crowd.HoldUntil, crowd.HoldUnderLoad = "a", 100, firm
 		q.Add(crowd)
-		assert.Equal(t, len(q.Take(bounds, far, 50)) == 0, firm)
+		assert.Equal(t, len(q.NextBatch(bounds, far, 50)) == 0, firm)
 	}
 }
 
 func TestLateGroupsAreTakenOut(t *testing.T) {
 	var q batch.Queue
 	late, fine := group(1, 2), group(2, 1)
-	late.Until = 1200
+	late.Deadline = 1200
 	q.Add(late)
 	q.Add(fine)
-	dropped := q.Late(bounds, 1000)
+	dropped := q.DropTooLate(bounds, 1000)
 	assert.Equal(t, len(dropped), 1)
 	assert.Assert(t, dropped[0] == late)
 	assert.Equal(t, q.Pieces(), 1)
@@ -117,10 +119,10 @@
 	q.Add(group(20, 4))
 	q.Add(group(10, 3))
 	var waiting []int
-	q.Each(func(g *batch.Group) { waiting = append(waiting, g.Waiting()) })
+	q.Each(func(g *batch.Group) { waiting = append(waiting, g.Queued()) })
 	assert.DeepEqual(t, waiting, []int{3, 4})
-	assert.Equal(t, q.Wanted(5), int64(5000))
-	assert.Equal(t, q.Wanted(10), int64(7000))
+	assert.Equal(t, q.ResultBytes(5), int64(5000))
+	assert.Equal(t, q.ResultBytes(10), int64(7000))
 }
 
 // Whatever is added, taken, given back and dropped: no piece is handed out
@@ -144,7 +146,7 @@
 					waiting[name(batch.Item{Group: g, Piece: piece})] = true
 				}
 			case 1:
-				for _, item := range q.Take(bounds, drawSlot(t), 0) {
+				for _, item := range q.NextBatch(bounds, drawSlot(t), 0) {
 					if !waiting[name(item)] {
 						t.Fatalf("%s was handed out and did not wait", name(item))
 					}
@@ -154,7 +156,7 @@
 			case 2:
 				for key, item := range out {
 					delete(out, key)
-					q.Back(item, 0)
+					q.Requeue(item, 0)
 					waiting[key] = true
 					break
 				}
@@ -174,7 +176,7 @@
 			}
 		}
 		for q.Pieces() > 0 {
-			for _, item := range q.Take(bounds, slot(1), 0) {
+			for _, item := range q.NextBatch(bounds, slot(1), 0) {
 				delete(waiting, name(item))
 			}
 		}
@@ -188,7 +190,7 @@
 func drawSlot(t *rapid.T) batch.Slot {
 	s := slot(rapid.IntRange(1, 4).Draw(t, "free"))
 	again := rapid.Bool().Draw(t, "again")
-	s.AgainFunc = func() bool { return again }
+	s.AllowRetryFunc = func() bool { return again }
 	return s
 }
 
@@ -198,13 +200,13 @@
 	var q batch.Queue
 	for rank, wanted := range []clock.Millis{100, 200, 900} {
 		g := group(rank, 1)
-		g.Wanted = wanted
+		g.NeededBy = wanted
 		q.Add(g)
 	}
-	q.Yield(bounds, 500)
-	q.Yield(bounds, 500)
+	q.DeferLate(bounds, 500)
+	q.DeferLate(bounds, 500)
 	assert.Equal(t, q.Pieces(), 3)
-	assert.DeepEqual(t, taken(q.Take(bounds, slot(1), 500)), []string{"r2/0", "r0/0", "r1/0"})
+	assert.DeepEqual(t, taken(q.NextBatch(bounds, slot(1), 500)), []string{"r2/0", "r0/0", "r1/0"})
 }
 
 // An engine refuses a call just when the budget for repeats is spent, because
@@ -214,15 +216,15 @@
 func TestPieceThatMayNotBeRepeatedYetWaits(t *testing.T) {
 	var q batch.Queue
 	q.Add(group(1, 2))
-	for _, item := range q.Take(bounds, slot(1), 0) {
-		q.Back(item, 0)
+	for _, item := range q.NextBatch(bounds, slot(1), 0) {
+		q.Requeue(item, 0)
 	}
 	q.Add(group(2, 1))
 	spent := slot(1)
-	spent.AgainFunc = func() bool { return false }
-	assert.DeepEqual(t, taken(q.Take(bounds, spent, 100)), []string{"r2/0"})
-	assert.Equal(t, len(q.Stuck(100)), 0)
-	assert.DeepEqual(t, taken(q.Take(bounds, slot(1), 200)), []string{"r1/1", "r1/0"})
+	spent.AllowRetryFunc = func() bool { return false }
+	assert.DeepEqual(t, taken(q.NextBatch(bounds, spent, 100)), []string{"r2/0"})
+	assert.Equal(t, len(q.DropStuck(100)), 0)
+	assert.DeepEqual(t, taken(q.NextBatch(bounds, slot(1), 200)), []string{"r1/1", "r1/0"})
 }
 
 // The budget does not come back. The caller is told while there is still time
@@ -231,12 +233,12 @@
 	var q batch.Queue
 	q.Add(group(1, 2))
 	q.Add(group(2, 1))
-	for _, item := range q.Take(bounds, slot(1), 0) {
+	for _, item := range q.NextBatch(bounds, slot(1), 0) {
 		if item.Group.Rank == 1 {
-			q.Back(item, 0)
+			q.Requeue(item, 0)
 		}
 	}
-	stuck := q.Stuck(1000)
+	stuck := q.DropStuck(1000)
 	assert.Equal(t, len(stuck), 1)
 	assert.Equal(t, stuck[0].Rank, clock.Millis(1))
 	assert.Equal(t, q.Pieces(), 0)
@@ -249,8 +251,8 @@
 		q.Add(group(i, 3))
 	}
 	for b.Loop() {
-		for _, item := range q.Take(bounds, slot(1), 0) {
-			q.Back(item, 0)
+		for _, item := range q.NextBatch(bounds, slot(1), 0) {
+			q.Requeue(item, 0)
 		}
 	}
 }
--- a/internal/flow/batch/model_test.go
+++ b/internal/flow/batch/model_test.go
@@ -55,7 +55,7 @@
 	for i := range b.owners {
 		o := &b.owners[i]
 		text += fmt.Sprint("|", o.out, len(o.calls))
-		o.queue.Each(func(g *batch.Group) { text += fmt.Sprint(" ", g.ID, g.Waiting(), g.Rank) })
+		o.queue.Each(func(g *batch.Group) { text += fmt.Sprint(" ", g.ID, g.Queued(), g.Rank) })
 	}
 	for _, a := range b.answers {
 		text += fmt.Sprint("/", a.request, a.left, a.ended, a.lost, a.made)
@@ -69,7 +69,7 @@
 	b.answers = append(b.answers, a)
 	b.owners[owner].queue.Add(&batch.Group{
 		ID: uint64(len(b.answers)), Request: fmt.Sprint("r", request), Count: pieces,
-		Rank: clock.Millis(request), Wanted: 5000, Until: 10_000, Owner: a,
+		Rank: clock.Millis(request), NeededBy: 5000, Deadline: 10_000, Owner: a,
 	})
 	return a
 }
@@ -77,10 +77,10 @@
 // dispatch sends a call if the owner has none under way.
 func (b *ownersModel) dispatch(owner int) {
 	o := &b.owners[owner]
-	items := o.queue.Take(batch.Bounds{Pieces: 2}, slot(1), 0)
+	items := o.queue.NextBatch(batch.Bounds{Pieces: 2}, slot(1), 0)
 	if len(b.working) > 0 { // the engine works for the other owner and refuses
 		for _, item := range items {
-			o.queue.Back(item, 0)
+			o.queue.Requeue(item, 0)
 		}
 		return
 	}
@@ -110,7 +110,7 @@
 	o.out = true
 	var waiting []*batch.Group
 	o.queue.Each(func(g *batch.Group) {
-		if g.Waiting() == g.Count {
+		if g.Queued() == g.Count {
 			waiting = append(waiting, g)
 		}
 	})
--- a/internal/flow/budget/budget.go
+++ b/internal/flow/budget/budget.go
@@ -120,25 +120,25 @@
 
 // Plan is the decision on one stage that is about to begin.
 type Plan struct {
-	// WontMakeIt tells that the remaining stages typically take longer than
+	// TooLate tells that the remaining stages typically take longer than
 	// what is left: engine time spent on it would be wasted.
-	WontMakeIt bool
+	TooLate bool
 	// Need is the typical time of this stage and all later ones.
 	Need clock.Millis
 	// Limit is the time this stage may take so that the later ones can still
 	// typically make it. The agent drops the call from its queue after that.
 	Limit clock.Millis
-	// Patience is this stage's share of what is left, by the slow times of the
+	// AttemptTimeout is this stage's share of what is left, by the slow times of the
 	// remaining stages, less the typical time of another attempt: when it is
 	// over and the work may be repeated, another endpoint is worth a try. It
 	// equals Limit when there is no time for another.
-	Patience clock.Millis
+	AttemptTimeout clock.Millis
 }
 
-// Make plans the first of the remaining stages with the time left to all.
-func Make(now, left clock.Millis, remaining []*Stage) Plan {
+// NewPlan plans the first of the remaining stages with the time left to all.
+func NewPlan(now, left clock.Millis, remaining []*Stage) Plan {
 	if len(remaining) == 0 {
-		return Plan{Limit: left, Patience: left}
+		return Plan{Limit: left, AttemptTimeout: left}
 	}
 	first := remaining[0].Times(now)
 	var later, slow clock.Millis
@@ -148,12 +148,12 @@
 		slow += times.Slow
 	}
 	need := first.Typical + later
-	plan := Plan{Need: need, WontMakeIt: left <= 0 || need > left, Limit: left - later}
-	plan.Patience = plan.Limit
+	plan := Plan{Need: need, TooLate: left <= 0 || need > left, Limit: left - later}
+	plan.AttemptTimeout = plan.Limit
 	if all := first.Slow + slow; first.Slow > 0 && all > 0 {
 		patience := min(max(first.Slow, left*first.Slow/all), plan.Limit-first.Typical)
 		if patience >= first.Slow {
-			plan.Patience = patience
+			plan.AttemptTimeout = patience
 		}
 	}
 	return plan
--- a/internal/flow/budget/budget_test.go
+++ b/internal/flow/budget/budget_test.go
@@ -25,22 +25,22 @@
 		remaining []*budget.Stage
 		want      budget.Plan
 	}{
-		{"nothing known", 100, []*budget.Stage{budget.NewStage()}, budget.Plan{Limit: 100, Patience: 100}},
+		{"nothing known", 100, []*budget.Stage{budget.NewStage()}, budget.Plan{Limit: 100, AttemptTimeout: 100}},
 		{
 			"makes it", 100,
 			[]*budget.Stage{stage(20), stage(60)},
-			budget.Plan{Need: 80, Limit: 40, Patience: 20},
+			budget.Plan{Need: 80, Limit: 40, AttemptTimeout: 20},
 		},
 		{
 			"won't make it", 70,
 			[]*budget.Stage{stage(20), stage(60)},
-			budget.Plan{Need: 80, WontMakeIt: true, Limit: 10, Patience: 10},
+			budget.Plan{Need: 80, TooLate: true, Limit: 10, AttemptTimeout: 10},
 		},
-		{"over", 0, []*budget.Stage{budget.NewStage()}, budget.Plan{WontMakeIt: true}},
+		{"over", 0, []*budget.Stage{budget.NewStage()}, budget.Plan{TooLate: true}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, budget.Make(2, test.left, test.remaining), test.want)
+			assert.Equal(t, budget.NewPlan(2, test.left, test.remaining), test.want)
 		})
 	}
 }
@@ -50,8 +50,8 @@
 // because nothing runs. What is known has to grow old.
 func TestSlowSpellIsForgotten(t *testing.T) {
 	s := stage(5000)
-	assert.Assert(t, budget.Make(2, 3000, []*budget.Stage{s}).WontMakeIt)
-	assert.Assert(t, !budget.Make(5000, 3000, []*budget.Stage{s}).WontMakeIt)
+	assert.Assert(t, budget.NewPlan(2, 3000, []*budget.Stage{s}).TooLate)
+	assert.Assert(t, !budget.NewPlan(5000, 3000, []*budget.Stage{s}).TooLate)
 }
 
 func TestPlanStaysWithinDeadline(t *testing.T) {
@@ -61,10 +61,10 @@
 		for range rapid.IntRange(0, 6).Draw(t, "stages") {
 			remaining = append(remaining, stage(clock.Millis(rapid.Int64Range(0, 3000).Draw(t, "took"))))
 		}
-		plan := budget.Make(2, left, remaining)
+		plan := budget.NewPlan(2, left, remaining)
 		assert.Assert(t, plan.Limit <= left)
-		assert.Assert(t, plan.Patience <= plan.Limit)
-		assert.Equal(t, len(remaining) > 0 && (plan.Need > left || left <= 0), plan.WontMakeIt)
+		assert.Assert(t, plan.AttemptTimeout <= plan.Limit)
+		assert.Equal(t, len(remaining) > 0 && (plan.Need > left || left <= 0), plan.TooLate)
 	})
 }
 
@@ -72,6 +72,6 @@
 	remaining := []*budget.Stage{stage(10), stage(20), stage(30), stage(400)}
 	b.ReportAllocs()
 	for b.Loop() {
-		budget.Make(2, 3000, remaining)
+		budget.NewPlan(2, 3000, remaining)
 	}
 }
--- a/internal/flow/claim/book.go
+++ b/internal/flow/claim/book.go
@@ -21,10 +21,10 @@
 const (
 	// Prefix of the names of claims in the platform.
 	Prefix = "claims/"
-	// Keep is how long a claim stands; a key may be used anew after that.
-	Keep = 24 * clock.Hour
-	// MaxAnswer is the largest answer that is kept for replay, in bytes.
-	MaxAnswer = 4 << 10
+	// Retention is how long a claim stands; a key may be used anew after that.
+	Retention = 24 * clock.Hour
+	// MaxAnswerBytes is the largest answer that is kept for replay, in bytes.
+	MaxAnswerBytes = 4 << 10
 
 	// grace is added to a holder's deadline before it counts as dead: clocks of
 	// hosts differ.
@@ -37,16 +37,16 @@
 	finishPause = 200 * clock.Millis(1)
 )
 
-// Want says what is to be claimed.
-type Want struct {
+// Call says what is to be claimed.
+type Call struct {
 	Organisation string
 	Service      string
 	Key          string
 	// Fingerprint of method, path and body.
 	Fingerprint uint64
 	Request     string
-	// Left is the time left to the call.
-	Left clock.Millis
+	// TimeLeft is the time left to the call.
+	TimeLeft clock.Millis
 }
 
 // Hold is a claim that this process holds.
@@ -65,8 +65,8 @@
 	Answer      []byte
 }
 
-// Book claims keys through the platform.
-type Book struct {
+// Registry claims keys through the platform.
+type Registry struct {
 	store *store.Store
 	clock *clock.Clock
 	wall  func() time.Time
@@ -77,17 +77,17 @@
 }
 
 // Option changes a Book while it is built.
-type Option func(*Book)
+type Option func(*Registry)
 
 // WithClock sets the clock.
-func WithClock(c *clock.Clock) Option { return func(b *Book) { b.clock = c } }
+func WithClock(c *clock.Clock) Option { return func(b *Registry) { b.clock = c } }
 
-// WithWall sets the wall clock, which only cleaning and messages depend on.
-func WithWall(wall func() time.Time) Option { return func(b *Book) { b.wall = wall } }
+// WithWallClock sets the wall clock, which only cleaning and messages depend on.
+func WithWallClock(wall func() time.Time) Option { return func(b *Registry) { b.wall = wall } }
 
 // WithRate sets the claims a second.
 func WithRate(perSecond float64) Option {
-	return func(b *Book) { b.limit = rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1) }
+	return func(b *Registry) { b.limit = rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1) }
 }
 
 // callsPerClaim is what a keyed call costs at the platform: its claim and its
@@ -96,11 +96,11 @@
 
 // WithPlatformCalls bounds the claims by the calls a second that the process
 // may make to the platform at the time.
-func WithPlatformCalls(calls func() float64) Option { return func(b *Book) { b.calls = calls } }
+func WithPlatformCalls(calls func() float64) Option { return func(b *Registry) { b.calls = calls } }
 
 // New returns a book over the platform's store.
-func New(s *store.Store, opts ...Option) *Book {
-	b := &Book{store: s, clock: clock.New(), wall: time.Now, limit: rate.NewLimiter(defaultRate, defaultRate)}
+func New(s *store.Store, opts ...Option) *Registry {
+	b := &Registry{store: s, clock: clock.New(), wall: time.Now, limit: rate.NewLimiter(defaultRate, defaultRate)}
 	for _, opt := range opts {
 		opt(b)
 	}
@@ -118,9 +118,9 @@
 	return Prefix + sum[:2] + "/" + sum
 }
 
-// Begin claims a key. It returns a hold, or the record of a call that is done
+// Claim claims a key. It returns a hold, or the record of a call that is done
 // and whose answer is kept, or a RefusalError.
-func (b *Book) Begin(ctx context.Context, want Want) (*Hold, *Record, error) {
+func (b *Registry) Claim(ctx context.Context, want Call) (*Hold, *Record, error) {
 	if !b.allow() {
 		return nil, nil, &fault.RefusalError{
 			Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, RetryAfter: clock.Second,
@@ -130,19 +130,19 @@
 	nowMs := b.wall().UnixMilli()
 	mine := Record{
 		Nonce: strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36), Fingerprint: want.Fingerprint,
-		State: Started, Request: want.Request, AtMs: nowMs, UntilMs: nowMs + int64(want.Left+grace),
+		State: Started, Request: want.Request, AtMs: nowMs, UntilMs: nowMs + int64(want.TimeLeft+grace),
 	}
 	name := Name(want.Organisation, want.Service, want.Key)
 	claimer := NewClaimer(mine, nowMs)
 	step := claimer.Begin()
 	for {
-		switch step.Do {
+		switch step.Action {
 		case Run:
 			return &Hold{name: name, version: step.Version, record: mine}, nil, nil
 		case Replay:
 			return nil, &step.Current, nil
 		case Refuse:
-			if step.LeftBehind {
+			if step.ClaimMayRemain {
 				b.soon(ctx, func(ctx context.Context) { b.withdraw(ctx, name, mine) })
 			}
 			return nil, nil, &fault.RefusalError{Reason: step.Reason, Ran: step.Ran, Detail: detailOf(step.Reason)}
@@ -154,7 +154,7 @@
 
 // allow takes one claim from the budget. A claim that is begun without the
 // calls to write its outcome would leave the key in the dark for good.
-func (b *Book) allow() bool {
+func (b *Registry) allow() bool {
 	if b.calls != nil {
 		claims := b.calls() / callsPerClaim
 		b.limit.SetLimit(rate.Limit(claims))
@@ -175,17 +175,17 @@
 }
 
 // try carries out one step at the platform.
-func (b *Book) try(ctx context.Context, name string, step Step, record Record) (Event, uint64, Record) {
-	if step.Do == Look {
+func (b *Registry) try(ctx context.Context, name string, step Step, record Record) (Event, uint64, Record) {
+	if step.Action == Lookup {
 		object, err := b.store.Get(ctx, name)
 		if err != nil {
-			return Down, 0, Record{}
+			return Unavailable, 0, Record{}
 		}
 		return found(Read, object)
 	}
 	value, err := json.Marshal(record)
 	if err != nil {
-		return Down, 0, Record{}
+		return Unavailable, 0, Record{}
 	}
 	object, err := b.store.Put(ctx, name, step.Version, value)
 	var conflict *store.ConflictError
@@ -194,12 +194,12 @@
 	case err == nil:
 		return Wrote, object.Version, Record{}
 	case errors.As(err, &conflict):
-		return found(Lost, conflict.Current)
+		return found(Conflict, conflict.Current)
 	case errors.As(err, &unavailable):
-		return Down, 0, Record{}
+		return Unavailable, 0, Record{}
 	default:
 		// Any other error proves nothing about the write.
-		return Unclear, 0, Record{}
+		return Indeterminate, 0, Record{}
 	}
 }
 
@@ -216,7 +216,7 @@
 }
 
 // soon runs work that no caller waits for. Wait waits for its end.
-func (b *Book) soon(ctx context.Context, work func(context.Context)) {
+func (b *Registry) soon(ctx context.Context, work func(context.Context)) {
 	b.pending.Add(1)
 	go func() {
 		defer b.pending.Done()
@@ -226,7 +226,7 @@
 
 // Wait waits until all outcomes are written or given up, so that a planned
 // stop leaves no key without its outcome, or until the context ends.
-func (b *Book) Wait(ctx context.Context) {
+func (b *Registry) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -238,10 +238,10 @@
 	}
 }
 
-// FinishSoon writes the outcome of a call without holding up its answer, and
+// FinishAsync writes the outcome of a call without holding up its answer, and
 // calls failed if it could not be written: the claim then stays as it is, and
 // the key never runs again.
-func (b *Book) FinishSoon(ctx context.Context, hold *Hold, outcome Outcome, failed func(error)) {
+func (b *Registry) FinishAsync(ctx context.Context, hold *Hold, outcome Outcome, failed func(error)) {
 	b.soon(ctx, func(ctx context.Context) {
 		if err := b.Finish(ctx, hold, outcome); err != nil {
 			failed(err)
@@ -250,30 +250,30 @@
 }
 
 // Finish writes the outcome of a call. It is tried a few times.
-func (b *Book) Finish(ctx context.Context, hold *Hold, outcome Outcome) error {
+func (b *Registry) Finish(ctx context.Context, hold *Hold, outcome Outcome) error {
 	record := hold.record
 	record.State = outcome.State
 	record.Status = outcome.Status
 	record.ContentType = outcome.ContentType
 	record.Digest = outcome.Digest
-	if outcome.State == Done && len(outcome.Answer) <= MaxAnswer {
+	if outcome.State == Done && len(outcome.Answer) <= MaxAnswerBytes {
 		record.Answer = outcome.Answer
-		record.Whole = true
+		record.AnswerKept = true
 	}
 	return b.settle(ctx, hold.name, hold.version, record)
 }
 
 // settle repeats one conditional write until its effect is known. Repeating is
 // safe: the condition lets at most one of the writes take effect.
-func (b *Book) settle(ctx context.Context, name string, version uint64, record Record) error {
+func (b *Registry) settle(ctx context.Context, name string, version uint64, record Record) error {
 	pause := finishPause
 	var err error
 	for range finishTries {
-		event, _, current := b.try(ctx, name, Step{Do: Write, Version: version}, record)
-		if event == Wrote || (event == Lost && current.Nonce == record.Nonce && current.State == record.State) {
+		event, _, current := b.try(ctx, name, Step{Action: Write, Version: version}, record)
+		if event == Wrote || (event == Conflict && current.Nonce == record.Nonce && current.State == record.State) {
 			return nil
 		}
-		if event == Lost {
+		if event == Conflict {
 			return &store.ConflictError{Name: name, Want: version}
 		}
 		err = &store.UnknownError{Name: name, Cause: errors.New("outcome of the claim not written")}
@@ -287,7 +287,7 @@
 
 // withdraw marks a claim of ours that may stand although the call did not run,
 // so that the caller's next try need not end as unknown.
-func (b *Book) withdraw(ctx context.Context, name string, record Record) {
+func (b *Registry) withdraw(ctx context.Context, name string, record Record) {
 	for range finishTries {
 		object, err := b.store.Get(ctx, name)
 		if err == nil {
--- a/internal/flow/claim/book_test.go
+++ b/internal/flow/claim/book_test.go
@@ -66,8 +66,8 @@
 
 func newMemory() *memory { return &memory{objects: map[string]store.Object{}} }
 
-func want(request string) claim.Want {
-	return claim.Want{Organisation: "o", Service: "s", Key: "k", Fingerprint: 1, Request: request, Left: 1000}
+func want(request string) claim.Call {
+	return claim.Call{Organisation: "o", Service: "s", Key: "k", Fingerprint: 1, Request: request, TimeLeft: 1000}
 }
 
 func reasonOf(err error) fault.Reason {
@@ -85,22 +85,22 @@
 	m := newMemory()
 	wall := time.UnixMilli(1_000_000)
 	read := func() time.Time { return wall }
-	one := claim.New(m.store(), claim.WithWall(read))
-	two := claim.New(m.store(), claim.WithWall(read))
-	hold, _, err := one.Begin(ctx, want("r1"))
+	one := claim.New(m.store(), claim.WithWallClock(read))
+	two := claim.New(m.store(), claim.WithWallClock(read))
+	hold, _, err := one.Claim(ctx, want("r1"))
 	assert.NilError(t, err)
-	_, _, err = two.Begin(ctx, want("r2"))
+	_, _, err = two.Claim(ctx, want("r2"))
 	assert.Equal(t, reasonOf(err), fault.KeyInUse)
 	wall = wall.Add(time.Hour)
-	_, _, err = two.Begin(ctx, want("r2"))
+	_, _, err = two.Claim(ctx, want("r2"))
 	assert.Equal(t, reasonOf(err), fault.OutcomeUnknown)
 	assert.NilError(t, one.Finish(ctx, hold, claim.Outcome{State: claim.Done, Status: 201, Answer: []byte("booked")}))
-	_, kept, err := two.Begin(ctx, want("r3"))
+	_, kept, err := two.Claim(ctx, want("r3"))
 	assert.NilError(t, err)
 	assert.Equal(t, string(kept.Answer), "booked")
 	other := want("r4")
 	other.Fingerprint = 2
-	_, _, err = two.Begin(ctx, other)
+	_, _, err = two.Claim(ctx, other)
 	assert.Equal(t, reasonOf(err), fault.BadRequest)
 }
 
@@ -109,7 +109,7 @@
 func TestLostAnswerOfOwnClaim(t *testing.T) {
 	m := newMemory()
 	m.loseAnswers = 1
-	hold, _, err := claim.New(m.store()).Begin(context.Background(), want("r1"))
+	hold, _, err := claim.New(m.store()).Claim(context.Background(), want("r1"))
 	assert.NilError(t, err)
 	assert.Assert(t, hold != nil)
 }
@@ -119,7 +119,7 @@
 func TestPlatformDown(t *testing.T) {
 	m := newMemory()
 	m.down = true
-	_, _, err := claim.New(m.store()).Begin(context.Background(), want("r1"))
+	_, _, err := claim.New(m.store()).Claim(context.Background(), want("r1"))
 	var refused *fault.RefusalError
 	assert.Assert(t, errors.As(err, &refused))
 	assert.Equal(t, refused.Reason, fault.KeyUnavailable)
@@ -130,11 +130,11 @@
 	ctx := context.Background()
 	m := newMemory()
 	book := claim.New(m.store())
-	hold, _, err := book.Begin(ctx, want("r1"))
+	hold, _, err := book.Claim(ctx, want("r1"))
 	assert.NilError(t, err)
 	m.loseAnswers = 1
 	assert.NilError(t, book.Finish(ctx, hold, claim.Outcome{State: claim.NotRun}))
-	hold, _, err = book.Begin(ctx, want("r2"))
+	hold, _, err = book.Claim(ctx, want("r2"))
 	assert.NilError(t, err)
 	assert.Assert(t, hold != nil)
 }
@@ -148,11 +148,11 @@
 		close(due)
 		return due, func() {}
 	}))
-	book := claim.New(m.store(), claim.WithWall(func() time.Time { return wall }), claim.WithClock(still))
-	_, _, err := book.Begin(ctx, want("r1"))
+	book := claim.New(m.store(), claim.WithWallClock(func() time.Time { return wall }), claim.WithClock(still))
+	_, _, err := book.Claim(ctx, want("r1"))
 	assert.NilError(t, err)
-	wall = wall.Add(claim.Keep.Duration() - time.Second)
-	assert.Equal(t, book.SweepShard(ctx, 0), 0)
+	wall = wall.Add(claim.Retention.Duration() - time.Second)
+	assert.Equal(t, book.SweepPrefix(ctx, 0), 0)
 	wall = wall.Add(2 * time.Second)
-	assert.Equal(t, book.SweepShard(ctx, 0), 1)
+	assert.Equal(t, book.SweepPrefix(ctx, 0), 1)
 }
--- a/internal/flow/claim/claim.go
+++ b/internal/flow/claim/claim.go
@@ -44,8 +44,8 @@
 	ContentType string `json:"contentType,omitempty"`
 	Digest      uint64 `json:"digest,omitempty"`
 	Answer      []byte `json:"answer,omitempty"`
-	// Whole tells that Answer is there.
-	Whole bool `json:"whole,omitempty"`
+	// AnswerKept tells that Answer is there.
+	AnswerKept bool `json:"whole,omitempty"`
 }
 
 // Decode reads a record.
@@ -62,25 +62,25 @@
 const (
 	// Wrote: the conditional write took effect; Version is set.
 	Wrote Event = iota
-	// Lost: the condition did not hold; Current and Version are set.
-	Lost
+	// Conflict: the condition did not hold; Current and Version are set.
+	Conflict
 	// Read: the object was read; Current and Version are set, 0 for none.
 	Read
-	// Unclear: a write may or may not have taken effect, now or later.
-	Unclear
-	// Down: the platform can't be used; the step had no effect.
-	Down
+	// Indeterminate: a write may or may not have taken effect, now or later.
+	Indeterminate
+	// Unavailable: the platform can't be used; the step had no effect.
+	Unavailable
 )
 
-// Do is what to do next.
-type Do uint8
+// Action is what to do next.
+type Action uint8
 
 // Things to do next.
 const (
 	// Write the record if the object is at Version.
-	Write Do = iota
-	// Look reads the object.
-	Look
+	Write Action = iota
+	// Lookup reads the object.
+	Lookup
 	// Run the call: the claim is held at Version.
 	Run
 	// Replay the kept answer of Current.
@@ -91,14 +91,14 @@
 
 // Step is what to do next.
 type Step struct {
-	Do      Do
+	Action  Action
 	Version uint64
 	Current Record
 	Reason  fault.Reason
 	Ran     fault.Ran
-	// LeftBehind tells that a claim of ours may stand in the platform although
+	// ClaimMayRemain tells that a claim of ours may stand in the platform although
 	// the call won't run.
-	LeftBehind bool
+	ClaimMayRemain bool
 }
 
 // maxSteps bounds the calls to the platform for one claim.
@@ -118,7 +118,7 @@
 func NewClaimer(mine Record, nowMs int64) Claimer { return Claimer{mine: mine, nowMs: nowMs} }
 
 // Begin returns the first step: create the object if there is none.
-func (c *Claimer) Begin() Step { return Step{Do: Write, Version: 0} }
+func (c *Claimer) Begin() Step { return Step{Action: Write, Version: 0} }
 
 // Next returns the step after an event.
 //
@@ -132,17 +132,17 @@
 	}
 	switch event {
 	case Wrote:
-		return Step{Do: Run, Version: version}
-	case Lost:
+		return Step{Action: Run, Version: version}
+	case Conflict:
 		return c.judge(version, current)
 	case Read:
 		if version == c.want {
-			return Step{Do: Write, Version: c.want}
+			return Step{Action: Write, Version: c.want}
 		}
 		return c.judge(version, current)
-	case Unclear:
+	case Indeterminate:
 		c.unclear = true
-		return Step{Do: Look}
+		return Step{Action: Lookup}
 	default:
 		return c.unavailable()
 	}
@@ -155,27 +155,27 @@
 		// It was there and is gone: cleaned away in between.
 		return c.write(0)
 	case current.Nonce == c.mine.Nonce:
-		return Step{Do: Run, Version: version}
+		return Step{Action: Run, Version: version}
 	case current.Fingerprint != c.mine.Fingerprint:
-		return Step{Do: Refuse, Reason: fault.BadRequest, Ran: fault.MayHaveRun}
+		return Step{Action: Refuse, Reason: fault.BadRequest, Ran: fault.MayHaveRun}
 	case current.State == NotRun:
 		return c.write(version)
-	case current.State == Done && current.Whole:
-		return Step{Do: Replay, Version: version, Current: current}
+	case current.State == Done && current.AnswerKept:
+		return Step{Action: Replay, Version: version, Current: current}
 	case current.State == Done:
-		return Step{Do: Refuse, Reason: fault.KeyDone, Ran: fault.DidRun}
+		return Step{Action: Refuse, Reason: fault.KeyDone, Ran: fault.DidRun}
 	case current.State == Started && c.nowMs <= current.UntilMs:
-		return Step{Do: Refuse, Reason: fault.KeyInUse, Ran: fault.MayHaveRun}
+		return Step{Action: Refuse, Reason: fault.KeyInUse, Ran: fault.MayHaveRun}
 	default:
 		// Its holder died or lost the answer. The call may have run, so it
 		// never runs again under this key, however long ago it was.
-		return Step{Do: Refuse, Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun}
+		return Step{Action: Refuse, Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun}
 	}
 }
 
 func (c *Claimer) write(version uint64) Step {
 	c.want = version
-	return Step{Do: Write, Version: version}
+	return Step{Action: Write, Version: version}
 }
 
 // unavailable refuses: without the platform nobody can tell whether the key
@@ -183,5 +183,5 @@
 // the same key may have, and a caller who read "not run" might take a new key
 // and book twice. So it is not said.
 func (c *Claimer) unavailable() Step {
-	return Step{Do: Refuse, Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, LeftBehind: c.unclear}
+	return Step{Action: Refuse, Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, ClaimMayRemain: c.unclear}
 }
--- a/internal/flow/claim/model_test.go
+++ b/internal/flow/claim/model_test.go
@@ -106,14 +106,14 @@
 
 func (e *explorer) claimStep(w world, i int) {
 	t := w.tries[i]
-	switch t.step.Do {
+	switch t.step.Action {
 	case Write:
 		e.write(w, i, pendingWrite{want: t.step.Version, object: object{nonce: t.claimer.mine.Nonce, state: Started}})
-	case Look:
+	case Lookup:
 		e.visit(w.after(i, Read, w.stored))
 		if w.faults < modelFaults {
 			w.faults++
-			e.visit(w.after(i, Down, object{}))
+			e.visit(w.after(i, Unavailable, object{}))
 			for _, old := range w.history {
 				e.visit(w.after(i, Read, old))
 			}
@@ -132,20 +132,20 @@
 	if clean.apply(p) {
 		e.visit(clean.after(i, Wrote, clean.stored))
 	} else {
-		e.visit(clean.after(i, Lost, clean.stored))
+		e.visit(clean.after(i, Conflict, clean.stored))
 	}
 	if w.faults >= modelFaults {
 		return
 	}
 	w.faults++
-	e.visit(w.after(i, Down, object{}))
-	e.visit(w.after(i, Unclear, object{}))
+	e.visit(w.after(i, Unavailable, object{}))
+	e.visit(w.after(i, Indeterminate, object{}))
 	later := w
 	later.late = append(append([]pendingWrite{}, w.late...), p)
-	e.visit(later.after(i, Unclear, object{}))
+	e.visit(later.after(i, Indeterminate, object{}))
 	now := w
 	now.apply(p)
-	e.visit(now.after(i, Unclear, object{}))
+	e.visit(now.after(i, Indeterminate, object{}))
 }
 
 func (e *explorer) run(w world, i int) {
--- a/internal/flow/claim/sweep.go
+++ b/internal/flow/claim/sweep.go
@@ -21,18 +21,18 @@
 // then, until the context ends. Every entry does it, at random times and
 // shards: nobody has to be elected, and two at once do no harm, since a
 // delete is conditional on the version that was read.
-func (b *Book) Sweep(ctx context.Context) {
+func (b *Registry) Sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.clock.Sleep(ctx, sweepPause/2+clock.Millis(rand.Int64N(int64(sweepPause)))) != nil {
 			return
 		}
-		b.SweepShard(ctx, rand.IntN(shards))
+		b.SweepPrefix(ctx, rand.IntN(shards))
 	}
 }
 
-// SweepShard deletes the claims of one shard that have been kept long enough,
+// SweepPrefix deletes the claims of one shard that have been kept long enough,
 // and returns how many.
-func (b *Book) SweepShard(ctx context.Context, shard int) int {
+func (b *Registry) SweepPrefix(ctx context.Context, shard int) int {
 	objects, err := b.store.List(ctx, fmt.Sprintf("%s%02x/", Prefix, shard))
 	if err != nil {
 		return 0
@@ -49,13 +49,13 @@
 	return deleted
 }
 
-func (b *Book) sweepOne(ctx context.Context, name string) bool {
+func (b *Registry) sweepOne(ctx context.Context, name string) bool {
 	object, err := b.store.Get(ctx, name)
 	if err != nil || object.Version == 0 {
 		return false
 	}
 	record, err := Decode(object.Value)
-	if err != nil || b.wall().UnixMilli()-record.AtMs < int64(Keep) {
+	if err != nil || b.wall().UnixMilli()-record.AtMs < int64(Retention) {
 		return false
 	}
 	return b.store.Delete(ctx, name, object.Version) == nil
--- a/internal/flow/crash/crash.go
+++ b/internal/flow/crash/crash.go
@@ -25,10 +25,10 @@
 	// process that starts has to know of them.
 	maxCrashes = 3
 	writeFrom  = maxCrashes - 1
-	// Keep is how long a quarantine lasts after the last crash, remember how long
+	// QuarantineTime is how long a quarantine lasts after the last crash, remember how long
 	// crashes count: one more after the quarantine begins it anew.
-	Keep     = 15 * clock.Minute
-	remember = 4 * Keep
+	QuarantineTime = 15 * clock.Minute
+	remember       = 4 * QuarantineTime
 	// trialAfter is how long after the last crash one request is let through.
 	trialAfter = 4 * clock.Second
 	// maxRecords bounds the requests whose crashes are counted, maxEndpoints the
@@ -47,8 +47,8 @@
 	Cleared  bool
 }
 
-// Listed is what the platform's store holds of a request.
-type Listed struct {
+// Stored is what the platform's store holds of a request.
+type Stored struct {
 	Key Key
 	// Endpoints that crashed, the last of them Age milliseconds ago.
 	Endpoints []string
@@ -75,11 +75,11 @@
 	if r.cleared || len(r.endpoints) < maxCrashes {
 		return 0
 	}
-	return max(r.last+Keep-now, 0)
+	return max(r.last+QuarantineTime-now, 0)
 }
 
-// Book holds what is known of requests. It is safe for use by several goroutines.
-type Book struct {
+// Tracker holds what is known of requests. It is safe for use by several goroutines.
+type Tracker struct {
 	// size is the number of records.
 	size atomic.Int64
 
@@ -90,16 +90,16 @@
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{records: make(map[Key]*record)} }
+func New() *Tracker { return &Tracker{records: make(map[Key]*record)} }
 
 // Empty reports whether nothing is known of any request, so that keys need not be
 // computed.
-func (b *Book) Empty() bool { return b.size.Load() == 0 }
+func (b *Tracker) Empty() bool { return b.size.Load() == 0 }
 
-// Crashed notes that an endpoint crashed while it worked on a request of this
+// RecordCrash notes that an endpoint crashed while it worked on a request of this
 // process. It returns the number of crashes, and whether the request is quarantined
 // from now on.
-func (b *Book) Crashed(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+func (b *Tracker) RecordCrash(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -107,9 +107,9 @@
 	return b.add(key, endpoint, now)
 }
 
-// Answered notes that a request of this process was answered: it is not the one
+// RecordAnswer notes that a request of this process was answered: it is not the one
 // that crashes endpoints. It reports whether anything was known of it.
-func (b *Book) Answered(key Key) bool {
+func (b *Tracker) RecordAnswer(key Key) bool {
 	b.mu.RLock()
 	known := b.records[key]
 	b.mu.RUnlock()
@@ -124,9 +124,9 @@
 	return true
 }
 
-// Learn takes reports of peers and returns the requests that are quarantined from
+// AddReports takes reports of peers and returns the requests that are quarantined from
 // now on.
-func (b *Book) Learn(reports []Report, now clock.Millis) []Key {
+func (b *Tracker) AddReports(reports []Report, now clock.Millis) []Key {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -143,9 +143,9 @@
 	return began
 }
 
-// Unsent returns the reports that peers have not been sent yet, and how many were
+// TakeUnsent returns the reports that peers have not been sent yet, and how many were
 // dropped because too many waited.
-func (b *Book) Unsent() (reports []Report, dropped int) {
+func (b *Tracker) TakeUnsent() (reports []Report, dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reports, dropped = b.unsent, b.dropped
@@ -153,8 +153,8 @@
 	return reports, dropped
 }
 
-// Quarantined returns how much longer a request is quarantined; 0 if it is not.
-func (b *Book) Quarantined(key Key, now clock.Millis) clock.Millis {
+// QuarantineLeft returns how much longer a request is quarantined; 0 if it is not.
+func (b *Tracker) QuarantineLeft(key Key, now clock.Millis) clock.Millis {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if r := b.records[key]; r != nil {
@@ -167,7 +167,7 @@
 // process that is to do so: endpoints may have stopped for another reason. A process
 // that knows the crashes from the store alone lets none through, so that restarts add
 // no trials.
-func (b *Book) TrialDue(key Key, now clock.Millis) bool {
+func (b *Tracker) TrialDue(key Key, now clock.Millis) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	r := b.records[key]
@@ -175,7 +175,7 @@
 }
 
 // TakeTrial spends the trial that is due, and reports whether it was.
-func (b *Book) TakeTrial(key Key, now clock.Millis) bool {
+func (b *Tracker) TakeTrial(key Key, now clock.Millis) bool {
 	if !b.TrialDue(key, now) {
 		return false
 	}
@@ -190,7 +190,7 @@
 }
 
 // ReturnTrial takes back a trial that reached no endpoint.
-func (b *Book) ReturnTrial(key Key) {
+func (b *Tracker) ReturnTrial(key Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[key]; r != nil {
@@ -199,20 +199,20 @@
 }
 
 // Unwritten returns what is to be written to the store.
-func (b *Book) Unwritten(now clock.Millis) []Listed {
+func (b *Tracker) Unwritten(now clock.Millis) []Stored {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var unwritten []Listed
+	var unwritten []Stored
 	for key, r := range b.records {
 		if !r.cleared && len(r.endpoints) >= writeFrom && len(r.endpoints) > r.written && now-r.last < remember {
-			unwritten = append(unwritten, Listed{Key: key, Age: now - r.last, Endpoints: slices.Clone(r.endpoints)})
+			unwritten = append(unwritten, Stored{Key: key, Age: now - r.last, Endpoints: slices.Clone(r.endpoints)})
 		}
 	}
 	return unwritten
 }
 
-// Written notes that so many endpoints of a request stand in the store.
-func (b *Book) Written(key Key, endpoints int) {
+// MarkWritten notes that so many endpoints of a request stand in the store.
+func (b *Tracker) MarkWritten(key Key, endpoints int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[key]; r != nil {
@@ -222,7 +222,7 @@
 
 // Expire forgets what is too old. It returns the requests that are to be taken out of
 // the store: they are too old or were answered.
-func (b *Book) Expire(now clock.Millis) []Key {
+func (b *Tracker) Expire(now clock.Millis) []Key {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -239,9 +239,9 @@
 	return over
 }
 
-// SetListed takes all that the store holds. What stood there before and does no longer
+// SetStored takes all that the store holds. What stood there before and does no longer
 // was lifted.
-func (b *Book) SetListed(listed []Listed, now clock.Millis) (began, lifted []Key) {
+func (b *Tracker) SetStored(listed []Stored, now clock.Millis) (began, lifted []Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -263,7 +263,7 @@
 
 // take merges what the store holds of a request, and reports whether it is quarantined
 // from now on; the caller holds the lock.
-func (b *Book) take(entry Listed, now clock.Millis) (begins bool) {
+func (b *Tracker) take(entry Stored, now clock.Millis) (begins bool) {
 	r := b.records[entry.Key]
 	if r == nil {
 		b.makeRoom()
@@ -290,7 +290,7 @@
 }
 
 // add counts a crash; the caller holds the lock.
-func (b *Book) add(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+func (b *Tracker) add(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
 	r := b.records[key]
 	if r == nil || r.cleared {
 		listed := r != nil && r.listed
@@ -307,7 +307,7 @@
 
 // clear forgets the crashes of a request, at once or once the store has; the caller
 // holds the lock.
-func (b *Book) clear(key Key) {
+func (b *Tracker) clear(key Key) {
 	r := b.records[key]
 	switch {
 	case r == nil:
@@ -320,7 +320,7 @@
 
 // makeRoom drops a quarter of the records, those of which nothing was heard for
 // longest, when there are too many; the caller holds the lock.
-func (b *Book) makeRoom() {
+func (b *Tracker) makeRoom() {
 	if len(b.records) < maxRecords {
 		return
 	}
@@ -333,7 +333,7 @@
 	maps.DeleteFunc(b.records, func(_ Key, r *record) bool { return r.last <= oldest })
 }
 
-func (b *Book) send(report Report) {
+func (b *Tracker) send(report Report) {
 	if len(b.unsent) >= maxUnsent {
 		b.dropped++
 		return
@@ -342,4 +342,4 @@
 }
 
 // count publishes the size; the caller holds the lock.
-func (b *Book) count() { b.size.Store(int64(len(b.records))) }
+func (b *Tracker) count() { b.size.Store(int64(len(b.records))) }
--- a/internal/flow/extra/extra.go
+++ b/internal/flow/extra/extra.go
@@ -31,7 +31,7 @@
 type Bounds struct {
 	// Share of a pool's requests, and Spare requests besides within each Window.
 	Share  float64
-	Spare  float64
+	Base   float64
 	Window clock.Millis
 }
 
@@ -61,7 +61,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	bounds, now := b.bounds(), b.clock.Now()
-	spare := bounds.Spare / float64(max(b.processes(), 1))
+	spare := bounds.Base / float64(max(b.processes(), 1))
 	known := b.byPool[pool]
 	if known == nil {
 		most := max(int64(spareShare*spare), firstExtras)
--- a/internal/flow/extra/extra_test.go
+++ b/internal/flow/extra/extra_test.go
@@ -14,7 +14,7 @@
 // overrun by repeats.
 func TestAllProcessesTogetherStayWithinTheBounds(t *testing.T) {
 	const processes, requests = 26, 100
-	bounds := extra.Bounds{Share: 0.2, Spare: 92}
+	bounds := extra.Bounds{Share: 0.2, Base: 92}
 	spent := 0
 	for range processes {
 		b := extra.New(clock.New(), func() extra.Bounds { return bounds }, func() int { return processes })
@@ -26,11 +26,11 @@
 		}
 	}
 	assert.Assert(t, spent > 0)
-	assert.Assert(t, float64(spent) <= bounds.Share*processes*requests+bounds.Spare, "%d", spent)
+	assert.Assert(t, float64(spent) <= bounds.Share*processes*requests+bounds.Base, "%d", spent)
 }
 
 func TestPoolsDoNotShareABudget(t *testing.T) {
-	b := extra.New(clock.New(), func() extra.Bounds { return extra.Bounds{Share: 0.2, Spare: 2} }, func() int { return 1 })
+	b := extra.New(clock.New(), func() extra.Bounds { return extra.Bounds{Share: 0.2, Base: 2} }, func() int { return 1 })
 	assert.Assert(t, b.Take("a"))
 	assert.Assert(t, !b.Take("a"))
 	assert.Assert(t, b.Take("b"))
@@ -41,7 +41,7 @@
 // comes back with time; a window never sees more than it.
 func TestSpareBudgetComesBackWithTime(t *testing.T) {
 	fake := clock.NewFake(0)
-	bounds := extra.Bounds{Spare: 40, Window: 10 * clock.Second}
+	bounds := extra.Bounds{Base: 40, Window: 10 * clock.Second}
 	b := extra.New(fake.Clock(), func() extra.Bounds { return bounds }, func() int { return 2 })
 	spent := make([]int, 30)
 	for second := range spent {
--- a/internal/flow/graph/graph.go
+++ b/internal/flow/graph/graph.go
@@ -95,9 +95,9 @@
 	return false
 }
 
-// Follows reports whether a stage reads another one's results, directly or by
+// DependsOn reports whether a stage reads another one's results, directly or by
 // others.
-func (r *Run) Follows(stage, other int) bool { return r.leadsTo(stage, other, len(r.stages)) }
+func (r *Run) DependsOn(stage, other int) bool { return r.leadsTo(stage, other, len(r.stages)) }
 
 // Ready returns the stages that can run now and were not begun.
 func (r *Run) Ready() []int {
@@ -147,13 +147,13 @@
 	r.states[stage] = done
 }
 
-// Fetched notes that all pieces of a stage have read their inputs.
-func (r *Run) Fetched(stage int) { r.fetched[stage] = r.states[stage] == running }
+// MarkFetched notes that all pieces of a stage have read their inputs.
+func (r *Run) MarkFetched(stage int) { r.fetched[stage] = r.states[stage] == running }
 
-// Spare returns, once, the references that every stage which reads them has
+// Evictable returns, once, the references that every stage which reads them has
 // read, although it is not done yet. They are needed again only if such a stage
 // fails: where memory is short, it is better used for something else.
-func (r *Run) Spare() []string {
+func (r *Run) Evictable() []string {
 	var spare []string
 	for i := range r.stages {
 		if r.read[i] && !r.spared[i] && r.states[i] == done && r.readersFetched(i) {
@@ -175,9 +175,9 @@
 	return true
 }
 
-// Again puts a stage, and all that it reads, back to the start, because a
+// ResetStage puts a stage, and all that it reads, back to the start, because a
 // result is gone. It returns the references that are not used any more.
-func (r *Run) Again(stage int) []string {
+func (r *Run) ResetStage(stage int) []string {
 	r.states[stage] = waiting
 	r.fetched[stage], r.spared[stage] = false, false
 	var unused []string
@@ -187,7 +187,7 @@
 		}
 		unused = append(unused, r.results[before]...)
 		r.results[before] = nil
-		unused = append(unused, r.Again(before)...)
+		unused = append(unused, r.ResetStage(before)...)
 	}
 	return unused
 }
@@ -216,9 +216,9 @@
 	return true
 }
 
-// Last returns the references that the request itself reads: those of the
+// FinalResults returns the references that the request itself reads: those of the
 // stages that no other stage follows.
-func (r *Run) Last() []string {
+func (r *Run) FinalResults() []string {
 	var inputs []string
 	for i := range r.stages {
 		if !r.read[i] {
@@ -228,10 +228,10 @@
 	return inputs
 }
 
-// Spent returns the references that no stage still has to read and that the
+// ReleaseConsumed returns the references that no stage still has to read and that the
 // request itself doesn't read either, and forgets them: their memory can be
 // given back early.
-func (r *Run) Spent() []string {
+func (r *Run) ReleaseConsumed() []string {
 	var spent []string
 	for i := range r.stages {
 		if r.read[i] && r.states[i] == done && r.readersDone(i) {
@@ -253,16 +253,16 @@
 	return true
 }
 
-// Release forgets all references, because everything was read, and returns
+// ReleaseAll forgets all references, because everything was read, and returns
 // them. The run stays done; Empty tells that it has nothing to show for it.
-func (r *Run) Release() []string {
+func (r *Run) ReleaseAll() []string {
 	released := r.References()
 	clear(r.results)
 	return released
 }
 
-// Empty reports whether the request reads results that are no longer held.
-func (r *Run) Empty() bool {
+// ResultsMissing reports whether the request reads results that are no longer held.
+func (r *Run) ResultsMissing() bool {
 	for i := range r.stages {
 		if !r.read[i] && r.pieces[i] > 0 && len(r.results[i]) == 0 {
 			return true
--- a/internal/flow/graph/graph_test.go
+++ b/internal/flow/graph/graph_test.go
@@ -35,9 +35,9 @@
 	run.Finish(1, []string{"host/b"})
 	fmt.Println(start(run), run.Inputs(2))
 	run.Finish(2, []string{"host/c", "host/d"})
-	fmt.Println(start(run), run.Inputs(3), run.Spent())
+	fmt.Println(start(run), run.Inputs(3), run.ReleaseConsumed())
 	run.Finish(3, []string{"host/e"})
-	fmt.Println(run.Done(), run.Last(), run.Spent())
+	fmt.Println(run.Done(), run.FinalResults(), run.ReleaseConsumed())
 	// Output:
 	// [0 1]
 	// [2] [host/b]
@@ -52,7 +52,7 @@
 	run, err = graph.New(chain[:1], []int{0})
 	assert.NilError(t, err)
 	assert.Assert(t, run.Done())
-	assert.Equal(t, len(run.Last()), 0)
+	assert.Equal(t, len(run.FinalResults()), 0)
 }
 
 // The maker of a result ends between two stages. Its reader can't go on, and
@@ -63,7 +63,7 @@
 	start(run)
 	run.Finish(1, []string{"b"})
 	start(run)
-	assert.DeepEqual(t, run.Again(2), []string{"b"})
+	assert.DeepEqual(t, run.ResetStage(2), []string{"b"})
 	assert.DeepEqual(t, start(run), []int{1})
 	run.Finish(1, []string{"b2"})
 	assert.DeepEqual(t, start(run), []int{2})
@@ -79,14 +79,14 @@
 	start(run)
 	run.Finish(1, []string{"b"})
 	start(run)
-	assert.Equal(t, len(run.Spare()), 0)
-	run.Fetched(2)
-	assert.DeepEqual(t, run.Spare(), []string{"b"})
-	assert.Equal(t, len(run.Spare()), 0)
+	assert.Equal(t, len(run.Evictable()), 0)
+	run.MarkFetched(2)
+	assert.DeepEqual(t, run.Evictable(), []string{"b"})
+	assert.Equal(t, len(run.Evictable()), 0)
 	// They are still there if the stage fails, unless their memory was used.
 	assert.DeepEqual(t, run.Inputs(2), []string{"b"})
 	run.Finish(2, []string{"c"})
-	assert.DeepEqual(t, run.Spent(), []string{"b"})
+	assert.DeepEqual(t, run.ReleaseConsumed(), []string{"b"})
 }
 
 func TestRestartGivesEverythingBack(t *testing.T) {
--- a/internal/flow/inflow/inflow.go
+++ b/internal/flow/inflow/inflow.go
@@ -29,31 +29,31 @@
 	Pieces []int
 }
 
-// Book holds the work that is to come from this process.
-type Book struct {
+// Tracker holds the work that is to come from this process.
+type Tracker struct {
 	mu   sync.Mutex
 	open map[*Work]bool
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{open: make(map[*Work]bool)} }
+func New() *Tracker { return &Tracker{open: make(map[*Work]bool)} }
 
 // Add enters work until it is removed.
-func (b *Book) Add(work *Work) {
+func (b *Tracker) Add(work *Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open[work] = true
 }
 
 // Remove takes work out, because it has been asked for or never will be.
-func (b *Book) Remove(work *Work) {
+func (b *Tracker) Remove(work *Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, work)
 }
 
 // Loads returns the work by pool, in no order.
-func (b *Book) Loads(now clock.Millis) []Load {
+func (b *Tracker) Loads(now clock.Millis) []Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []Load
@@ -63,14 +63,14 @@
 	return loads
 }
 
-// Of returns the work for one pool, by class of rank; nil for none.
-func (b *Book) Of(pool string, now clock.Millis) []int {
+// PoolPieces returns the work for one pool, by class of rank; nil for none.
+func (b *Tracker) PoolPieces(pool string, now clock.Millis) []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var pieces []int
 	for work := range b.open {
 		if work.Pool == pool {
-			pieces = Sum(pieces, reach.Classes(work.Rank-now, work.Pieces))
+			pieces = AddClasses(pieces, reach.Classes(work.Rank-now, work.Pieces))
 		}
 	}
 	return pieces
@@ -80,15 +80,15 @@
 func Add(loads []Load, more Load) []Load {
 	for i := range loads {
 		if loads[i].Pool == more.Pool {
-			loads[i].Pieces = Sum(loads[i].Pieces, more.Pieces)
+			loads[i].Pieces = AddClasses(loads[i].Pieces, more.Pieces)
 			return loads
 		}
 	}
-	return append(loads, Load{Pool: more.Pool, Pieces: Sum(nil, more.Pieces)})
+	return append(loads, Load{Pool: more.Pool, Pieces: AddClasses(nil, more.Pieces)})
 }
 
-// Of returns the pieces of one pool's load, nil for none.
-func Of(loads []Load, pool string) []int {
+// PoolPieces returns the pieces of one pool's load, nil for none.
+func PoolPieces(loads []Load, pool string) []int {
 	for i := range loads {
 		if loads[i].Pool == pool {
 			return loads[i].Pieces
@@ -97,10 +97,10 @@
 	return nil
 }
 
-// Sum adds more to pieces class by class, and changes pieces if there are any.
+// AddClasses adds more to pieces class by class, and changes pieces if there are any.
 // Classes that this version doesn't know count among the last: a newer process
 // may have finer ones.
-func Sum(pieces, more []int) []int {
+func AddClasses(pieces, more []int) []int {
 	if pieces == nil {
 		pieces = make([]int, len(reach.Edges)+1)
 	}
--- a/internal/flow/inflow/inflow_test.go
+++ b/internal/flow/inflow/inflow_test.go
@@ -10,13 +10,13 @@
 	"github.com/jujubescale/jujubescale/internal/flow/reach"
 )
 
-func ExampleBook() {
+func ExampleTracker() {
 	book := inflow.New()
 	work := &inflow.Work{Pool: "rerank", Pieces: 10, Rank: 1500}
 	book.Add(work)
-	fmt.Println(book.Of("rerank", 1000)[reach.Class(500)])
+	fmt.Println(book.PoolPieces("rerank", 1000)[reach.Class(500)])
 	book.Remove(work)
-	fmt.Println(book.Of("rerank", 1000))
+	fmt.Println(book.PoolPieces("rerank", 1000))
 	// Output:
 	// 10
 	// []
@@ -26,9 +26,9 @@
 	loads := inflow.Add(nil, inflow.Load{Pool: "a", Pieces: []int{1, 2}})
 	loads = inflow.Add(loads, inflow.Load{Pool: "b", Pieces: []int{4}})
 	loads = inflow.Add(loads, inflow.Load{Pool: "a", Pieces: []int{3, 0, 5}})
-	assert.DeepEqual(t, inflow.Of(loads, "a")[:3], []int{4, 2, 5})
-	assert.DeepEqual(t, inflow.Of(loads, "b")[:3], []int{4, 0, 0})
-	assert.Assert(t, inflow.Of(loads, "c") == nil)
+	assert.DeepEqual(t, inflow.PoolPieces(loads, "a")[:3], []int{4, 2, 5})
+	assert.DeepEqual(t, inflow.PoolPieces(loads, "b")[:3], []int{4, 0, 0})
+	assert.Assert(t, inflow.PoolPieces(loads, "c") == nil)
 }
 
 // A process of the next release counts in more classes than this one. Its work
@@ -37,6 +37,6 @@
 	more := make([]int, len(reach.Edges)+5)
 	more[len(more)-1] = 7
 	loads := inflow.Add(nil, inflow.Load{Pool: "a", Pieces: more})
-	pieces := inflow.Of(loads, "a")
+	pieces := inflow.PoolPieces(loads, "a")
 	assert.Equal(t, pieces[len(pieces)-1], 7)
 }
--- a/internal/flow/reach/load_test.go
+++ b/internal/flow/reach/load_test.go
@@ -60,7 +60,7 @@
 			q.Free++
 		}
 	}
-	p.queue.Each(func(g *batch.Group) { q.Waiting[reach.Class(g.Rank-p.now)] += g.Waiting() })
+	p.queue.Each(func(g *batch.Group) { q.Waiting[reach.Class(g.Rank-p.now)] += g.Queued() })
 	return q
 }
 
@@ -87,7 +87,7 @@
 	remaining := r.Remaining(queues)
 	r.Correction = p.correction.Value(p.now)
 	if p.admits && !r.Begins(remaining) {
-		r.Penalty = 2 * batch.LateBehind
+		r.Penalty = 2 * batch.LatePenalty
 		if !r.BeginsLate(r.Remaining(queues)) {
 			p.refuse(c)
 			return
@@ -96,7 +96,7 @@
 	wanted := p.now + r.Slack
 	g := &batch.Group{
 		Owner: job{first: c.first, estimate: clock.Millis(remaining), began: p.now, late: r.Penalty > 0},
-		Count: c.pieces, Rank: wanted + r.Penalty, Wanted: wanted - last, Until: p.now + r.Left,
+		Count: c.pieces, Rank: wanted + r.Penalty, NeededBy: wanted - last, Deadline: p.now + r.Left,
 	}
 	p.left[g] = c.pieces
 	p.queue.Add(g)
@@ -145,9 +145,9 @@
 			p.end(item.Group)
 		}
 		if p.yields {
-			p.queue.Yield(bounds, p.now)
+			p.queue.DeferLate(bounds, p.now)
 		}
-		p.calls[i] = p.queue.Take(bounds, batch.Slot{Room: plenty, Free: 1}, p.now)
+		p.calls[i] = p.queue.NextBatch(bounds, batch.Slot{FreeBytes: plenty, FreeEngines: 1}, p.now)
 		if len(p.calls[i]) > 0 {
 			p.busy[i] = p.now + clock.Millis(bounds.Duration(len(p.calls[i])))
 		}
--- a/internal/flow/reach/reach.go
+++ b/internal/flow/reach/reach.go
@@ -175,7 +175,7 @@
 // rank is what the request's pieces wait behind, from now.
 func (r *Request) rank() clock.Millis {
 	if r.Slack < 0 {
-		return r.Slack + r.Penalty + batch.LateBehind
+		return r.Slack + r.Penalty + batch.LatePenalty
 	}
 	return r.Slack + r.Penalty
 }
--- a/internal/flow/stage/random_test.go
+++ b/internal/flow/stage/random_test.go
@@ -140,7 +140,7 @@
 		c := stage.Config{
 			Idempotent: rapid.Bool().Draw(t, "idempotent"), Stream: rapid.Bool().Draw(t, "stream"), Deadline: 1000,
 			Retries: retry.NewBudget(), Hedges: hedge.NewBudget(),
-			Plan:  budget.Plan{Limit: 1000, Patience: clock.Millis(rapid.IntRange(100, 1000).Draw(t, "patience"))},
+			Plan:  budget.Plan{Limit: 1000, AttemptTimeout: clock.Millis(rapid.IntRange(100, 1000).Draw(t, "patience"))},
 			Times: budget.Times{Typical: 50, Slow: clock.Millis(rapid.IntRange(0, 300).Draw(t, "slow"))},
 		}
 		for range 30 {
--- a/internal/flow/stage/stage.go
+++ b/internal/flow/stage/stage.go
@@ -132,7 +132,7 @@
 
 // Begin asks for the first attempt.
 func (m *Machine) Begin(now clock.Millis) {
-	if m.config.Plan.WontMakeIt {
+	if m.config.Plan.TooLate {
 		m.fail(fault.RefusalError{Reason: fault.WontMakeIt, Ran: fault.NotRun})
 		return
 	}
@@ -204,8 +204,8 @@
 	a := m.attempts[try]
 	a.state, a.session, a.sentAt = stateLive, session, now
 	plan := m.config.Plan
-	if m.config.Idempotent && plan.Patience < plan.Limit && m.leader == nil {
-		m.patienceAt = now + plan.Patience
+	if m.config.Idempotent && plan.AttemptTimeout < plan.Limit && m.leader == nil {
+		m.patienceAt = now + plan.AttemptTimeout
 	}
 }
 
--- a/internal/flow/stage/stage_test.go
+++ b/internal/flow/stage/stage_test.go
@@ -19,7 +19,7 @@
 func config() stage.Config {
 	return stage.Config{
 		Idempotent: true, Deadline: 1000, Retries: retry.NewBudget(), Hedges: hedge.NewBudget(),
-		Plan: budget.Plan{Limit: 1000, Patience: 1000},
+		Plan: budget.Plan{Limit: 1000, AttemptTimeout: 1000},
 	}
 }
 
@@ -218,7 +218,7 @@
 
 func TestPatienceGivesUpStragglerOnlyWithBudget(t *testing.T) {
 	c := config()
-	c.Plan.Patience = 100
+	c.Plan.AttemptTimeout = 100
 	m := begun(t, c)
 	m.Tick(100)
 	assert.Equal(t, expect(t, m, stage.Cancel).Try, 0)
--- a/internal/serve/entry/entry.go
+++ b/internal/serve/entry/entry.go
@@ -87,7 +87,7 @@
 	meter *meter.Entry
 	peers *peers.Peers
 	runs  *runs.Runs
-	book  *claim.Book
+	book  *claim.Registry
 	trace *trace.Trace
 	front *front.Front
 
--- a/internal/serve/front/front.go
+++ b/internal/serve/front/front.go
@@ -29,7 +29,7 @@
 	Runs *runs.Runs
 	// Book claims idempotency keys; without it calls that carry one and may
 	// not be repeated are refused.
-	Book *claim.Book
+	Book *claim.Registry
 	// Gate may refuse all new work.
 	Gate func() *fault.RefusalError
 	// Leaving reports whether a planned stop has begun.
--- a/internal/serve/front/reply.go
+++ b/internal/serve/front/reply.go
@@ -212,7 +212,7 @@
 	// The claim is held: nobody ran under this key, so "not run" can be said.
 	x.mayRepeat = false
 	got, err := run()
-	f.config.Book.FinishSoon(ctx, hold, outcomeOf(got, err), func(failed error) {
+	f.config.Book.FinishAsync(ctx, hold, outcomeOf(got, err), func(failed error) {
 		f.config.Meter.Claims.WithLabelValues(meter.ClaimUnkept).Inc()
 		f.config.Log.Warn("outcome of a key not kept", "request", x.id, "error", failed)
 	})
@@ -229,9 +229,9 @@
 		_, _ = digest.WriteString(part)
 		_, _ = digest.Write([]byte{0})
 	}
-	return f.config.Book.Begin(ctx, claim.Want{
+	return f.config.Book.Claim(ctx, claim.Call{
 		Organisation: call.Organisation, Service: x.service.Name, Key: x.key,
-		Fingerprint: digest.Sum64(), Request: x.id, Left: left,
+		Fingerprint: digest.Sum64(), Request: x.id, TimeLeft: left,
 	})
 }
 
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -180,7 +180,7 @@
 		LastEvent: req.LastEvent, Urgency: -1,
 	}
 	if req.run != nil {
-		call.Inputs, call.WithInputs = req.run.Last(), true
+		call.Inputs, call.WithInputs = req.run.FinalResults(), true
 	}
 	if req.pool.Generation != nil {
 		call.Urgency = urgency(req, now)
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -216,7 +216,7 @@
 		return 0
 	}
 	var far int64
-	for _, reference := range r.run.Last() {
+	for _, reference := range r.run.FinalResults() {
 		if at := r.made[reference]; at.zone != zone {
 			far += at.bytes
 		}
--- a/internal/serve/gate/crash.go
+++ b/internal/serve/gate/crash.go
@@ -105,7 +105,7 @@
 	if g.crashes.Empty() {
 		return 0
 	}
-	return g.crashes.Quarantined(req.crashKey(), g.Clock.Now())
+	return g.crashes.QuarantineLeft(req.crashKey(), g.Clock.Now())
 }
 
 func refusalOf(req *request, left clock.Millis) *fault.RefusalError {
@@ -120,7 +120,7 @@
 	b := unfinished{request: req.Request, target: t, at: g.Clock.Now()}
 	switch {
 	case result.end == answered && result.err == nil && req.status < http.StatusInternalServerError:
-		if !g.crashes.Empty() && g.crashes.Answered(req.crashKey()) {
+		if !g.crashes.Empty() && g.crashes.RecordAnswer(req.crashKey()) {
 			g.Log.Info("suspected request answered", "request", req.Request, "key", req.crashKey())
 		}
 	case result.end == broken && ctx.Err() == nil:
@@ -235,7 +235,7 @@
 	}
 	endpoint := b.target.ID + "/" + strconv.FormatInt(b.target.Born, 10)
 	for _, under := range all {
-		crashes, begins := g.crashes.Crashed(under.key, endpoint, g.Clock.Now())
+		crashes, begins := g.crashes.RecordCrash(under.key, endpoint, g.Clock.Now())
 		g.meter.crashes.WithLabelValues(b.target.Pool).Inc()
 		g.Log.Info("endpoint crashed under request", "request", under.request, "key", under.key, "pool", b.target.Pool,
 			"endpoint", b.target.ID, "born", b.target.Born, "endedMs", int64(g.Clock.Since(under.at)), "crashes", crashes)
@@ -266,16 +266,16 @@
 
 func (g *Gate) noteQuarantine(key crash.Key, cause string) {
 	g.meter.quarantines.Inc()
-	g.Log.Warn("request quarantined", "key", key, "cause", cause, "forMs", int64(crash.Keep))
+	g.Log.Warn("request quarantined", "key", key, "cause", cause, "forMs", int64(crash.QuarantineTime))
 }
 
 // Quarantines returns the book of requests under which endpoints crashed.
-func (g *Gate) Quarantines() *crash.Book { return g.crashes }
+func (g *Gate) Quarantines() *crash.Tracker { return g.crashes }
 
 // Crashes returns what peers have not been sent yet of requests under which
 // endpoints crashed.
 func (g *Gate) Crashes() []wire.Crash {
-	reports, dropped := g.crashes.Unsent()
+	reports, dropped := g.crashes.TakeUnsent()
 	if dropped > 0 {
 		g.Log.Warn("crashes not reported", "dropped", dropped)
 	}
@@ -294,14 +294,14 @@
 			reports = append(reports, crash.Report{Key: crash.Key(c.Key), Endpoint: c.Endpoint, Cleared: c.Cleared})
 		}
 	}
-	for _, key := range g.crashes.Learn(reports, g.Clock.Now()) {
+	for _, key := range g.crashes.AddReports(reports, g.Clock.Now()) {
 		g.noteQuarantine(key, "crashes at peers")
 	}
 }
 
 // SetQuarantines takes what the platform's store holds.
-func (g *Gate) SetQuarantines(listed []crash.Listed) {
-	began, lifted := g.crashes.SetListed(listed, g.Clock.Now())
+func (g *Gate) SetQuarantines(listed []crash.Stored) {
+	began, lifted := g.crashes.SetStored(listed, g.Clock.Now())
 	for _, key := range began {
 		g.noteQuarantine(key, "platform's store")
 	}
--- a/internal/serve/gate/crash_test.go
+++ b/internal/serve/gate/crash_test.go
@@ -69,7 +69,7 @@
 	began := time.Now()
 	g.look(unfinished{request: "x", key: crash.Key{2}, target: targetAt("crashed", listener.Addr().String()), at: now})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		reports, _ := g.crashes.Unsent()
+		reports, _ := g.crashes.TakeUnsent()
 		if slices.ContainsFunc(reports, func(r crash.Report) bool { return r.Key == (crash.Key{2}) }) {
 			return poll.Success()
 		}
@@ -79,7 +79,7 @@
 
 // counted returns how many crashes wait to be reported.
 func (g *Gate) counted() int {
-	reports, _ := g.crashes.Unsent()
+	reports, _ := g.crashes.TakeUnsent()
 	return len(reports)
 }
 
@@ -136,7 +136,7 @@
 	g.watch.leave(unfinished{key: crash.Key{2}, target: e, at: now - keepOpenEnded - 1})
 	g.watch.leave(unfinished{key: crash.Key{3}, target: targetAt("other", e.Address), at: now})
 	g.judge(t.Context(), unfinished{target: e, at: now})
-	reports, _ := g.crashes.Unsent()
+	reports, _ := g.crashes.TakeUnsent()
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].Key, crash.Key{1})
 	g.judge(t.Context(), unfinished{target: e, at: now})
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -77,9 +77,9 @@
 	pieceExtras *extra.Budget
 	prefixes    *target.Prefixes
 	subsets     subsets
-	inflow      *inflow.Book
+	inflow      *inflow.Tracker
 	recall      *recall.Book
-	crashes     *crash.Book
+	crashes     *crash.Tracker
 	watch       *crashWatch
 	routes      byName[routeRecord]
 	// rates holds how fast the engines of each pool read prompts.
@@ -133,7 +133,7 @@
 
 func (g *Gate) extraBounds() extra.Bounds {
 	bounds := g.bounds.Load()
-	return extra.Bounds{Share: bounds.ExtraShare, Spare: bounds.ExtraSpare, Window: bounds.ExtraWindow}
+	return extra.Bounds{Share: bounds.ExtraShare, Base: bounds.ExtraSpare, Window: bounds.ExtraWindow}
 }
 
 // PieceExtras returns the budget for pieces that are sent once more to the
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -162,7 +162,7 @@
 // no inputs any more, and stage engines have little memory.
 func (g *Gate) inputsRead(req *request) {
 	if req.run != nil {
-		g.giveBack(req, req.run.Release())
+		g.giveBack(req, req.run.ReleaseAll())
 	}
 }
 
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -160,8 +160,8 @@
 func (p *progress) take(end stageEnd) {
 	run := p.req.run
 	if end.fetched {
-		run.Fetched(end.stage)
-		p.g.give(p.req, run.Spare(), wire.Unused{Spare: true})
+		run.MarkFetched(end.stage)
+		p.g.give(p.req, run.Evictable(), wire.Unused{Spare: true})
 		return
 	}
 	p.running--
@@ -171,7 +171,7 @@
 		p.finish(end)
 	case isInputGone(end.err) && p.restarts < maxRestarts && p.failed == nil:
 		p.restarts++
-		p.g.giveBack(p.req, run.Again(end.stage))
+		p.g.giveBack(p.req, run.ResetStage(end.stage))
 	default:
 		p.failed = errors.Join(p.failed, end.err)
 	}
@@ -193,5 +193,5 @@
 		p.req.made[reference] = at
 	}
 	p.req.run.Finish(end.stage, end.made.References)
-	p.g.giveBack(p.req, p.req.run.Spent())
+	p.g.giveBack(p.req, p.req.run.ReleaseConsumed())
 }
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -18,7 +18,7 @@
 
 // lateBehind is how far a request that begins late is put behind others: it is
 // late by less than this and has no other penalty than requests in time have.
-const lateBehind = 2 * batch.LateBehind
+const lateBehind = 2 * batch.LatePenalty
 
 // begins refuses a request that would probably miss its objective, before any
 // engine has worked for it.
@@ -105,7 +105,7 @@
 	}
 	q := reach.Merge(parts)
 	q.Bounds, q.Room = batch.BoundsOf(batching), batching.Room
-	q.Inflow = inflow.Sum(g.inflow.Of(name, g.Clock.Now()), g.mesh.Inflow(name))
+	q.Inflow = inflow.AddClasses(g.inflow.PoolPieces(name, g.Clock.Now()), g.mesh.Inflow(name))
 	return q
 }
 
@@ -147,7 +147,7 @@
 func (g *Gate) after(req *request, stage int) clock.Millis {
 	r := g.reachOf(req)
 	for i := range r.Done {
-		r.Done[i] = !req.run.Follows(i, stage)
+		r.Done[i] = !req.run.DependsOn(i, stage)
 	}
 	return clock.Millis(r.Remaining(func(name string) *reach.Queue {
 		batching := g.Table().Batching(name)
--- a/internal/serve/gate/run.go
+++ b/internal/serve/gate/run.go
@@ -124,7 +124,7 @@
 		return result.err
 	}
 	g.meter.retries.WithLabelValues(req.pool.Name, result.name()).Inc()
-	if result.end != inputsGone && (req.run == nil || !req.run.Empty()) {
+	if result.end != inputsGone && (req.run == nil || !req.run.ResultsMissing()) {
 		return nil
 	}
 	req.restarts++
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -111,7 +111,7 @@
 // followed reports whether another stage reads the results of one.
 func (g *Gate) followed(req *request, stage int) bool {
 	for i := range req.route.Stages {
-		if req.run.Pieces(i) > 0 && req.run.Follows(i, stage) {
+		if req.run.Pieces(i) > 0 && req.run.DependsOn(i, stage) {
 			return true
 		}
 	}
@@ -252,7 +252,7 @@
 	if req.run == nil || t.Load.Running.Load()+t.Load.PeerRunning.Load() >= int64(req.pool.Generation.Slots) {
 		return
 	}
-	g.give(req, req.run.Last(), wire.Unused{Spare: true, Delay: readTime})
+	g.give(req, req.run.FinalResults(), wire.Unused{Spare: true, Delay: readTime})
 }
 
 // give tells owners of results that are not needed any more, in the way that
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -52,7 +52,7 @@
 func (h *Host) start(q *queue, e *engine, pool *table.Batching, items []batch.Item) {
 	e.calls++
 	for _, item := range items {
-		e.memory.Reserve(item.Group.Bytes)
+		e.memory.Reserve(item.Group.ResultBytes)
 		job := item.Group.Owner.(*Job)
 		job.tries[item.Piece]++
 	}
@@ -130,9 +130,9 @@
 	var until clock.Millis
 	for _, item := range items {
 		g := item.Group
-		until = max(until, g.Until)
+		until = max(until, g.Deadline)
 		pieces = append(pieces, spell.Piece{
-			Request: g.Request, Stage: g.Stage, Index: item.Piece, Left: g.Until - now, Key: g.Key, Inputs: g.Inputs,
+			Request: g.Request, Stage: g.Stage, Index: item.Piece, Left: g.Deadline - now, Key: g.Key, Inputs: g.Inputs,
 		})
 	}
 	body, err := h.Spelling.PiecesFunc(pieces)
@@ -274,7 +274,7 @@
 	}
 	h.Meter.failed(h.poolOf(q.name))
 	for _, item := range items {
-		e.memory.Release(item.Group.Bytes)
+		e.memory.Release(item.Group.ResultBytes)
 		h.again(q, item, fault.EndpointFailed, now)
 	}
 }
@@ -283,7 +283,7 @@
 func (h *Host) take(q *queue, e *engine, pool *table.Batching, item batch.Item, result spell.Result, now clock.Millis) {
 	job := item.Group.Owner.(*Job)
 	if result.Reference == "" {
-		e.memory.Release(item.Group.Bytes)
+		e.memory.Release(item.Group.ResultBytes)
 		switch result.Failure {
 		case spell.FailedInput:
 			h.fail(job, fault.InputGone)
@@ -297,7 +297,7 @@
 		}
 		return
 	}
-	made := memory.Result{Reference: result.Reference, Bytes: item.Group.Bytes}
+	made := memory.Result{Reference: result.Reference, Bytes: item.Group.ResultBytes}
 	e.memory.Hold(made, now+pool.Keep)
 	if job.ended {
 		e.memory.Drop(made)
@@ -321,7 +321,7 @@
 			continue
 		}
 		failed++
-		if size := items[i].Group.Bytes; least == 0 || size < least {
+		if size := items[i].Group.ResultBytes; least == 0 || size < least {
 			least = size
 		}
 	}
@@ -346,7 +346,7 @@
 		return
 	}
 	job.failed = reason
-	q.waiting.Back(item, now)
+	q.waiting.Requeue(item, now)
 }
 
 // fail ends a job without results. The caller holds the lock.
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -47,15 +47,15 @@
 		return
 	}
 	bounds, now := batch.BoundsOf(pool), h.Clock.Now()
-	for _, late := range q.waiting.Late(bounds, now) {
+	for _, late := range q.waiting.DropTooLate(bounds, now) {
 		h.fail(late.Owner.(*Job), fault.DeadlinePassed)
 	}
-	for _, stuck := range q.waiting.Stuck(now) {
+	for _, stuck := range q.waiting.DropStuck(now) {
 		h.fail(stuck.Owner.(*Job), stuck.Owner.(*Job).failed)
 	}
-	for _, g := range q.waiting.Yield(bounds, now) {
+	for _, g := range q.waiting.DeferLate(bounds, now) {
 		h.Log.Info("late work yields", "pool", q.name, logs.KeyRequest, g.Request, "stage", g.Stage,
-			"lateMs", int64(now-g.Wanted), "pieces", g.Waiting(), "waiting", q.waiting.Pieces())
+			"lateMs", int64(now-g.NeededBy), "pieces", g.Queued(), "waiting", q.waiting.Pieces())
 	}
 	h.returnUnused(q, pool)
 	if q.waiting.Pieces() == 0 {
@@ -71,10 +71,10 @@
 			e, tried = tried[0], tried[1:]
 		}
 		slot := batch.Slot{
-			Zone: e.Zone, Room: e.memory.Room(limits, now), Free: len(free) - i,
-			AgainFunc: func() bool { return h.Retry(h.poolOf(q.name)) },
+			Zone: e.Zone, FreeBytes: e.memory.Room(limits, now), FreeEngines: len(free) - i,
+			AllowRetryFunc: func() bool { return h.Retry(h.poolOf(q.name)) },
 		}
-		items := q.waiting.Take(bounds, slot, now)
+		items := q.waiting.NextBatch(bounds, slot, now)
 		if len(items) == 0 {
 			continue
 		}
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -129,8 +129,8 @@
 		},
 		group: &batch.Group{
 			Request: ask.Request, Stage: ask.Stage, Key: ask.Key, Inputs: ask.Inputs, Count: ask.Count,
-			Rank: now + ask.Slack + ask.Penalty, Wanted: now + ask.Slack, Until: now + ask.TimeLeft, Bytes: ask.Bytes, Zone: ask.Zone,
-			HoldUntil: now + ask.Hold, Firm: ask.Firm,
+			Rank: now + ask.Slack + ask.Penalty, NeededBy: now + ask.Slack, Deadline: now + ask.TimeLeft, ResultBytes: ask.Bytes, Zone: ask.Zone,
+			HoldUntil: now + ask.Hold, HoldUnderLoad: ask.Firm,
 		},
 	}
 	h.mu.Lock()
@@ -170,7 +170,7 @@
 // unusedOf gives back the results that a job already has.
 func (h *Host) unusedOf(q *queue, job *Job) {
 	for _, reference := range job.result.References {
-		q.drop(memory.Result{Reference: reference, Bytes: job.group.Bytes})
+		q.drop(memory.Result{Reference: reference, Bytes: job.group.ResultBytes})
 	}
 }
 
@@ -234,7 +234,7 @@
 	for _, q := range h.queues {
 		var waiting []*Job
 		q.waiting.Each(func(g *batch.Group) {
-			if g.Waiting() == g.Count {
+			if g.Queued() == g.Count {
 				waiting = append(waiting, g.Owner.(*Job))
 			}
 		})
@@ -277,7 +277,7 @@
 	}
 	now := h.Clock.Now()
 	load.Waiting = make([]int, len(reach.Edges)+1)
-	q.waiting.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Waiting() })
+	q.waiting.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Queued() })
 	return load
 }
 
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -56,7 +56,7 @@
 	if pool == nil || !others {
 		return 0
 	}
-	return q.waiting.Wanted(pool.Pieces)
+	return q.waiting.ResultBytes(pool.Pieces)
 }
 
 // holdBusy keeps calls away from an engine that works for the owner before and
@@ -84,7 +84,7 @@
 // returnUnused gives results back to engines whose memory fills up.
 func (h *Host) returnUnused(q *queue, pool *table.Batching) {
 	now := h.Clock.Now()
-	wanted := q.waiting.Wanted(pool.Pieces)
+	wanted := q.waiting.ResultBytes(pool.Pieces)
 	for _, e := range q.engines {
 		if e.Gone() {
 			continue
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -365,7 +365,7 @@
 	if loads == nil {
 		return nil
 	}
-	return inflow.Of(*loads, pool)
+	return inflow.PoolPieces(*loads, pool)
 }
 
 // Pool returns what peers said of a pool's queue last, false when none did. Late
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -136,7 +136,7 @@
 	// No request is sent meanwhile: it would be answered, and end the quarantine.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, g := range b.gateways {
-			if g.Gate().Quarantines().Quarantined(k, g.Clock.Now()) == 0 {
+			if g.Gate().Quarantines().QuarantineLeft(k, g.Clock.Now()) == 0 {
 				return poll.Continue("gateway %d does not know", i+1)
 			}
 		}
--- a/internal/serve/router/quarantine.go
+++ b/internal/serve/router/quarantine.go
@@ -42,14 +42,14 @@
 
 // quarantines follows the quarantines in the platform's store.
 type quarantines struct {
-	known   map[string]crash.Listed
-	setFunc func([]crash.Listed)
+	known   map[string]crash.Stored
+	setFunc func([]crash.Stored)
 }
 
-func newQuarantines(set func([]crash.Listed)) *quarantines { return &quarantines{setFunc: set} }
+func newQuarantines(set func([]crash.Stored)) *quarantines { return &quarantines{setFunc: set} }
 
 func (q *quarantines) list(objects []store.Object, _ clock.Millis) {
-	q.known = make(map[string]crash.Listed, len(objects))
+	q.known = make(map[string]crash.Stored, len(objects))
 	for _, object := range objects {
 		q.put(object)
 	}
@@ -76,11 +76,11 @@
 		return
 	}
 	age := clock.Millis(time.Now().UnixMilli() - entry.SinceMs)
-	q.known[object.Name] = crash.Listed{Key: key, Age: age, Endpoints: entry.Endpoints}
+	q.known[object.Name] = crash.Stored{Key: key, Age: age, Endpoints: entry.Endpoints}
 }
 
 func (q *quarantines) set() {
-	listed := make([]crash.Listed, 0, len(q.known))
+	listed := make([]crash.Stored, 0, len(q.known))
 	for _, entry := range q.known {
 		listed = append(listed, entry)
 	}
@@ -147,7 +147,7 @@
 }
 
 // writeQuarantine writes a request's crashes beside those that the store holds.
-func (g *Gateway) writeQuarantine(ctx context.Context, entry crash.Listed) error {
+func (g *Gateway) writeQuarantine(ctx context.Context, entry crash.Stored) error {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout.Duration())
 	defer cancel()
 	name := g.quarantineName(entry.Key)
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	g.gate.Quarantines().Written(entry.Key, len(entry.Endpoints))
+	g.gate.Quarantines().MarkWritten(entry.Key, len(entry.Endpoints))
 	g.Log.Info("crashes under request written", "key", entry.Key, "crashes", len(entry.Endpoints), "ageMs", int64(entry.Age))
 	return nil
 }
--- a/internal/serve/runs/runs.go
+++ b/internal/serve/runs/runs.go
@@ -194,7 +194,7 @@
 	ctx context.Context, j *job, p *manif.Pipeline, index int, remaining []*budget.Stage, costs *[]spent,
 ) (json.RawMessage, error) {
 	began := r.clock.Now()
-	j.plan = budget.Make(began, j.deadline-began, remaining)
+	j.plan = budget.NewPlan(began, j.deadline-began, remaining)
 	j.times = remaining[0].Times(began)
 	got, err := r.run(ctx, j)
 	r.meter.EngineTime(j.pool, meter.UseWasted, got.wasted)
@@ -243,7 +243,7 @@
 	observed := r.times(service, template)
 	began := r.clock.Now()
 	j := &job{call: request.Call, pool: poolName, deadline: request.Deadline, record: request.Record}
-	j.plan = budget.Make(began, j.deadline-began, []*budget.Stage{observed})
+	j.plan = budget.NewPlan(began, j.deadline-began, []*budget.Stage{observed})
 	j.times = observed.Times(began)
 	got, err := r.run(ctx, j)
 	r.meter.EngineTime(poolName, meter.UseWasted, got.wasted)
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -75,7 +75,7 @@
 	}
 	if r.baseline {
 		config.Retries, config.Hedges = r.unlimited, nil
-		config.Plan = budget.Plan{Limit: j.plan.Limit, Patience: j.plan.Limit}
+		config.Plan = budget.Plan{Limit: j.plan.Limit, AttemptTimeout: j.plan.Limit}
 		config.Times = budget.Times{}
 	}
 	x := &stageRun{
