--- a/internal/guard/memory/export_test.go
+++ b/internal/guard/memory/export_test.go
@@ -1,6 +1,7 @@
 package memory
 
-// TrackedResults is the number of results that the account still knows of.
+// TrackedResults returns the number of results in the account, counted once per
+// list that contains them.
 func (a *Account) TrackedResults() int {
-	return len(a.held) + len(a.unused) + len(a.spare) + len(a.giving)
+	return len(a.stored) + len(a.unused) + len(a.reclaimable) + len(a.freeing)
 }
--- a/internal/guard/memory/memory.go
+++ b/internal/guard/memory/memory.go
@@ -1,12 +1,12 @@
-// Package memory accounts for the memory for results of one stage engine, as
-// its pool's owner sees it: what lies there, what calls under way will add,
-// what can be given back, and what owners before this one left behind.
+// Package memory tracks the result memory of one stage engine for the owner of
+// its pool: stored results, results that running calls will add, results that can
+// be freed, and results that previous owners left behind.
 //
-// It answers bursts and changes of owner. Results of a stage stay at their
-// maker until whoever reads them has done so. Where the account is too low,
-// calls fail piece by piece for want of memory, each after its full time; where
-// it is too high, engines work in small calls that take nearly as long as full
-// ones. It takes numbers and returns decisions and opens no connection.
+// The results of a stage stay at the engine that made them until they have been
+// read. If the account underestimates the used memory, calls run out of memory
+// and fail piece by piece, each after its full time; if it overestimates it,
+// engines work in small calls that take nearly as long as full ones. Both matter
+// in bursts and after a change of owner. The package does no I/O.
 package memory
 
 import (
@@ -16,285 +16,290 @@
 )
 
 const (
-	// usableShare is the part of an engine's memory that is used: sizes in the
-	// configuration are approximate.
+	// usableShare is the share of an engine's memory that calls may fill, because the
+	// result sizes in the configuration are approximate.
 	usableShare = 0.92
-	// giveFrom is the part from which results that nobody needs are given back
-	// by a call; below it they expire by themselves, which costs nothing.
-	giveFrom = 0.2
-	// clearFrom is the part from which a call waits for results that are being
-	// given back. A call that began now would be small for want of memory, and
-	// take nearly as long as a full one; the memory is there within milliseconds.
-	clearFrom = 0.4
-	// askAgain is the pause between two requests while results of others lie at
-	// an engine: their requests end one after the other.
-	askAgain = 300 * clock.Millis(1)
-	// leftFor is how many times the span that results are kept the results of
-	// owners before may still be given back; they have expired by then.
-	leftFor = 2
+	// freeThreshold is the used share of memory from which unused results are freed
+	// with a call. Below it they are left to expire, which costs nothing.
+	freeThreshold = 0.2
+	// waitThreshold is the used share of memory from which a call waits for results
+	// that are being freed. A call sent at once would be small for lack of memory,
+	// and take nearly as long as a full one; freeing takes only milliseconds.
+	waitThreshold = 0.4
+	// queryInterval is the time between two queries of an engine's memory while it
+	// stores foreign results, which are released one after the other.
+	queryInterval = 300 * clock.Millis(1)
+	// predecessorSpans is for how many retention times after a change of owner an
+	// engine may still store results of a previous owner. All have expired by then.
+	predecessorSpans = 2
 )
 
-// Limits are what the configuration says of an engine's memory.
+// Limits are the configured limits of an engine's memory.
 type Limits struct {
-	// Capacity for results, in bytes.
+	// Capacity is the memory for results, in bytes.
 	Capacity int64
-	// Retention is how long a result outlives its call.
+	// Retention is how long an engine stores a result after the call that made it.
 	Retention clock.Millis
 }
 
-// Result is a result that lies at the engine.
+// Result is a result that an engine stores.
 type Result struct {
 	Reference string
-	// Bytes is its size; 0 where it isn't known.
+	// Bytes is the size; 0 if unknown.
 	Bytes int64
 }
 
-type held struct {
+type storedResult struct {
 	bytes int64
 	until clock.Millis
 }
 
-// spare is a result that is needed again only if a stage fails.
-type spare struct {
+// reclaimable is a result that, from an instant on, is needed again only if a stage
+// fails.
+type reclaimable struct {
 	Result
 	from clock.Millis
 }
 
-// Account is the account of one engine. It is not safe for use by several
-// goroutines at once.
+// Account tracks the memory of one engine. It is not safe for concurrent use.
 type Account struct {
-	since  clock.Millis
-	held   map[string]held
-	own    int64 // bytes of results held, and of those that calls under way will make
-	unused []Result
-	spare  []spare
-	giving []Result
-
-	foreign      int64
-	foreignFrom  clock.Millis // when foreign was set
+	since       clock.Millis // when this process began to use the engine
+	stored      map[string]storedResult
+	ownBytes    int64 // bytes of stored results and of those that running calls will make
+	unused      []Result
+	reclaimable []reclaimable
+	freeing     []Result
+
+	foreignBytes int64
+	foreignSetAt clock.Millis // when foreignBytes was set
 	foreignUntil clock.Millis
-	asked        clock.Millis
-	asking       bool
-	lacked       clock.Millis // when the engine last had no memory for a piece
+	queriedAt    clock.Millis
+	querying     bool
+	shortageAt   clock.Millis // when the engine last had too little memory for a piece
 }
 
-// New returns the account of an engine that this process begins to use now.
-func New(now clock.Millis) *Account { return &Account{since: now, held: make(map[string]held)} }
+// New returns the account of an engine that this process uses from now on.
+func New(now clock.Millis) *Account {
+	return &Account{since: now, stored: make(map[string]storedResult)}
+}
 
-// OwnBytes returns the bytes of results that calls of this process have made or will
-// make.
-func (a *Account) OwnBytes() int64 { return a.own }
+// OwnBytes returns the size of the results that calls of this process have made or
+// will make.
+func (a *Account) OwnBytes() int64 { return a.ownBytes }
 
-// ForeignBytes returns the bytes that results of others take, as far as is known.
-// What an engine that lacked memory holds besides is taken to expire bit by bit:
-// nothing else tells of results whose owner was killed.
+// ForeignBytes returns the estimated size of the results of other owners. After
+// a memory shortage the estimate falls linearly to zero over the retention time,
+// because nothing reports the results of an owner that was killed.
 func (a *Account) ForeignBytes(now clock.Millis) int64 {
 	switch {
 	case a.foreignUntil <= now:
 		return 0
-	case a.lacked == 0:
-		return a.foreign
+	case a.shortageAt == 0:
+		return a.foreignBytes
 	}
-	left := float64(a.foreignUntil-now) / float64(a.foreignUntil-a.foreignFrom)
-	return int64(float64(a.foreign) * left)
+	remaining := float64(a.foreignUntil-now) / float64(a.foreignUntil-a.foreignSetAt)
+	return int64(float64(a.foreignBytes) * remaining)
 }
 
-// Available returns the bytes that a call may fill.
+// Available returns the bytes that a new call may fill.
 func (a *Account) Available(limits Limits, now clock.Millis) int64 {
-	return max(int64(usableShare*float64(limits.Capacity))-a.own-a.ForeignBytes(now), 0)
+	return max(int64(usableShare*float64(limits.Capacity))-a.ownBytes-a.ForeignBytes(now), 0)
 }
 
-// Reserve counts the result of a piece that a call will make.
-func (a *Account) Reserve(bytes int64) { a.own += bytes }
+// Reserve reserves memory for the result of a piece that a call will make.
+func (a *Account) Reserve(bytes int64) { a.ownBytes += bytes }
 
-// Release takes a reservation back: the piece was not made.
-func (a *Account) Release(bytes int64) { a.own -= bytes }
+// Release cancels the reservation for a piece that was not made.
+func (a *Account) Release(bytes int64) { a.ownBytes -= bytes }
 
-// Add enters a result whose memory its call has reserved.
+// Add records a result whose memory was reserved with Reserve. The engine stores
+// it until the given instant.
 func (a *Account) Add(result Result, until clock.Millis) {
-	a.held[result.Reference] = held{bytes: result.Bytes, until: until}
+	a.stored[result.Reference] = storedResult{bytes: result.Bytes, until: until}
 }
 
-// Holds reports whether a result of this process lies at the engine.
+// Holds reports whether the engine stores this result of this process.
 func (a *Account) Holds(reference string) bool {
-	_, holds := a.held[reference]
+	_, holds := a.stored[reference]
 	return holds
 }
 
-// MayHold reports whether a result that this account doesn't know may lie at
-// the engine, because an owner before this process made it.
+// MayHold reports whether the engine may store results that a previous owner made
+// and that this account does not know.
 func (a *Account) MayHold(limits Limits, now clock.Millis) bool {
-	return a.asked > 0 && now-a.since <= leftFor*limits.Retention
+	return a.queriedAt > 0 && now-a.since <= predecessorSpans*limits.Retention
 }
 
-// MarkUnused notes that nobody needs a result any more.
+// MarkUnused records that a result is no longer needed.
 func (a *Account) MarkUnused(result Result) {
-	if !contains(a.unused, result.Reference) && !contains(a.giving, result.Reference) {
+	if !contains(a.unused, result.Reference) && !contains(a.freeing, result.Reference) {
 		a.unused = append(a.unused, result)
 	}
 }
 
-// MarkReclaimable notes that from an instant on a result is needed again only if a stage
-// fails.
+// MarkReclaimable records that from an instant on a result is needed again only
+// if a stage fails.
 func (a *Account) MarkReclaimable(result Result, from clock.Millis) {
-	a.spare = append(a.spare, spare{Result: result, from: from})
+	a.reclaimable = append(a.reclaimable, reclaimable{Result: result, from: from})
 }
 
-// BeginFree returns the results to give back now, nil for none. Spare ones are among
-// them if a call is to fill so many bytes and there is less room than that.
-// Given must follow.
-func (a *Account) BeginFree(limits Limits, wanted int64, now clock.Millis) []string {
-	if len(a.giving) > 0 {
+// BeginFree returns the references of the results to free now, nil for none. It
+// includes reclaimable results if the next call needs more bytes than are
+// available. If it returns any, the caller must call EndFree.
+func (a *Account) BeginFree(limits Limits, needed int64, now clock.Millis) []string {
+	if len(a.freeing) > 0 {
 		return nil
 	}
-	if short := wanted - a.Available(limits, now); short > 0 {
-		a.useSpare(limits, short, now)
+	if shortfall := needed - a.Available(limits, now); shortfall > 0 {
+		a.reclaim(limits, shortfall, now)
 	}
-	taken := a.own + a.ForeignBytes(now)
-	if len(a.unused) == 0 || float64(taken) < giveFrom*float64(limits.Capacity) {
+	usedBytes := a.ownBytes + a.ForeignBytes(now)
+	if len(a.unused) == 0 || float64(usedBytes) < freeThreshold*float64(limits.Capacity) {
 		return nil
 	}
-	a.giving, a.unused = a.unused, nil
-	references := make([]string, 0, len(a.giving))
-	for _, result := range a.giving {
+	a.freeing, a.unused = a.unused, nil
+	references := make([]string, 0, len(a.freeing))
+	for _, result := range a.freeing {
 		references = append(references, result.Reference)
 	}
 	return references
 }
 
-// useSpare counts spare results as unused until they make up for what is short,
-// the oldest first. One that is given back although a piece that read it failed
-// afterwards makes its request's stages run again, all of them, so that no more
-// are used than needed, and none of those too small to matter.
-func (a *Account) useSpare(limits Limits, short int64, now clock.Millis) {
-	kept := a.spare[:0]
-	for _, s := range a.spare {
+// reclaim marks reclaimable results as unused, oldest first, until they cover the
+// shortfall. If a piece that read such a result fails afterwards, all stages of
+// its request run again. Therefore no more results are reclaimed than needed,
+// and none that are too small to matter.
+func (a *Account) reclaim(limits Limits, shortfall int64, now clock.Millis) {
+	kept := a.reclaimable[:0]
+	for _, s := range a.reclaimable {
 		switch {
-		case !a.Holds(s.Reference) && !a.MayHold(limits, now): // it is gone already
-		case s.from > now || short <= 0 || s.Bytes < short/spareLeast:
+		case !a.Holds(s.Reference) && !a.MayHold(limits, now): // it has expired
+		case s.from > now || shortfall <= 0 || s.Bytes < shortfall/minReclaimDivisor:
 			kept = append(kept, s)
 		default:
 			a.MarkUnused(s.Result)
-			short -= s.Bytes
+			shortfall -= s.Bytes
 		}
 	}
-	a.spare = kept
+	a.reclaimable = kept
 }
 
-// spareLeast is the part of what is short from which a spare result is worth
-// being given back early.
-const spareLeast = 50
+// minReclaimDivisor bounds which results are reclaimed: those of at least this
+// fraction, 1/50, of the shortfall.
+const minReclaimDivisor = 50
 
-// EndFree notes whether the engine took the results back that Give returned. If
-// it did not they expire by themselves, and count as held until then.
-func (a *Account) EndFree(taken bool) {
-	if taken {
-		for _, result := range a.giving {
-			a.forget(result)
+// EndFree records whether the engine freed the results that BeginFree returned. If
+// it did not, they count as stored until they expire.
+func (a *Account) EndFree(freed bool) {
+	if freed {
+		for _, result := range a.freeing {
+			a.release(result)
 		}
 	}
-	a.giving = nil
+	a.freeing = nil
 }
 
-// Freeing reports whether a call should wait because memory is just being
-// given back.
+// Freeing reports whether a call should wait for memory that is being freed.
 func (a *Account) Freeing(limits Limits, now clock.Millis) bool {
-	return len(a.giving) > 0 && float64(a.own+a.ForeignBytes(now)) > clearFrom*float64(limits.Capacity)
+	return len(a.freeing) > 0 && float64(a.ownBytes+a.ForeignBytes(now)) > waitThreshold*float64(limits.Capacity)
 }
 
-// forget counts a result's memory as free.
-func (a *Account) forget(result Result) {
-	known, own := a.held[result.Reference]
-	if !own {
-		a.foreign = max(a.foreign-result.Bytes, 0)
+// release counts the memory of a result as free.
+func (a *Account) release(result Result) {
+	known, isOwn := a.stored[result.Reference]
+	if !isOwn {
+		a.foreignBytes = max(a.foreignBytes-result.Bytes, 0)
 		return
 	}
-	a.own -= known.bytes
-	delete(a.held, result.Reference)
+	a.ownBytes -= known.bytes
+	delete(a.stored, result.Reference)
 }
 
-// Expire forgets results that the engine has dropped by now. Those that are just
-// being given back are counted when that is done.
+// Expire removes the results that the engine has dropped by now. Those that are
+// being freed stay until EndFree.
 func (a *Account) Expire(limits Limits, now clock.Millis) {
-	for reference, result := range a.held {
-		if result.until <= now && !contains(a.giving, reference) {
-			a.forget(Result{Reference: reference})
+	for reference, result := range a.stored {
+		if result.until <= now && !contains(a.freeing, reference) {
+			a.release(Result{Reference: reference})
 		}
 	}
-	gone := func(reference string) bool { return !a.Holds(reference) && !a.MayHold(limits, now) }
-	a.unused = slices.DeleteFunc(a.unused, func(r Result) bool { return gone(r.Reference) })
-	a.spare = slices.DeleteFunc(a.spare, func(s spare) bool { return gone(s.Reference) })
+	expired := func(reference string) bool { return !a.Holds(reference) && !a.MayHold(limits, now) }
+	a.unused = slices.DeleteFunc(a.unused, func(r Result) bool { return expired(r.Reference) })
+	a.reclaimable = slices.DeleteFunc(a.reclaimable, func(s reclaimable) bool { return expired(s.Reference) })
 }
 
 func contains(results []Result, reference string) bool {
 	return slices.ContainsFunc(results, func(r Result) bool { return r.Reference == reference })
 }
 
-// BeginQuery reports whether the engine is to be asked for its memory now, and notes
-// that it is. Learned or NotLearned must follow.
+// BeginQuery reports whether the caller must query the engine's memory now. If it
+// returns true, the caller must call RecordReport or RecordNoReport.
 func (a *Account) BeginQuery(now clock.Millis) bool {
-	if a.asking {
+	if a.querying {
 		return false
 	}
-	again := a.ForeignBytes(now) > 0 && now-a.asked >= askAgain
-	if a.asked > 0 && !again {
+	due := a.ForeignBytes(now) > 0 && now-a.queriedAt >= queryInterval
+	if a.queriedAt > 0 && !due {
 		return false
 	}
-	a.asked, a.asking = now, true
+	a.queriedAt, a.querying = now, true
 	return true
 }
 
-// NeedsReport reports whether a call has to wait for the first answer. A new owner
-// knows nothing of the results that the one before had made, which lie there
-// until they are given back or expire.
-func (a *Account) NeedsReport() bool { return a.asked == 0 || (a.asking && a.foreignUntil == 0) }
+// NeedsReport reports whether a call has to wait for the first report. Until then,
+// a new owner has no record of the results of its predecessor, which the engine
+// stores until they are freed or expire.
+func (a *Account) NeedsReport() bool { return a.queriedAt == 0 || (a.querying && a.foreignUntil == 0) }
 
-// Report is what an engine says of its memory.
+// Report is an engine's report of its memory, in bytes.
 type Report struct {
-	// MinFree and Most are the bounds of what is free, in bytes.
+	// MinFree and MaxFree are the bounds of the free memory; reports are rounded.
 	MinFree int64
 	MaxFree int64
-	// Pending is what a call that it works on for another owner may still take.
+	// Pending is the memory that a running call of another owner may still take.
 	Pending int64
 }
 
-// RecordReport takes what the engine says. The most that may be free counts, so that
-// no engine stands idle for a rounded figure. Once it has lacked memory, what
-// followed from that counts as far as the report allows it: a small engine's
-// reports are the same whether a call fits or not, and by the most that they
-// allow its calls fail again and again.
+// RecordReport updates the estimate of foreign bytes from a report. It uses
+// MaxFree, so that no engine stays idle because of a rounded value. For one
+// retention time after a memory shortage it keeps the estimate that followed from
+// the shortage, within the bounds of the report: on a small engine the report
+// is the same whether a call fits or not, and calls sized by MaxFree would fail
+// repeatedly.
 func (a *Account) RecordReport(limits Limits, report Report, now clock.Millis) {
-	a.asking = false
-	least := max(limits.Capacity-report.MaxFree-a.own, 0)
-	taken := least
-	if a.lacked > 0 && now-a.lacked < limits.Retention {
-		most := max(limits.Capacity-report.MinFree-a.own, 0)
-		taken = min(max(a.ForeignBytes(now), least), most)
+	a.querying = false
+	minForeign := max(limits.Capacity-report.MaxFree-a.ownBytes, 0)
+	foreign := minForeign
+	if a.shortageAt > 0 && now-a.shortageAt < limits.Retention {
+		maxForeign := max(limits.Capacity-report.MinFree-a.ownBytes, 0)
+		foreign = min(max(a.ForeignBytes(now), minForeign), maxForeign)
 	}
-	a.foreign = min(taken+report.Pending, limits.Capacity)
-	a.foreignFrom = now
+	a.foreignBytes = min(foreign+report.Pending, limits.Capacity)
+	a.foreignSetAt = now
 	if a.foreignUntil == 0 {
 		a.foreignUntil = now + limits.Retention
 	}
 }
 
-// RecordNoReport notes that the engine did not answer. Calls go there all the same.
+// RecordNoReport records that the query failed. Calls are sent to the engine
+// nevertheless.
 func (a *Account) RecordNoReport(now clock.Millis) {
-	a.asking = false
+	a.querying = false
 	if a.foreignUntil == 0 {
 		a.foreignUntil = now
 	}
 }
 
-// RequireReport has the engine asked once more before its first call.
-func (a *Account) RequireReport() { a.asked, a.foreignUntil = 0, 0 }
+// RequireReport makes the next call wait for another report.
+func (a *Account) RequireReport() { a.queriedAt, a.foreignUntil = 0, 0 }
 
-// RecordShortage notes that an engine had no memory for a piece of so many bytes. What
-// it has is taken by results that this account doesn't know of; it counts with
-// them until the engine says better, which it is asked next.
+// RecordShortage records that an engine had too little memory for a piece of the
+// given size. Until the next report the account assumes that less than this size
+// is free and that foreign results, which it does not know, take the rest. The
+// engine's memory is queried next.
 func (a *Account) RecordShortage(limits Limits, bytes int64, now clock.Millis) {
-	a.foreign = max(a.ForeignBytes(now), limits.Capacity-a.own-bytes, 0)
-	a.foreignFrom, a.foreignUntil = now, now+limits.Retention
-	a.lacked = now
-	a.asked = min(a.asked, now-askAgain)
+	a.foreignBytes = max(a.ForeignBytes(now), limits.Capacity-a.ownBytes-bytes, 0)
+	a.foreignSetAt, a.foreignUntil = now, now+limits.Retention
+	a.shortageAt = now
+	a.queriedAt = min(a.queriedAt, now-queryInterval)
 }
--- a/internal/guard/memory/memory_test.go
+++ b/internal/guard/memory/memory_test.go
@@ -13,30 +13,30 @@
 
 var limits = memory.Limits{Capacity: 1000, Retention: 4000}
 
-// learned returns the account of an engine where nothing of others lies.
-func learned(now clock.Millis) *memory.Account {
+// newEmptyAccount returns the account of an engine without foreign results.
+func newEmptyAccount(now clock.Millis) *memory.Account {
 	a := memory.New(now)
 	a.BeginQuery(now)
-	a.RecordReport(limits, exactly(limits.Capacity, 0), now)
+	a.RecordReport(limits, exactReport(limits.Capacity, 0), now)
 	return a
 }
 
-// made enters a result that a call has made.
-func made(a *memory.Account, reference string, bytes int64, until clock.Millis) memory.Result {
+// addResult records a result that a call has made.
+func addResult(a *memory.Account, reference string, bytes int64, until clock.Millis) memory.Result {
 	result := memory.Result{Reference: reference, Bytes: bytes}
 	a.Reserve(bytes)
 	a.Add(result, until)
 	return result
 }
 
-// exactly is the report of an engine with so much free memory.
-func exactly(free, pending int64) memory.Report {
+// exactReport returns the report of an engine with exactly this much free memory.
+func exactReport(free, pending int64) memory.Report {
 	return memory.Report{MinFree: free, MaxFree: free, Pending: pending}
 }
 
 func ExampleAccount() {
-	a := learned(1)
-	result := made(a, "engine/1", 300, 4000)
+	a := newEmptyAccount(1)
+	result := addResult(a, "engine/1", 300, 4000)
 	fmt.Println(a.Available(limits, 2))
 	a.MarkUnused(result)
 	fmt.Println(a.BeginFree(limits, 0, 2), a.Freeing(limits, 2))
@@ -48,13 +48,13 @@
 	// 920
 }
 
-// A pool changes its owner. What was made for the owner before is given back to
-// the new one, which made none of it. If it did not pass that on, engines would
-// work in small calls until the results expire, for seconds.
-func TestResultsOfTheOwnerBeforeAreGivenBack(t *testing.T) {
+// After a change of owner, the new owner must also free results that its
+// predecessor made. Otherwise engines work in small calls for seconds, until the
+// results expire.
+func TestResultsOfPreviousOwnerAreFreed(t *testing.T) {
 	a := memory.New(1)
 	assert.Assert(t, a.BeginQuery(1) && a.NeedsReport())
-	a.RecordReport(limits, exactly(200, 0), 5)
+	a.RecordReport(limits, exactReport(200, 0), 5)
 	assert.Assert(t, !a.NeedsReport())
 	assert.Equal(t, a.Available(limits, 5), int64(120))
 	assert.Assert(t, a.MayHold(limits, 100))
@@ -65,25 +65,25 @@
 	assert.Assert(t, !a.MayHold(limits, 1+2*limits.Retention+1))
 }
 
-// An engine has less memory than the account says and fails pieces of a call.
-// The next call must be smaller at once, or it fails in the same way.
-func TestEngineWithoutMemoryGetsSmallerCalls(t *testing.T) {
-	a := learned(1)
-	made(a, "own", 200, 4000)
+// An engine has less memory than the account shows and fails pieces of a call.
+// The next call must be smaller, or it fails in the same way.
+func TestEngineWithMemoryShortageGetsSmallerCalls(t *testing.T) {
+	a := newEmptyAccount(1)
+	addResult(a, "own", 200, 4000)
 	a.RecordShortage(limits, 100, 50)
 	assert.Equal(t, a.ForeignBytes(50), int64(700))
-	assert.Assert(t, a.Available(limits, 50) < 100, "a piece of that size had no room")
-	assert.Assert(t, a.BeginQuery(50), "the engine is asked how much it has")
-	a.RecordReport(limits, exactly(300, 0), 60)
+	assert.Assert(t, a.Available(limits, 50) < 100, "there was no memory for a piece of 100 bytes")
+	assert.Assert(t, a.BeginQuery(50), "the engine must be queried for its free memory")
+	a.RecordReport(limits, exactReport(300, 0), 60)
 	assert.Equal(t, a.Available(limits, 60), int64(220))
 	a.RecordShortage(limits, 100, 70)
-	assert.Equal(t, a.ForeignBytes(70+limits.Retention), int64(0), "what others left has expired")
+	assert.Equal(t, a.ForeignBytes(70+limits.Retention), int64(0), "foreign results have expired")
 }
 
-// All processes were killed and their results fill the engines. Reports round
-// what is free to megabytes. An engine that has just lacked memory is not taken
-// to have the most that its report allows, or its calls fail again and again.
-func TestRoundedReportsCountLessOnceMemoryWasLacking(t *testing.T) {
+// All processes are killed and their results fill the engines. Reports round the
+// free memory to megabytes. After a shortage, the account must not use the maximum
+// that a report allows, or calls fail repeatedly.
+func TestRoundedReportIsNotTakenAtMaximumAfterShortage(t *testing.T) {
 	rounded := memory.Report{MinFree: 0, MaxFree: 500}
 	a := memory.New(1)
 	a.BeginQuery(1)
@@ -91,67 +91,67 @@
 	assert.Equal(t, a.Available(limits, 5), int64(420))
 	a.RecordShortage(limits, 100, 400)
 	a.RecordReport(limits, rounded, 450)
-	assert.Assert(t, a.Available(limits, 450) < 100, "what is free now is less than what the call lacked")
+	assert.Assert(t, a.Available(limits, 450) < 100, "there must be less free memory than the failed piece needed")
 	later := 400 + limits.Retention/2
 	a.RecordReport(limits, rounded, later)
 	half := a.Available(limits, later)
-	assert.Assert(t, half > 0 && half < 920, "some has expired: %d", half)
+	assert.Assert(t, half > 0 && half < 920, "some foreign results have expired: %d", half)
 	a.RecordReport(limits, rounded, 400+limits.Retention)
 	assert.Equal(t, a.ForeignBytes(400+limits.Retention), int64(0))
 }
 
-// The engine can't be asked. Calls go there all the same: waiting for an answer
-// would leave it idle.
-func TestEngineThatDoesNotAnswerIsUsed(t *testing.T) {
+// An engine's memory can't be queried. It still gets calls, because waiting for a
+// report would leave it idle.
+func TestEngineThatDoesNotReportIsUsed(t *testing.T) {
 	a := memory.New(1)
 	assert.Assert(t, a.BeginQuery(1))
-	assert.Assert(t, !a.BeginQuery(2), "one question at a time")
+	assert.Assert(t, !a.BeginQuery(2), "only one query at a time")
 	a.RecordNoReport(400)
 	assert.Assert(t, !a.NeedsReport())
 	assert.Equal(t, a.Available(limits, 400), int64(920))
 }
 
-// Memory is short, and some results are needed again only if a stage fails.
-// They are given back then, but not before they were read.
-func TestSpareResultsAreGivenBackWhenMemoryIsShort(t *testing.T) {
-	a := learned(1)
-	a.MarkReclaimable(made(a, "read", 400, 4000), 10)
-	a.MarkReclaimable(made(a, "unread", 300, 4000), 100)
-	assert.Equal(t, len(a.BeginFree(limits, 170, 50)), 0, "there is room for 220")
+// When memory is short, results that are needed again only if a stage fails are
+// freed, but not before they have been read.
+func TestReclaimableResultsAreFreedWhenMemoryIsShort(t *testing.T) {
+	a := newEmptyAccount(1)
+	a.MarkReclaimable(addResult(a, "read", 400, 4000), 10)
+	a.MarkReclaimable(addResult(a, "unread", 300, 4000), 100)
+	assert.Equal(t, len(a.BeginFree(limits, 170, 50)), 0, "220 bytes are available")
 	assert.DeepEqual(t, a.BeginFree(limits, 270, 50), []string{"read"})
-	assert.Equal(t, len(a.BeginFree(limits, 800, 200)), 0, "one call at a time")
+	assert.Equal(t, len(a.BeginFree(limits, 800, 200)), 0, "only one call to free results at a time")
 	assert.Assert(t, a.Freeing(limits, 200))
 	a.EndFree(true)
 	assert.DeepEqual(t, a.BeginFree(limits, 800, 200), []string{"unread"})
 }
 
-// A piece fails after its inputs were given back early, and all stages of its
-// request run again. No more results are given back than are short, and none so
-// small that it makes no difference.
-func TestNoMoreSpareResultsAreUsedThanNeeded(t *testing.T) {
-	a := learned(1)
-	a.MarkReclaimable(made(a, "tiny", 1, 4000), 0)
-	a.MarkReclaimable(made(a, "old", 200, 4000), 0)
-	a.MarkReclaimable(made(a, "new", 200, 4000), 0)
+// If a piece fails after its inputs were reclaimed, all stages of its request run
+// again. No more results may be reclaimed than cover the shortfall, and none that
+// are too small to matter.
+func TestNoMoreResultsAreReclaimedThanNeeded(t *testing.T) {
+	a := newEmptyAccount(1)
+	a.MarkReclaimable(addResult(a, "tiny", 1, 4000), 0)
+	a.MarkReclaimable(addResult(a, "old", 200, 4000), 0)
+	a.MarkReclaimable(addResult(a, "new", 200, 4000), 0)
 	assert.DeepEqual(t, a.BeginFree(limits, 670, 10), []string{"old"})
 	a.EndFree(true)
 	assert.Assert(t, a.Holds("tiny") && a.Holds("new"))
 }
 
-// A pool's owner has just changed, and an engine works on a call of the owner
-// before. What that call makes will lie there when the next one begins.
-func TestCallOfTheOwnerBeforeCounts(t *testing.T) {
+// After a change of owner an engine still runs a call of the previous owner. The
+// results of that call take memory when the next call begins.
+func TestPendingCallOfPreviousOwnerCounts(t *testing.T) {
 	a := memory.New(1)
 	a.BeginQuery(1)
-	a.RecordReport(limits, exactly(900, 500), 5)
+	a.RecordReport(limits, exactReport(900, 500), 5)
 	assert.Equal(t, a.Available(limits, 5), int64(320))
 }
 
-// The call that gives results back fails. They lie there until they expire, and
-// count until then.
-func TestResultsThatWereNotGivenBackCount(t *testing.T) {
-	a := learned(1)
-	a.MarkUnused(made(a, "r", 500, 4000))
+// The call that frees results fails. The engine stores them until they expire, and
+// they count until then.
+func TestResultsThatWereNotFreedCount(t *testing.T) {
+	a := newEmptyAccount(1)
+	a.MarkUnused(addResult(a, "r", 500, 4000))
 	assert.Equal(t, len(a.BeginFree(limits, 0, 2)), 1)
 	a.EndFree(false)
 	assert.Equal(t, a.Available(limits, 3), int64(420))
@@ -159,11 +159,11 @@
 	assert.Equal(t, a.Available(limits, 4000), int64(920))
 }
 
-// Whatever happens in whatever order, the account never gets below zero and is
-// empty once everything has expired.
-func TestAccountIsEmptyInTheEnd(t *testing.T) {
+// Random events: no value of the account falls below zero, and the account is
+// empty after all results have expired.
+func TestAccountIsEmptyAfterAllResultsExpired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := learned(1)
+		a := newEmptyAccount(1)
 		now := clock.Millis(1)
 		next := 0
 		for range 80 {
@@ -171,7 +171,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
 				next++
-				made(a, fmt.Sprint(next), int64(rapid.IntRange(1, 300).Draw(t, "bytes")), now+limits.Retention)
+				addResult(a, fmt.Sprint(next), int64(rapid.IntRange(1, 300).Draw(t, "bytes")), now+limits.Retention)
 			case 1:
 				a.MarkUnused(memory.Result{Reference: fmt.Sprint(rapid.IntRange(1, 40).Draw(t, "which")), Bytes: 10})
 			case 2:
@@ -186,7 +186,7 @@
 				a.RecordShortage(limits, 50, now)
 			case 6:
 				if a.BeginQuery(now) {
-					a.RecordReport(limits, exactly(int64(rapid.IntRange(0, 1000).Draw(t, "free")), 100), now)
+					a.RecordReport(limits, exactReport(int64(rapid.IntRange(0, 1000).Draw(t, "free")), 100), now)
 				}
 			}
 			assert.Assert(t, a.OwnBytes() >= 0 && a.ForeignBytes(now) >= 0 && a.Available(limits, now) >= 0)
