--- a/internal/guard/ramp/ramp.go
+++ b/internal/guard/ramp/ramp.go
@@ -1,19 +1,19 @@
-// Package ramp holds the cold-start limit of one endpoint: how much work it
-// may be given right after its start, and how that grows.
+// Package ramp computes the cold-start limit of one endpoint: how much work it may
+// run after its start, and how this limit grows.
 //
-// An endpoint that has just started bears only little and falls over beyond
-// it. The limit therefore drops at once to the cold limit when the endpoint is
-// new, has restarted, or shows signs that it turned cold, and grows with
-// completed work, never with time alone: an endpoint that gets no work does
-// not warm up.
+// An endpoint that has just started handles little concurrent work and crashes
+// under more. The limit therefore drops to the cold limit at once when the
+// endpoint is new, has restarted, or appears to be cold again. It grows with
+// completed work, never with time alone, because an idle endpoint does not warm
+// up.
 package ramp
 
 import "github.com/jujubescale/jujubescale/internal/base/clock"
 
-// Cause says why the limit dropped to the cold limit.
+// Cause is the reason for a drop to the cold limit.
 type Cause string
 
-// Causes of a drop, each counted on its own.
+// Causes of a drop. Each is counted separately.
 const (
 	CauseStart    Cause = "start"
 	CauseRestart  Cause = "restart"
@@ -22,36 +22,38 @@
 	CauseReported Cause = "reported"
 )
 
-// Defaults of the settings.
 const (
+	// DefaultCold is the default cold limit.
 	DefaultCold = 1
-	// slowFactor and slowRun: this many completions in a row that each took
-	// this many times the usual are taken as a sign of a cold endpoint.
+	// slowFactor and slowCount: the endpoint is considered cold after slowCount
+	// consecutive completions that each took more than slowFactor times the mean.
 	slowFactor = 4
-	slowRun    = 4
-	// usualStep bounds how far one slow completion moves the usual time.
-	usualStep = 2
-	// usualShare is the weight of one completion in the usual time: 1/16.
-	usualShare = 16
-	// usualMin is how many completions make a usual time known.
-	usualMin = 16
-	// blindRounds is how many rounds of completions an endpoint without load
-	// reports must finish before each growth step.
-	blindRounds = 4
+	slowCount  = 4
+	// maxMeanGrowth caps a slow completion at this multiple of the mean when it
+	// enters the mean.
+	maxMeanGrowth = 2
+	// meanSamples is the number of completions in the moving mean: a new one has a
+	// weight of 1/16.
+	meanSamples = 16
+	// minSamples is the number of completions from which the mean is used.
+	minSamples = 16
+	// unreportedRounds is how many rounds of completions an endpoint without load
+	// reports needs before each growth step.
+	unreportedRounds = 4
 )
 
-// Report is what the endpoint said of itself, as of an instant on the agent's clock.
+// Report is a load report of the endpoint.
 type Report struct {
 	StartID string
 	Cold    bool
-	// Warm tells that it said in so many words that it is not cold; an endpoint
-	// that says nothing of it is neither.
+	// Warm is set if the endpoint explicitly reported that it is not cold. If it
+	// reported neither, Cold and Warm are both false.
 	Warm bool
+	// AsOf is the instant of the report on the agent's clock.
 	AsOf clock.Millis
 }
 
-// Ramp is the cold-start limit of one endpoint. It is not safe for use by
-// several goroutines at once.
+// Ramp is the cold-start limit of one endpoint. It is not safe for concurrent use.
 type Ramp struct {
 	cold       int
 	warm       int
@@ -60,28 +62,29 @@
 	completed  int
 	droppedAt  clock.Millis
 	startID    string
-	asOf       clock.Millis
-	confirmed  bool
-	// fresh tells that nothing has happened since this process started.
-	fresh      bool
-	blind      bool
-	statedCold bool
-	usual      float64
-	usualCount int
-	slow       int
+	lastReport clock.Millis
+	reported   bool
+	// initial is set until the first report as of an instant after New, or the first
+	// drop.
+	initial         bool
+	noReports       bool
+	reportedCold    bool
+	mean            float64
+	samples         int
+	consecutiveSlow int
 }
 
-// Option changes a Ramp while it is built.
+// Option configures a Ramp.
 type Option func(*Ramp)
 
-// WithCold sets the work that a cold endpoint bears.
+// WithCold sets the limit of a cold endpoint, at least 1.
 func WithCold(limit int) Option { return func(r *Ramp) { r.cold = max(limit, 1) } }
 
 // WithWarm sets the limit at which the ramp ends.
 func WithWarm(limit int) Option { return func(r *Ramp) { r.warm = limit } }
 
-// New returns a ramp at the cold limit: of an endpoint that nothing is known of
-// it must be assumed that it has just started.
+// New returns a ramp at the cold limit, because an unknown endpoint may have just
+// started.
 func New(now clock.Millis, opts ...Option) *Ramp {
 	r := &Ramp{cold: DefaultCold, warm: DefaultCold}
 	for _, opt := range opts {
@@ -89,25 +92,25 @@
 	}
 	r.warm = max(r.warm, r.cold)
 	r.drop(now)
-	r.fresh = true
+	r.initial = true
 	return r
 }
 
-// Limit is the most work that the endpoint may have at once.
+// Limit returns the maximum of concurrent work.
 func (r *Ramp) Limit() int { return r.limit }
 
-// ColdLimit is what the endpoint bears when it has just started.
+// ColdLimit returns the limit of an endpoint that has just started.
 func (r *Ramp) ColdLimit() int { return r.cold }
 
-// Cold reports whether the endpoint is still below its warm limit.
+// Cold reports whether the limit is below the warm limit.
 func (r *Ramp) Cold() bool { return r.limit < r.warm }
 
-// Generation changes with each drop. Work carries the generation it began in,
-// so that what ended after a drop but began before it doesn't warm the
-// endpoint up.
+// Generation returns a number that increases with each drop. The caller records it
+// when work starts and passes it to Completed, so that work that started before
+// a drop does not raise the limit after it.
 func (r *Ramp) Generation() uint64 { return r.generation }
 
-// SetBounds changes the cold and the warm limit when a new release says so.
+// SetBounds changes the cold and the warm limit.
 func (r *Ramp) SetBounds(cold, warm int) {
 	wasWarm := r.limit >= r.warm
 	r.cold = max(cold, 1)
@@ -118,75 +121,76 @@
 	r.limit = max(r.limit, r.cold)
 }
 
-// ConnectionReset drops the limit because the endpoint cut or refused connections: it
-// has most likely fallen over, and its load report won't say so for a while.
+// ConnectionReset drops the limit because the endpoint reset or refused a
+// connection. The endpoint has probably crashed, and its load reports show that
+// only after a delay.
 func (r *Ramp) ConnectionReset(now clock.Millis) Cause {
 	r.drop(now)
 	return CauseReset
 }
 
-// SetNoReports says that the endpoint gives no load reports: the ramp then grows on
-// completed work alone, in more rounds.
-func (r *Ramp) SetNoReports() { r.blind = true }
+// SetNoReports records that the endpoint provides no load reports. The limit then
+// grows with completed work alone, but needs more rounds for each step.
+func (r *Ramp) SetNoReports() { r.noReports = true }
 
-// Observe takes a load report and returns the cause if the limit dropped.
-// Reports lag: one from before the last drop can't show that the endpoint is
-// warm, and would lift the limit of an endpoint that has just fallen over.
+// Observe records a load report. If the limit dropped, it returns the cause and
+// true. Reports arrive late: one from before the last drop does not show that the
+// endpoint is warm, and must not raise the limit of one that has just crashed.
 func (r *Ramp) Observe(now clock.Millis, report Report) (Cause, bool) {
-	if report.AsOf < r.asOf {
+	if report.AsOf < r.lastReport {
 		return "", false
 	}
-	r.asOf = report.AsOf
-	r.blind = false
+	r.lastReport = report.AsOf
+	r.noReports = false
 	if r.startID == "" {
 		r.startID = report.StartID
 	}
 	if report.StartID != r.startID {
 		r.startID = report.StartID
-		return r.restarted(now, report), true
+		return r.recordRestart(now, report), true
 	}
 	if report.AsOf < r.droppedAt {
 		return "", false
 	}
-	r.startWarm(report)
-	wasCold := r.statedCold
-	r.confirmed = true
-	r.statedCold = report.Cold
-	if report.Cold && !wasCold && r.limit > r.cold {
+	r.skipIfWarm(report)
+	wasReportedCold := r.reportedCold
+	r.reported = true
+	r.reportedCold = report.Cold
+	if report.Cold && !wasReportedCold && r.limit > r.cold {
 		r.drop(now)
-		r.statedCold = true
+		r.reportedCold = true
 		return CauseReported, true
 	}
 	return "", false
 }
 
-// startWarm skips the ramp for an endpoint that was there before this process.
-// An agent that is replaced beside a warm endpoint would else hold it at the
-// cold limit for seconds, and a roll-out of agents costs as much capacity as
-// one of endpoints. The endpoint must have said that it is warm, as of an
-// instant after this process started, and have shown no sign to the contrary.
-func (r *Ramp) startWarm(report Report) {
-	if r.fresh && report.Warm {
+// skipIfWarm skips the ramp for an endpoint that was warm before this process
+// started. Otherwise a new agent would keep a warm endpoint at the cold limit for
+// seconds, and a rollout of agents would cost as much capacity as a rollout of
+// endpoints. The first report as of an instant after this process started must
+// show that the endpoint is warm, and there must have been no drop before it.
+func (r *Ramp) skipIfWarm(report Report) {
+	if r.initial && report.Warm {
 		r.limit = r.warm
 	}
-	r.fresh = false
+	r.initial = false
 }
 
-func (r *Ramp) restarted(now clock.Millis, report Report) Cause {
+func (r *Ramp) recordRestart(now clock.Millis, report Report) Cause {
 	r.drop(now)
-	r.confirmed = true
-	r.statedCold = report.Cold
+	r.reported = true
+	r.reportedCold = report.Cold
 	return CauseRestart
 }
 
-// Completed takes one finished piece of work: the generation it began in and
-// the time it took for each unit of cost. It returns the cause if the limit
-// dropped because the endpoint has become many times slower than usual.
+// Completed records completed work: the generation in which it started and its
+// service time per unit of cost. If the limit dropped because the endpoint is
+// much slower than its mean, it returns the cause and true.
 func (r *Ramp) Completed(now clock.Millis, generation uint64, perCost float64) (Cause, bool) {
 	if generation != r.generation {
 		return "", false
 	}
-	if r.tooSlow(perCost) {
+	if r.recordTime(perCost) {
 		r.drop(now)
 		return CauseSlow, true
 	}
@@ -194,57 +198,58 @@
 		return "", false
 	}
 	r.completed++
-	if r.completed >= r.round() {
+	if r.completed >= r.roundSize() {
 		r.completed = 0
 		r.limit = min(r.limit+max(r.limit/2, 1), r.warm)
 	}
 	return "", false
 }
 
-// mayGrow reports whether growth is allowed: the endpoint itself must not have
-// said that it is cold, and must have spoken since the last drop unless it
-// never speaks.
+// mayGrow reports whether the limit may grow: the endpoint must have sent a report
+// since the last drop, and must not have reported that it is cold. An endpoint
+// without load reports may always grow.
 func (r *Ramp) mayGrow() bool {
-	if r.blind {
+	if r.noReports {
 		return true
 	}
-	return r.confirmed && !r.statedCold
+	return r.reported && !r.reportedCold
 }
 
-func (r *Ramp) round() int {
-	if r.blind {
-		return r.limit * blindRounds
+// roundSize returns how many completions are needed for a growth step.
+func (r *Ramp) roundSize() int {
+	if r.noReports {
+		return r.limit * unreportedRounds
 	}
 	return r.limit
 }
 
-// tooSlow keeps the usual time for a unit of cost and counts completions in a
-// row that are far above it. The usual time learns slow ones too, so that work
-// that has become heavier for good stops looking like a cold endpoint.
-func (r *Ramp) tooSlow(perCost float64) bool {
-	known := r.usualCount >= usualMin
-	isSlow := known && perCost > slowFactor*r.usual && r.limit > r.cold
-	r.usualCount = min(r.usualCount+1, usualMin)
-	learned := perCost
+// recordTime updates the mean time per unit of cost and reports whether enough
+// consecutive completions were slow. Slow completions enter the mean too, so that
+// work that has become permanently heavier is not mistaken for a cold endpoint.
+func (r *Ramp) recordTime(perCost float64) bool {
+	known := r.samples >= minSamples
+	isSlow := known && perCost > slowFactor*r.mean && r.limit > r.cold
+	r.samples = min(r.samples+1, minSamples)
+	sample := perCost
 	if isSlow {
-		learned = min(perCost, usualStep*r.usual)
+		sample = min(perCost, maxMeanGrowth*r.mean)
 	}
-	r.usual += (learned - r.usual) / float64(min(r.usualCount, usualShare))
+	r.mean += (sample - r.mean) / float64(min(r.samples, meanSamples))
 	if !isSlow {
-		r.slow = 0
+		r.consecutiveSlow = 0
 		return false
 	}
-	r.slow++
-	return r.slow >= slowRun
+	r.consecutiveSlow++
+	return r.consecutiveSlow >= slowCount
 }
 
 func (r *Ramp) drop(now clock.Millis) {
 	r.limit = r.cold
 	r.generation++
 	r.completed = 0
-	r.slow = 0
-	r.confirmed = false
-	r.fresh = false
-	r.statedCold = false
+	r.consecutiveSlow = 0
+	r.reported = false
+	r.initial = false
+	r.reportedCold = false
 	r.droppedAt = now
 }
--- a/internal/guard/ramp/ramp_test.go
+++ b/internal/guard/ramp/ramp_test.go
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/guard/ramp"
 )
 
-func warmed(t *testing.T) *ramp.Ramp {
+func newWarmRamp(t *testing.T) *ramp.Ramp {
 	t.Helper()
 	r := ramp.New(0, ramp.WithCold(2), ramp.WithWarm(16))
 	r.Observe(1, ramp.Report{StartID: "a", AsOf: 1})
@@ -21,17 +21,17 @@
 	return r
 }
 
-// An endpoint that was warm turns cold without warning. Its load report still
-// shows the old state; the users notice falls and resets when the limit stays.
-func TestRampDropsAtOnce(t *testing.T) {
+// A warm endpoint turns cold while its load report still shows the old state. If
+// the limit stayed, the endpoint would crash and reset connections.
+func TestLimitDropsAtOnceWhenEndpointTurnsCold(t *testing.T) {
 	cases := []struct {
-		name string
-		turn func(r *ramp.Ramp)
+		name     string
+		makeCold func(r *ramp.Ramp)
 	}{
 		{"connection reset", func(r *ramp.Ramp) { r.ConnectionReset(100) }},
-		{"another start id", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "b", AsOf: 90, Cold: true}) }},
-		{"report says cold", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "a", AsOf: 90, Cold: true}) }},
-		{"much slower than usual", func(r *ramp.Ramp) {
+		{"different start ID", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "b", AsOf: 90, Cold: true}) }},
+		{"report is cold", func(r *ramp.Ramp) { r.Observe(100, ramp.Report{StartID: "a", AsOf: 90, Cold: true}) }},
+		{"much slower than the mean", func(r *ramp.Ramp) {
 			for range 4 {
 				r.Completed(100, r.Generation(), 100)
 			}
@@ -39,29 +39,29 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := warmed(t)
+			r := newWarmRamp(t)
 			before := r.Generation()
-			tc.turn(r)
+			tc.makeCold(r)
 			assert.Equal(t, r.Limit(), 2)
 			assert.Assert(t, r.Generation() != before)
 		})
 	}
 }
 
-// The agent beside a warm endpoint is replaced. Starting it at the cold limit
-// would cost callers the endpoint's capacity for seconds at each roll-out; but
-// only the endpoint's own word from after the start may spare it that.
-func TestAgentReplacedBesideAWarmEndpoint(t *testing.T) {
+// The agent of a warm endpoint is replaced. Starting at the cold limit would cost
+// the endpoint's capacity for seconds at each rollout. Only a report from after
+// the start of the agent may skip the ramp.
+func TestNewAgentSkipsRampOnlyForWarmEndpoint(t *testing.T) {
 	cases := []struct {
 		name    string
 		reports []ramp.Report
 		limit   int
 	}{
-		{"says warm", []ramp.Report{{StartID: "a", AsOf: 101, Warm: true}}, 16},
-		{"said warm before the start", []ramp.Report{{StartID: "a", AsOf: 99, Warm: true}}, 2},
-		{"says nothing of it", []ramp.Report{{StartID: "a", AsOf: 101}}, 2},
-		{"says cold, then warm", []ramp.Report{{StartID: "a", AsOf: 101, Cold: true}, {StartID: "a", AsOf: 102, Warm: true}}, 2},
-		{"restarts, then says warm", []ramp.Report{{StartID: "a", AsOf: 99}, {StartID: "b", AsOf: 101}, {StartID: "b", AsOf: 102, Warm: true}}, 2},
+		{"reports warm", []ramp.Report{{StartID: "a", AsOf: 101, Warm: true}}, 16},
+		{"reported warm before the start", []ramp.Report{{StartID: "a", AsOf: 99, Warm: true}}, 2},
+		{"reports neither", []ramp.Report{{StartID: "a", AsOf: 101}}, 2},
+		{"reports cold, then warm", []ramp.Report{{StartID: "a", AsOf: 101, Cold: true}, {StartID: "a", AsOf: 102, Warm: true}}, 2},
+		{"restarts, then reports warm", []ramp.Report{{StartID: "a", AsOf: 99}, {StartID: "b", AsOf: 101}, {StartID: "b", AsOf: 102, Warm: true}}, 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			assert.Equal(t, r.Limit(), tc.limit)
 		})
 	}
-	t.Run("reset before it says warm", func(t *testing.T) {
+	t.Run("connection reset before it reports warm", func(t *testing.T) {
 		r := ramp.New(100, ramp.WithCold(2), ramp.WithWarm(16))
 		r.ConnectionReset(105)
 		r.Observe(110, ramp.Report{StartID: "a", AsOf: 107, Warm: true})
@@ -80,10 +80,10 @@
 	})
 }
 
-// A lagging report from before the fall says warm. Believing it would push
-// full load onto an endpoint that has just started.
-func TestStaleReportDoesNotWarm(t *testing.T) {
-	r := warmed(t)
+// A delayed report from before a crash shows a warm endpoint. Using it would send
+// the full load to an endpoint that has just started.
+func TestStaleReportDoesNotRaiseLimit(t *testing.T) {
+	r := newWarmRamp(t)
 	r.ConnectionReset(100)
 	r.Observe(110, ramp.Report{StartID: "a", AsOf: 99})
 	for range 100 {
@@ -97,8 +97,8 @@
 	assert.Equal(t, r.Limit(), 16)
 }
 
-func TestWorkFromBeforeTheDropDoesNotWarm(t *testing.T) {
-	r := warmed(t)
+func TestWorkStartedBeforeDropDoesNotRaiseLimit(t *testing.T) {
+	r := newWarmRamp(t)
 	old := r.Generation()
 	r.Observe(100, ramp.Report{StartID: "b", AsOf: 99})
 	for range 100 {
@@ -107,8 +107,8 @@
 	assert.Equal(t, r.Limit(), 2)
 }
 
-// Random events: the limit stays within its bounds, time alone never raises
-// it, and while the endpoint says that it is cold it stays at the cold limit.
+// Random events: the limit stays within its bounds, time alone never raises it,
+// and a report that the endpoint is cold leaves it at the cold limit.
 func TestRampProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := ramp.New(0, ramp.WithCold(2), ramp.WithWarm(20))
