--- a/internal/guard/keep/keep.go
+++ b/internal/guard/keep/keep.go
@@ -1,6 +1,6 @@
-// Package keep holds answers from their first byte until they are acknowledged,
-// or until nobody can want them any more, within a memory bound. A caller whose
-// connection went silent takes its answer up again from any offset.
+// Package keep stores answers in bounded memory, from their first byte until they
+// are acknowledged or expire. A caller whose connection failed can resume its
+// answer at any offset.
 package keep
 
 import (
@@ -16,22 +16,22 @@
 const (
 	// DefaultBound is the memory for answers, in bytes.
 	DefaultBound = 16 << 20
-	// DefaultRetention is how long an answer stays after its deadline.
+	// DefaultRetention is how long an ended answer is kept after its deadline.
 	DefaultRetention = 5 * clock.Second
-	// admitShare: new work is taken while this share of the bound is free, so
-	// that answers already running have room to end.
+	// admitShare: new work is accepted while 1/4 of the bound is free, so that
+	// answers in progress have memory to complete.
 	admitShare = 4
-	// reserveShare: of the rest, this share of the bound stays for organisations
-	// that hold less than smallShare of it. Whoever doesn't acknowledge, or has
-	// thousands of calls refused, fills the memory alone, and the others would be
-	// refused for answers that are not theirs.
+	// reserveShare and smallShare: an organisation that uses less than 1/64 of the
+	// bound is accepted until only 1/16 of it is free. Otherwise one organisation
+	// that does not acknowledge answers, or has thousands of calls refused, could
+	// fill the memory, and calls of all others would be refused.
 	reserveShare = 16
 	smallShare   = 64
-	// entryBytes is counted for each answer on top of its bytes.
-	entryBytes = 512
+	// overheadBytes is counted for each answer in addition to its content.
+	overheadBytes = 512
 )
 
-// Result is one answer, whole once End is set.
+// Result is one answer. It is complete once End is set.
 type Result struct {
 	Bytes  []byte
 	End    *wire.End
@@ -42,87 +42,88 @@
 	organisation string
 }
 
-// Sealed reports whether the attempt has ended.
+// Sealed reports whether the attempt has ended, with an answer or a refusal.
 func (r *Result) Sealed() bool { return r.End != nil || r.Refuse != nil }
 
-// FullError says that the memory for answers is used up.
+// FullError is returned when the memory for answers is used up.
 type FullError struct {
+	// Bound is the memory for answers, in bytes.
 	Bound int
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("answers fill their memory of %d bytes", e.Bound)
+	return fmt.Sprintf("memory for answers is full: bound %d bytes", e.Bound)
 }
 
-// Store is the store of answers. It is not safe for use by several goroutines at once.
+// Store stores answers. It is not safe for concurrent use.
 type Store struct {
-	bound   int
-	after   clock.Millis
-	used    int
-	results map[token.Attempt]*Result
-	// held is what each organisation has of used.
-	held map[string]int
+	bound     int
+	retention clock.Millis
+	used      int
+	results   map[token.Attempt]*Result
+	// usedBy is the memory used by the answers of each organisation, in bytes.
+	usedBy map[string]int
 	// expired counts answers dropped without an acknowledgement.
 	expired int
 }
 
-// Option changes a Keep while it is built.
+// Option configures a Store.
 type Option func(*Store)
 
 // WithBound sets the memory for answers, in bytes.
 func WithBound(bytes int) Option { return func(k *Store) { k.bound = bytes } }
 
-// WithRetention sets how long an answer stays after its deadline.
-func WithRetention(span clock.Millis) Option { return func(k *Store) { k.after = span } }
+// WithRetention sets how long an ended answer is kept after its deadline.
+func WithRetention(retention clock.Millis) Option { return func(k *Store) { k.retention = retention } }
 
 // New returns an empty store.
 func New(opts ...Option) *Store {
-	k := &Store{bound: DefaultBound, after: DefaultRetention, results: make(map[token.Attempt]*Result), held: make(map[string]int)}
+	k := &Store{bound: DefaultBound, retention: DefaultRetention, results: make(map[token.Attempt]*Result), usedBy: make(map[string]int)}
 	for _, opt := range opts {
 		opt(k)
 	}
 	return k
 }
 
-// HasRoom reports whether new work of an organisation may be taken. Refusing
-// work early, as not run, costs little; an answer that finds no room has been
-// worked for in vain.
+// HasRoom reports whether new work of an organisation may be accepted. Refusing
+// work before it runs costs little; an answer that cannot be stored wastes the
+// work done for it.
 func (k *Store) HasRoom(organisation string) bool {
 	limit := k.bound - k.bound/admitShare
-	if k.held[organisation] < k.bound/smallShare {
+	if k.usedBy[organisation] < k.bound/smallShare {
 		limit = k.bound - k.bound/reserveShare
 	}
-	return k.used+entryBytes <= limit
+	return k.used+overheadBytes <= limit
 }
 
-// Open begins an answer for an organisation that is of use until the deadline.
+// Open adds an empty answer of an organisation, which is of use until the deadline.
 func (k *Store) Open(id token.Attempt, organisation string, deadline clock.Millis) {
 	result := &Result{deadline: deadline, organisation: organisation}
 	result.digest.Reset()
 	k.results[id] = result
-	k.use(result, entryBytes)
+	k.addUsage(result, overheadBytes)
 }
 
-// use counts bytes for an answer; a negative number gives them back.
-func (k *Store) use(result *Result, bytes int) {
+// addUsage adds bytes, or subtracts them if negative, to the memory used by an answer.
+func (k *Store) addUsage(result *Result, bytes int) {
 	k.used += bytes
-	k.held[result.organisation] += bytes
-	if k.held[result.organisation] == 0 {
-		delete(k.held, result.organisation)
+	k.usedBy[result.organisation] += bytes
+	if k.usedBy[result.organisation] == 0 {
+		delete(k.usedBy, result.organisation)
 	}
 }
 
-// Append adds bytes and returns the offset at which they stand. It takes
-// ownership of nothing. The FullError comes after what is past its deadline
-// was dropped in vain.
+// Append appends a copy of bytes to an answer and returns their offset. If memory
+// is short, it first drops ended answers past their deadline. It returns a
+// FullError if that is not enough, or if the answer does not exist.
 func (k *Store) Append(now clock.Millis, id token.Attempt, bytes []byte) (int64, error) {
 	result := k.results[id]
 	if result == nil {
 		return 0, &FullError{Bound: k.bound}
 	}
 	if k.used+len(bytes) > k.bound {
-		k.dropLate(now)
+		k.dropPastDeadline(now)
 	}
 	if k.used+len(bytes) > k.bound {
 		return 0, &FullError{Bound: k.bound}
@@ -130,11 +131,11 @@
 	offset := int64(len(result.Bytes))
 	result.Bytes = append(result.Bytes, bytes...)
 	_, _ = result.digest.Write(bytes)
-	k.use(result, len(bytes))
+	k.addUsage(result, len(bytes))
 	return offset, nil
 }
 
-// Finish seals an answer as whole and completes its end mark.
+// Finish seals an answer as complete and fills in the end frame.
 func (k *Store) Finish(id token.Attempt, end *wire.End) {
 	result := k.results[id]
 	if result == nil || result.Sealed() {
@@ -146,38 +147,38 @@
 	result.End = end
 }
 
-// Refuse seals an answer as refused and frees its bytes.
+// Refuse seals an answer as refused and frees its content.
 func (k *Store) Refuse(id token.Attempt, refuse *wire.Refuse) {
 	result := k.results[id]
 	if result == nil || result.Sealed() {
 		return
 	}
-	k.use(result, -len(result.Bytes))
+	k.addUsage(result, -len(result.Bytes))
 	result.Bytes = nil
 	result.Refuse = refuse
 }
 
-// Get returns an answer, or nil.
+// Get returns an answer, or nil if it does not exist.
 func (k *Store) Get(id token.Attempt) *Result { return k.results[id] }
 
-// Ack forgets an answer that its caller has whole.
+// Ack removes a sealed answer that the caller has received completely.
 func (k *Store) Ack(id token.Attempt) {
 	if result := k.results[id]; result != nil && result.Sealed() {
 		k.drop(id, result)
 	}
 }
 
-// Sweep drops the ended answers that nobody can want any more.
+// Sweep drops the sealed answers whose retention time has passed.
 func (k *Store) Sweep(now clock.Millis) {
 	for id, result := range k.results {
-		if result.Sealed() && now > result.deadline+k.after {
+		if result.Sealed() && now > result.deadline+k.retention {
 			k.drop(id, result)
 			k.expired++
 		}
 	}
 }
 
-func (k *Store) dropLate(now clock.Millis) {
+func (k *Store) dropPastDeadline(now clock.Millis) {
 	for id, result := range k.results {
 		if result.Sealed() && now > result.deadline {
 			k.drop(id, result)
@@ -187,15 +188,15 @@
 }
 
 func (k *Store) drop(id token.Attempt, result *Result) {
-	k.use(result, -len(result.Bytes)-entryBytes)
+	k.addUsage(result, -len(result.Bytes)-overheadBytes)
 	delete(k.results, id)
 }
 
-// Len is the number of answers held.
+// Len returns the number of stored answers.
 func (k *Store) Len() int { return len(k.results) }
 
-// Used is the memory counted for answers, in bytes.
+// Used returns the memory used by answers, in bytes.
 func (k *Store) Used() int { return k.used }
 
-// Expired is how many answers were dropped without an acknowledgement.
+// Expired returns the number of answers dropped without an acknowledgement.
 func (k *Store) Expired() int { return k.expired }
--- a/internal/guard/keep/keep_test.go
+++ b/internal/guard/keep/keep_test.go
@@ -15,33 +15,33 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Answers that nobody acknowledges pile up. The memory stays bounded, and an
-// answer that is still of use is not dropped for a newer one.
+// Answers are not acknowledged and accumulate. Memory stays bounded, and an answer
+// before its deadline is not dropped for a newer one.
 func TestMemoryIsBounded(t *testing.T) {
 	k := keep.New(keep.WithBound(4096), keep.WithRetention(10))
-	old, late := token.Attempt{Request: "old"}, token.Attempt{Request: "late"}
+	old, next := token.Attempt{Request: "old"}, token.Attempt{Request: "late"}
 	k.Open(old, "one", 100)
 	_, err := k.Append(1, old, make([]byte, 2600))
 	assert.NilError(t, err)
 	k.Finish(old, &wire.End{})
 	assert.Assert(t, !k.HasRoom("one"))
-	k.Open(late, "one", 1000)
-	_, err = k.Append(50, late, make([]byte, 1000))
+	k.Open(next, "one", 1000)
+	_, err = k.Append(50, next, make([]byte, 1000))
 	var full *keep.FullError
 	assert.Assert(t, err != nil)
 	assert.ErrorType(t, err, full)
-	_, err = k.Append(101, late, make([]byte, 1000))
+	_, err = k.Append(101, next, make([]byte, 1000))
 	assert.NilError(t, err)
 	assert.Assert(t, k.Get(old) == nil)
 }
 
-// Random use: whatever the offset, the kept bytes join up to the whole answer
-// with its digest; acknowledged and expired answers leave no memory behind.
+// Random use: the stored bytes are the complete answer with its digest, and
+// acknowledged and expired answers leave no memory in use.
 func TestKeepProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := keep.New(keep.WithBound(1<<16), keep.WithRetention(10))
 		now := clock.Millis(0)
-		truth := map[token.Attempt][]byte{}
+		appended := map[token.Attempt][]byte{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now++
 			id := token.Attempt{Request: "r", Try: step}
@@ -52,13 +52,13 @@
 				if err != nil {
 					continue
 				}
-				assert.Equal(t, offset, int64(len(truth[id])))
-				truth[id] = append(truth[id], part...)
+				assert.Equal(t, offset, int64(len(appended[id])))
+				appended[id] = append(appended[id], part...)
 			}
 			end := &wire.End{}
 			k.Finish(id, end)
-			assert.Equal(t, end.Digest, xxhash.Sum64(truth[id]))
-			assert.Assert(t, bytes.Equal(k.Get(id).Bytes, truth[id]))
+			assert.Equal(t, end.Digest, xxhash.Sum64(appended[id]))
+			assert.Assert(t, bytes.Equal(k.Get(id).Bytes, appended[id]))
 			if rapid.Bool().Draw(t, "ack") {
 				k.Ack(id)
 				assert.Assert(t, k.Get(id) == nil)
@@ -72,10 +72,10 @@
 	})
 }
 
-// One organisation's entries never acknowledge, or it has thousands of calls
-// refused a second, and its answers fill the memory. Calls of another one, which
-// holds hardly anything, must not be refused for that.
-func TestOneOrganisationDoesNotUseUpTheMemory(t *testing.T) {
+// One organisation never acknowledges its answers, or has thousands of calls
+// refused per second, and its answers fill the memory. Calls of an organisation
+// that uses little memory must still be accepted.
+func TestOneOrganisationCannotFillMemory(t *testing.T) {
 	k := keep.New(keep.WithBound(1 << 20))
 	number := 0
 	open := func(organisation string) bool {
@@ -93,7 +93,7 @@
 		assert.Assert(t, open("small"))
 	}
 	assert.Assert(t, !open("large"))
-	// The reserve is bounded, too: many small ones together can't exceed it.
+	// The reserve is bounded too: many small organisations together can't exceed it.
 	for range 1000 {
 		number++
 		open(fmt.Sprint("other", number))
