--- a/internal/guard/fair/fair_test.go
+++ b/internal/guard/fair/fair_test.go
@@ -13,9 +13,9 @@
 	return fair.Item[int]{Organisation: organisation, Weight: 1, Cost: cost, Priority: priority, Expires: 1 << 40}
 }
 
-// A large organisation pushes without end while a small one sends now and
-// then. With a plain queue the small one waits behind everything.
-func TestLargeOrganisationDoesNotStarveSmall(t *testing.T) {
+// A large organisation pushes items continuously while a small one pushes few. In
+// a FIFO queue, the small one would wait behind all items of the large one.
+func TestLargeOrganisationDoesNotStarveSmallOne(t *testing.T) {
 	cases := []struct {
 		name      string
 		largeCost int64
@@ -24,7 +24,7 @@
 	}{
 		{"many cheap calls", 1, 1, 50},
 		{"few costly calls", 10, 1, 90},
-		{"small one has double weight", 1, 2, 66},
+		{"small organisation has double weight", 1, 2, 66},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,9 +35,9 @@
 					q.Push(item("large", tc.largeCost, 0))
 				}
 				for range 4 {
-					wanted := item("small", 1, 0)
-					wanted.Weight = tc.weight
-					q.Push(wanted)
+					smallItem := item("small", 1, 0)
+					smallItem.Weight = tc.weight
+					q.Push(smallItem)
 				}
 				next, ok := q.Pop()
 				assert.Assert(t, ok)
@@ -45,12 +45,12 @@
 					small++
 				}
 			}
-			assert.Assert(t, small >= tc.wantSmall-5 && small <= tc.wantSmall+5, "small got %d of 100", small)
+			assert.Assert(t, small >= tc.wantSmall-5 && small <= tc.wantSmall+5, "the small organisation got %d of 100 items", small)
 		})
 	}
 }
 
-func TestWorkThatRanAtOnceIsCharged(t *testing.T) {
+func TestWorkThatRanWithoutQueueingIsCharged(t *testing.T) {
 	q := fair.New[int](8)
 	for range 5 {
 		q.Charge("large", 1, 1)
@@ -61,30 +61,30 @@
 	assert.Equal(t, next.Organisation, "small")
 }
 
-// Random pushes, pops and expiries: the bound holds, no item is lost or comes
-// twice, and no item of lower priority goes before a higher one.
+// Random pushes, pops and expiries: the queue stays within its bound, no item is
+// lost or returned twice, and no item runs before one of higher priority.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := fair.New[int](8)
-		waiting := map[int]int{}
+		priorities := map[int]int{}
 		var cost int64
-		leave := func(i fair.Item[int]) {
-			_, known := waiting[i.Work]
+		remove := func(i fair.Item[int]) {
+			_, known := priorities[i.Work]
 			assert.Assert(t, known)
-			delete(waiting, i.Work)
+			delete(priorities, i.Work)
 			cost -= i.Cost
 		}
 		for step := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				if next, ok := q.Pop(); ok {
-					for _, priority := range waiting {
+					for _, priority := range priorities {
 						assert.Assert(t, next.Priority >= priority)
 					}
-					leave(next)
+					remove(next)
 				}
 			case 1:
-				q.Expire(0, 50, leave)
+				q.Expire(0, 50, remove)
 			default:
 				pushed := item(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "organisation"),
 					rapid.Int64Range(1, 9).Draw(t, "cost"), rapid.IntRange(0, 2).Draw(t, "priority"))
@@ -94,14 +94,14 @@
 				}
 				evicted, hasEvicted, fits := q.Push(pushed)
 				if fits {
-					waiting[step] = pushed.Priority
+					priorities[step] = pushed.Priority
 					cost += pushed.Cost
 				}
 				if hasEvicted {
-					leave(evicted)
+					remove(evicted)
 				}
 			}
-			assert.Equal(t, q.Len(), len(waiting))
+			assert.Equal(t, q.Len(), len(priorities))
 			assert.Equal(t, q.Cost(), cost)
 			assert.Assert(t, q.Len() <= 8)
 		}
