--- a/internal/guard/learn/goodput_test.go
+++ b/internal/guard/learn/goodput_test.go
@@ -8,28 +8,28 @@
 	"github.com/jujubescale/jujubescale/internal/guard/learn"
 )
 
-// rule is one way to limit the work at an endpoint.
-type rule struct {
+// limiter is one method of limiting the work at an endpoint.
+type limiter struct {
 	limit  func() int
 	sample func(perCost float64, inFlight int)
 }
 
-func static(limit int) rule {
-	return rule{func() int { return limit }, func(float64, int) {}}
+func fixedLimiter(limit int) limiter {
+	return limiter{func() int { return limit }, func(float64, int) {}}
 }
 
-func gradient(high int) rule {
+func gradientLimiter(high int) limiter {
 	l := learn.New(learn.WithBounds(1, high))
-	return rule{l.Limit, l.Sample}
+	return limiter{l.Limit, l.Sample}
 }
 
-// aimd adds one to the limit for each limit's worth of completions and takes a
-// tenth off when service times exceed twice the least ever seen.
-func aimd(high int) rule {
-	limit, least := float64(high), math.Inf(1)
-	return rule{func() int { return int(limit) }, func(perCost float64, _ int) {
-		least = min(least, perCost)
-		if perCost > 2*least {
+// aimdLimiter raises the limit by one after as many completions as the limit, and
+// lowers it by a tenth when a service time exceeds twice the minimum so far.
+func aimdLimiter(high int) limiter {
+	limit, minTime := float64(high), math.Inf(1)
+	return limiter{func() int { return int(limit) }, func(perCost float64, _ int) {
+		minTime = min(minTime, perCost)
+		if perCost > 2*minTime {
 			limit *= 0.9
 		} else {
 			limit += 1 / limit
@@ -48,11 +48,11 @@
 	deadlineMs = 300
 	queueBound = 64
 	changeMs   = 10_000
-	spanMs     = 60_000
+	durationMs = 60_000
 )
 
-// speed is how fast an endpoint works on each job while n run, as a
-// batching engine does; beyond its capacity the whole gets slower.
+// speed returns the relative speed of each of n running jobs at a batching engine.
+// Beyond the capacity, the total throughput falls.
 func speed(n, capacity float64) float64 {
 	const alone, loss = 1.6, 0.3
 	if n <= capacity {
@@ -61,24 +61,24 @@
 	return capacity * math.Pow(capacity/n, loss) / n
 }
 
-// goodput is the share of the endpoint's capacity that ends within the deadline
-// while offered times that capacity arrives. The capacity changes after a while;
-// what is counted comes after that.
-func goodput(r rule, before, after, offered float64) float64 {
+// goodput returns the work that completes within the deadline as a share of the
+// endpoint's capacity, while offered times this capacity arrives. The capacity
+// changes at changeMs; only jobs that complete later are counted.
+func goodput(l limiter, before, after, offered float64) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	var running, queue []job
-	good := 0
+	completed := 0
 	capacity := before
-	for now := range spanMs {
+	for now := range durationMs {
 		if now == changeMs {
-			capacity, good = after, 0
+			capacity, completed = after, 0
 		}
 		for arrivals := offered * capacity / workMs; random.Float64() < arrivals; arrivals-- {
 			if len(queue) < queueBound {
 				queue = append(queue, job{arrived: now, left: workMs * (0.5 + random.Float64())})
 			}
 		}
-		for len(queue) > 0 && len(running) < r.limit() {
+		for len(queue) > 0 && len(running) < l.limit() {
 			if now-queue[0].arrived < deadlineMs {
 				queue[0].began = now
 				running = append(running, queue[0])
@@ -92,41 +92,41 @@
 			j.left -= progress
 			switch {
 			case j.left <= 0:
-				r.sample(float64(now-j.began+1), inFlight)
-				good++
+				l.sample(float64(now-j.began+1), inFlight)
+				completed++
 			case now-j.arrived < deadlineMs:
 				kept = append(kept, j)
 			}
 		}
 		running = kept
 	}
-	return float64(good) * workMs / (capacity * (spanMs - changeMs))
+	return float64(completed) * workMs / (capacity * (durationMs - changeMs))
 }
 
-// BenchmarkGoodput gives the goodput at 1.5 of capacity for each rule, where
-// the endpoint is as it states, and where it loses three quarters of what it
-// states. docs/design/admission.md quotes it.
+// BenchmarkGoodput measures the goodput of each limiter at a load of 1.5 times the
+// capacity, for an endpoint with its stated capacity and for one that has only a
+// quarter of it. docs/design/admission.md quotes the results.
 func BenchmarkGoodput(b *testing.B) {
 	const stated = 32
-	rules := []struct {
+	limiters := []struct {
 		name string
-		make func() rule
+		make func() limiter
 	}{
-		{"none", func() rule { return static(1 << 20) }},
-		{"stated", func() rule { return static(stated) }},
-		{"aimd", func() rule { return aimd(stated) }},
-		{"gradient", func() rule { return gradient(stated) }},
+		{"none", func() limiter { return fixedLimiter(1 << 20) }},
+		{"stated", func() limiter { return fixedLimiter(stated) }},
+		{"aimd", func() limiter { return aimdLimiter(stated) }},
+		{"gradient", func() limiter { return gradientLimiter(stated) }},
 	}
 	for _, capacity := range []float64{stated, stated / 4} {
-		for _, one := range rules {
-			name := "asStated/" + one.name
+		for _, tc := range limiters {
+			name := "asStated/" + tc.name
 			if capacity < stated {
-				name = "quarter/" + one.name
+				name = "quarter/" + tc.name
 			}
 			b.Run(name, func(b *testing.B) {
 				var share float64
 				for b.Loop() {
-					share = goodput(one.make(), stated, capacity, 1.5)
+					share = goodput(tc.make(), stated, capacity, 1.5)
 				}
 				b.ReportMetric(share, "goodput")
 			})
--- a/internal/guard/learn/learn.go
+++ b/internal/guard/learn/learn.go
@@ -1,35 +1,36 @@
-// Package learn finds how much work an endpoint bears at once from the time
-// that its work takes: while service times stay near those of an unloaded
-// endpoint the limit grows, and when they stretch it shrinks in proportion.
-// docs/design/admission.md has the ways weighed and the measurement.
+// Package learn adapts the concurrency limit of an endpoint to its service times:
+// the limit grows while they stay near the service time of the unloaded endpoint,
+// and shrinks in proportion when they rise. docs/design/admission.md compares the
+// alternatives and has the measurement.
 package learn
 
 import "math"
 
 const (
-	// tolerance is how far service times may stretch over the unloaded time
-	// before the limit shrinks: batching engines get slower with each request
-	// and still do more in all.
+	// tolerance is the multiple of the unloaded service time above which the limit
+	// shrinks. It is more than 1 because a batching engine gets slower with each
+	// concurrent request while its total throughput still grows.
 	tolerance = 2.0
-	// smallest step down of one window.
+	// maxShrink is the smallest factor that one window applies to the limit.
 	maxShrink = 0.5
-	// failShrink is the step down when the endpoint itself refuses work.
-	failShrink = 0.8
-	// smoothing of one window into the limit.
+	// rejectShrink is the factor on the limit when the endpoint itself refuses work.
+	rejectShrink = 0.8
+	// smoothing is the weight of one window in the limit.
 	smoothing = 0.3
-	// baseDrift lets the unloaded time follow work that becomes heavier: 1% a
-	// window, and only in windows with little in flight. Were it allowed under
-	// load, the unloaded time would follow the overload itself and the limit
-	// would grow without end.
-	baseDrift  = 1.01
-	littleMin  = 4
-	littlePart = 8
-	// window is how many samples make one step.
+	// baseDrift bounds the growth of the unloaded time to 1% per window, so that it
+	// follows work that becomes heavier. It grows only in windows with low load:
+	// under load it would follow the overload itself, and the limit would grow
+	// without bound.
+	baseDrift = 1.01
+	// lowLoadMin and lowLoadDivisor: a window has low load if at most lowLoadMin
+	// items, or 1/8 of the upper bound if that is more, were in flight.
+	lowLoadMin     = 4
+	lowLoadDivisor = 8
+	// window is the number of samples from which one adjustment is computed.
 	window = 16
 )
 
-// Limit learns the limit of one endpoint. It is not safe for use by several
-// goroutines at once.
+// Limit is the adaptive limit of one endpoint. It is not safe for concurrent use.
 type Limit struct {
 	limit float64
 	min   float64
@@ -40,16 +41,16 @@
 	peak  int
 }
 
-// Option changes a Limit while it is built.
+// Option configures a Limit.
 type Option func(*Limit)
 
-// WithBounds sets the range of the limit. It starts at the upper end: the
-// cold-start ramp guards the start.
-func WithBounds(low, high int) Option {
-	return func(l *Limit) { l.min, l.max = float64(max(low, 1)), float64(max(high, 1)) }
+// WithBounds sets the range of the limit. The limit starts at the upper bound,
+// because the cold-start ramp protects an endpoint that has just started.
+func WithBounds(lower, upper int) Option {
+	return func(l *Limit) { l.min, l.max = float64(max(lower, 1)), float64(max(upper, 1)) }
 }
 
-// DefaultMax bounds the limit of an endpoint that states none.
+// DefaultMax is the default upper bound.
 const DefaultMax = 256
 
 // New returns a limit at its upper bound.
@@ -62,23 +63,24 @@
 	return l
 }
 
-// Limit is the work the endpoint is believed to bear at once.
+// Limit returns the current concurrency limit.
 func (l *Limit) Limit() int { return int(l.limit) }
 
-// SetMax changes the upper bound.
-func (l *Limit) SetMax(high int) {
-	if high < 1 {
-		high = DefaultMax
+// SetMax changes the upper bound. A value below 1 means DefaultMax. A limit at the
+// previous upper bound rises with it.
+func (l *Limit) SetMax(upper int) {
+	if upper < 1 {
+		upper = DefaultMax
 	}
-	raised := float64(high) > l.max && l.limit >= l.max
-	l.max = float64(high)
+	raised := float64(upper) > l.max && l.limit >= l.max
+	l.max = float64(upper)
 	if raised || l.limit > l.max {
 		l.limit = l.max
 	}
 }
 
-// Sample takes one finished piece of work: its service time for each unit of
-// cost, and how much ran at its end.
+// Sample records completed work: its service time per unit of cost, and the number
+// of items in flight at its end.
 func (l *Limit) Sample(perCost float64, inFlight int) {
 	l.sum += perCost
 	l.count++
@@ -89,26 +91,25 @@
 	}
 }
 
-// Rejected takes an answer with which the endpoint itself said that it had too
-// much to do.
+// Rejected lowers the limit because the endpoint refused work as overloaded.
 func (l *Limit) Rejected() {
-	l.limit = max(l.limit*failShrink, l.min)
+	l.limit = max(l.limit*rejectShrink, l.min)
 }
 
-// adjust takes the mean of one window.
+// adjust updates the limit from the mean service time of one window.
 func (l *Limit) adjust(mean float64) {
-	little := float64(l.peak) <= max(littleMin, l.max/littlePart)
+	lowLoad := float64(l.peak) <= max(lowLoadMin, l.max/lowLoadDivisor)
 	switch {
 	case l.base == 0 || mean < l.base:
 		l.base = mean
-	case little:
+	case lowLoad:
 		l.base = min(l.base*baseDrift, mean)
 	default:
 	}
 	gradient := math.Max(maxShrink, math.Min(1, tolerance*l.base/max(mean, math.SmallestNonzeroFloat64)))
 	target := l.limit*gradient + math.Sqrt(l.limit)
 	if target > l.limit && float64(l.peak) < l.limit/2 {
-		return // an endpoint that is hardly used proves nothing about a higher limit
+		return // the load was too low to show that a higher limit is safe
 	}
 	l.limit += smoothing * (target - l.limit)
 	l.limit = math.Max(l.min, math.Min(l.max, l.limit))
--- a/internal/guard/learn/learn_test.go
+++ b/internal/guard/learn/learn_test.go
@@ -11,9 +11,9 @@
 	"github.com/jujubescale/jujubescale/internal/guard/learn"
 )
 
-// An endpoint becomes three times slower beyond eight at once. Without a
-// learned limit everything that is admitted comes late.
-func TestLimitFollowsTheEndpoint(t *testing.T) {
+// Beyond eight concurrent items an endpoint gets slower with each further item.
+// Without an adaptive limit all admitted work would be late.
+func TestLimitFollowsServiceTime(t *testing.T) {
 	l := learn.New(learn.WithBounds(1, 64))
 	serviceTime := func(inFlight int) float64 { return 20 * math.Max(1, float64(inFlight)/8) }
 	for range 16 {
@@ -29,7 +29,7 @@
 	assert.Equal(t, l.Limit(), 64)
 }
 
-func TestRejectionsShrink(t *testing.T) {
+func TestRejectionsLowerLimit(t *testing.T) {
 	l := learn.New(learn.WithBounds(1, 64))
 	for range 100 {
 		l.Rejected()
