--- a/internal/guard/drain/drain.go
+++ b/internal/guard/drain/drain.go
@@ -1,64 +1,66 @@
-// Package drain holds why an agent takes no new work. Several reasons can hold
-// at once, each from its own source; new work is taken again only once none
-// does. Running work is never affected.
+// Package drain tracks why an agent accepts no new work. Several causes can be
+// active at once, each set by its own source. The agent accepts new work again
+// when no cause is active. Running work is never affected.
 package drain
 
 import "github.com/jujubescale/jujubescale/internal/base/fault"
 
-// Cause is one source of a reason.
+// Cause is one cause for refusing new work.
 type Cause uint8
 
-// Causes, the most lasting first: that one is told to entries.
+// Causes, ordered by how long they last, longest first. The first active cause
+// determines the reason that entries receive.
 const (
 	// CauseLeaving is a planned stop of this process; it never ends.
 	CauseLeaving Cause = iota
-	// CauseZone is an availability zone that operators took out.
+	// CauseZone is an availability zone that operators took out of service.
 	CauseZone
-	// CauseEndpoint is an endpoint that operators took out.
+	// CauseEndpoint is an endpoint that operators took out of service.
 	CauseEndpoint
 	// CauseIsolated is a process that reaches neither the platform nor any peer
-	// outside its availability zone: it can't know that its zone was taken out.
+	// outside its availability zone. It cannot learn whether operators took its
+	// zone out of service.
 	CauseIsolated
 	// CauseNoRelease is a process that has no configuration yet.
 	CauseNoRelease
-	// CauseUnknownLoad is an agent that does not know yet what runs at its
-	// endpoint: the agent before it may have left work behind.
+	// CauseUnknownLoad is an agent that has no report yet of the work at its
+	// endpoint. The previous agent may have left work there.
 	CauseUnknownLoad
 	// CauseFailing is an endpoint that does not answer.
 	CauseFailing
 	causes
 )
 
-// Drain is the set of causes that hold. The zero value takes work.
+// Drain is the set of active causes. The zero value accepts work.
 type Drain struct {
-	holds [causes]bool
+	active [causes]bool
 }
 
-// Set changes whether a cause holds and reports whether the answer of Reason
-// may have changed. A planned stop can't be taken back.
-func (d *Drain) Set(cause Cause, holds bool) bool {
-	if cause == CauseLeaving && !holds {
+// Set activates or ends a cause and reports whether the result of Reason may have
+// changed. CauseLeaving cannot be ended.
+func (d *Drain) Set(cause Cause, active bool) bool {
+	if cause == CauseLeaving && !active {
 		return false
 	}
-	changed := d.holds[cause] != holds
-	d.holds[cause] = holds
+	changed := d.active[cause] != active
+	d.active[cause] = active
 	return changed
 }
 
-// Has reports whether a cause holds.
-func (d *Drain) Has(cause Cause) bool { return d.holds[cause] }
+// Has reports whether a cause is active.
+func (d *Drain) Has(cause Cause) bool { return d.active[cause] }
 
-// Reason is why new work is refused; empty when it is taken.
+// Reason returns the reason for refusing new work, empty if work is accepted.
 func (d *Drain) Reason() fault.Reason {
 	for cause := range causes {
-		if d.holds[cause] {
+		if d.active[cause] {
 			return cause.Reason()
 		}
 	}
 	return ""
 }
 
-// Reason is the refusal that a cause leads to.
+// Reason returns the reason that entries receive for a cause.
 func (c Cause) Reason() fault.Reason {
 	switch c {
 	case CauseLeaving, CauseEndpoint:
--- a/internal/guard/drain/drain_test.go
+++ b/internal/guard/drain/drain_test.go
@@ -10,9 +10,9 @@
 	"github.com/jujubescale/jujubescale/internal/guard/drain"
 )
 
-// Two operators take a zone and an endpoint out, and one returns: the agent
-// must not take work again while the other reason still holds.
-func TestOneReasonGoneIsNotAllGone(t *testing.T) {
+// Operators take a zone and an endpoint out of service and return only one of
+// them. The agent must not accept work while the other cause is active.
+func TestWorkIsRefusedUntilAllCausesEnd(t *testing.T) {
 	var d drain.Drain
 	d.Set(drain.CauseZone, true)
 	d.Set(drain.CauseEndpoint, true)
@@ -26,18 +26,18 @@
 func TestDrainProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d drain.Drain
-		left := false
+		leaving := false
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			cause := drain.Cause(rapid.IntRange(0, int(drain.CauseFailing)).Draw(t, "cause"))
-			holds := rapid.Bool().Draw(t, "holds")
-			d.Set(cause, holds)
-			left = left || (cause == drain.CauseLeaving && holds)
-			some := false
-			for one := drain.CauseLeaving; one <= drain.CauseFailing; one++ {
-				some = some || d.Has(one)
+			active := rapid.Bool().Draw(t, "holds")
+			d.Set(cause, active)
+			leaving = leaving || (cause == drain.CauseLeaving && active)
+			anyActive := false
+			for otherCause := drain.CauseLeaving; otherCause <= drain.CauseFailing; otherCause++ {
+				anyActive = anyActive || d.Has(otherCause)
 			}
-			assert.Equal(t, d.Reason() != "", some)
-			assert.Assert(t, !left || d.Reason() == fault.Leaving)
+			assert.Equal(t, d.Reason() != "", anyActive)
+			assert.Assert(t, !leaving || d.Reason() == fault.Leaving)
 		}
 	})
 }
--- a/internal/guard/pace/pace.go
+++ b/internal/guard/pace/pace.go
@@ -1,23 +1,23 @@
-// Package pace bounds how many requests an endpoint gets in any second.
+// Package pace limits the number of requests per second to an endpoint.
 //
-// An endpoint that is cold falls over beyond a few requests a second, and it
-// may turn cold without anybody noticing for a moment. The bound therefore
-// counts starts in a sliding second, and what has just been sent to a warm
-// endpoint counts against its cold bound as soon as it turns cold.
+// A cold endpoint crashes under more than a few requests per second, and a warm
+// endpoint may turn cold before this process detects it. The limiter therefore
+// counts starts in a sliding window, so that requests just sent to a warm
+// endpoint count against its cold bound once it turns cold.
 package pace
 
 import "github.com/jujubescale/jujubescale/internal/base/clock"
 
-// Window is the span over which starts are counted. It is a little longer than
-// the second in which an endpoint counts arrivals: requests that left a second
-// apart may arrive closer together, by the spread of the network's delay.
+// Window is the time over which starts are counted. It is slightly longer than the
+// second in which an endpoint counts arrivals, because requests sent one second
+// apart can arrive closer together when the network delay varies.
 const Window = 1100 * clock.Millis(1)
 
-// maxKept bounds the memory of one pace; no cold bound comes near it.
-const maxKept = 64
+// maxStarts bounds the memory of a limiter. It is far above any cold bound.
+const maxStarts = 64
 
-// Limiter counts the starts at one endpoint. It is not safe for use by several
-// goroutines at once.
+// Limiter counts the requests started at one endpoint. It is not safe for
+// concurrent use.
 type Limiter struct {
 	starts []clock.Millis
 }
@@ -34,16 +34,16 @@
 	return len(p.starts)
 }
 
-// Record counts a request that is sent now.
+// Record counts a request sent now.
 func (p *Limiter) Record(now clock.Millis) {
-	if p.Recent(now) == maxKept {
+	if p.Recent(now) == maxStarts {
 		p.starts = append(p.starts[:0], p.starts[1:]...)
 	}
 	p.starts = append(p.starts, now)
 }
 
-// Delay returns how long it takes until fewer than bound starts are in the
-// window; 0 when that is so now.
+// Delay returns the time until fewer than bound starts are in the window, 0 if
+// that is already the case. It returns Window if bound is not positive.
 func (p *Limiter) Delay(bound int, now clock.Millis) clock.Millis {
 	recent := p.Recent(now)
 	if bound <= 0 {
--- a/internal/guard/pace/pace_test.go
+++ b/internal/guard/pace/pace_test.go
@@ -10,9 +10,9 @@
 	"github.com/jujubescale/jujubescale/internal/guard/pace"
 )
 
-// An endpoint has just started and more than its bound arrives within some
-// second: it crashes, and all requests on it are lost to their callers.
-func TestNoSecondGetsMoreThanTheBound(t *testing.T) {
+// A cold endpoint that receives more than its bound within any second crashes and
+// loses all its requests.
+func TestStartsPerSecondStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(1, 20).Draw(t, "bound")
 		var p pace.Limiter
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestNextSaysWhenOneMoreFits(t *testing.T) {
+func TestDelayUntilNextStart(t *testing.T) {
 	var p pace.Limiter
 	p.Record(100)
 	p.Record(300)
