--- a/internal/flow/reach/correct.go
+++ b/internal/flow/reach/correct.go
@@ -8,58 +8,64 @@
 )
 
 const (
-	// sureShare is the part of a route's requests that take no longer than their
-	// estimate and its correction together. A request that begins misses its objective
-	// less often than the others.
-	sureShare = 0.75
-	// correctionStep is how far one request moves the correction, in milliseconds: the work
-	// of one that came late teaches as much whether it was a little late or very.
+	// targetShare is the share of a route's requests that should take no longer than
+	// their corrected estimate. Fewer than a quarter of the admitted requests miss
+	// their objective.
+	targetShare = 0.75
+	// correctionStep is how far one request moves the correction, in milliseconds. It
+	// does not depend on how late the request was, so that a single very late request
+	// has no larger effect than a slightly late one.
 	correctionStep = 30.0
-	// correctionHalf is the time in which half of the correction is forgotten while no
-	// request ends: a route that begins none would never learn that its queues
-	// have become shorter.
-	correctionHalf = 3 * clock.Second
+	// correctionHalfLife is the half-life of the correction while no request ends. A
+	// route that admits no requests gets no new measurements, so without this decay
+	// it would not notice that its queues have become shorter.
+	correctionHalfLife = 3 * clock.Second
 )
 
-// Correction learns by how much estimates for one route are to be raised. Estimates
-// know neither the work that arrives after they were made nor the time for which
-// stages wait for an engine near their inputs. Uncorrected, the requests that are
-// admitted during a burst come a little late, all of them. It is safe for use by
-// several goroutines.
+// Correction tracks by how much the estimates for one route have to be raised.
+// Estimates include neither the work that arrives after they were made nor the
+// time for which stages wait for an engine near their inputs. Without the
+// correction, all requests that are admitted during a burst are slightly late.
+// It is safe for concurrent use.
 type Correction struct {
-	mu    sync.Mutex
-	value float64
-	at    clock.Millis
+	mu        sync.Mutex
+	value     float64
+	updatedAt clock.Millis
 }
 
-// Observe takes how long a request was expected to take, and how long it took.
+// Observe updates the correction with the estimated and the actual duration of a
+// request.
 func (c *Correction) Observe(estimated, took, now clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fade(now)
+	c.decay(now)
 	if float64(took-estimated) > c.value {
-		c.value += correctionStep * sureShare
+		c.value += correctionStep * targetShare
 		return
 	}
-	c.value -= correctionStep * (1 - sureShare)
+	c.value -= correctionStep * (1 - targetShare)
 }
 
-// Value returns by how many milliseconds an estimate is to be raised; below zero
-// where requests take less time than estimated.
+// Value returns the number of milliseconds to add to an estimate. It is negative
+// if requests take less time than estimated.
 func (c *Correction) Value(now clock.Millis) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fade(now)
+	c.decay(now)
 	return c.value
 }
 
-// fade forgets with time; the caller holds the lock.
-func (c *Correction) fade(now clock.Millis) {
-	if c.at > 0 && now > c.at {
-		c.value *= keptAfter(now-c.at, correctionHalf)
+// decay reduces the correction by the time since the last update. The caller must
+// hold c.mu.
+func (c *Correction) decay(now clock.Millis) {
+	if c.updatedAt > 0 && now > c.updatedAt {
+		c.value *= decayFactor(now-c.updatedAt, correctionHalfLife)
 	}
-	c.at = max(c.at, now)
+	c.updatedAt = max(c.updatedAt, now)
 }
 
-// keptAfter is the part that is left after a span of what halves in another.
-func keptAfter(span, half clock.Millis) float64 { return math.Exp2(-float64(span) / float64(half)) }
+// decayFactor returns the fraction of a value that remains after span if the value
+// has the given half-life.
+func decayFactor(span, halfLife clock.Millis) float64 {
+	return math.Exp2(-float64(span) / float64(halfLife))
+}
--- a/internal/flow/reach/correct_test.go
+++ b/internal/flow/reach/correct_test.go
@@ -10,26 +10,26 @@
 	"github.com/jujubescale/jujubescale/internal/flow/reach"
 )
 
-// Estimates are too low by 300 ms on average while a burst lasts. Requests that
-// begin by them alone are late, all of them. What estimates were off by counts
-// after some requests, and is forgotten once the burst is over and nobody tells.
-func TestDoubtFollowsWhatEstimatesAreOffBy(t *testing.T) {
-	var b reach.Correction
+// During a burst, estimates are 300 ms too low on average, so that all requests that
+// are admitted by them are late. The correction must approach the error after some
+// requests, and decay after the burst, when no requests end.
+func TestCorrectionFollowsEstimationError(t *testing.T) {
+	var c reach.Correction
 	random := rand.New(rand.NewPCG(1, 2))
 	now := clock.Millis(0)
 	for range 200 {
 		now += 50
-		b.Observe(1000, 1300+clock.Millis(random.IntN(200))-100, now)
+		c.Observe(1000, 1300+clock.Millis(random.IntN(200))-100, now)
 	}
-	value := b.Value(now)
+	value := c.Value(now)
 	assert.Assert(t, value > 250 && value < 420, "%f", value)
-	assert.Assert(t, b.Value(now+20*clock.Second) < 10)
+	assert.Assert(t, c.Value(now+20*clock.Second) < 10)
 }
 
-// Some requests are put behind all others and end seconds late. They must not
-// keep everybody else from being begun.
-func TestFewVeryLateRequestsDoNotStopTheRest(t *testing.T) {
-	var b reach.Correction
+// Requests that are served behind all others end seconds late. A few of them must not
+// prevent the admission of other requests.
+func TestFewVeryLateRequestsHardlyRaiseCorrection(t *testing.T) {
+	var c reach.Correction
 	now := clock.Millis(0)
 	for i := range 200 {
 		now += 50
@@ -37,12 +37,12 @@
 		if i%10 == 0 {
 			took = 6000
 		}
-		b.Observe(1000, took, now)
+		c.Observe(1000, took, now)
 	}
-	assert.Assert(t, b.Value(now) < 50, "%f", b.Value(now))
+	assert.Assert(t, c.Value(now) < 50, "%f", c.Value(now))
 }
 
-func TestNothingIsDoubtedAtFirst(t *testing.T) {
-	var b reach.Correction
-	assert.Equal(t, b.Value(5), 0.0)
+func TestInitialCorrectionIsZero(t *testing.T) {
+	var c reach.Correction
+	assert.Equal(t, c.Value(5), 0.0)
 }
--- a/internal/flow/reach/load_test.go
+++ b/internal/flow/reach/load_test.go
@@ -12,36 +12,36 @@
 	"github.com/jujubescale/jujubescale/internal/flow/reach"
 )
 
-// play is a pool of stage engines under load: requests with a few pieces each
-// arrive, wait in one queue, and are called for in batches. Time is virtual.
-type play struct {
+// simulation is a pool of stage engines under load. Requests with a few pieces each
+// arrive, wait in one queue and are called in batches. Time is virtual.
+type simulation struct {
 	now        clock.Millis
 	queue      batch.Queue
-	busy       []clock.Millis // until when each engine has a call
+	busy       []clock.Millis // end of the current call of each engine
 	calls      [][]batch.Item
-	left       map[*batch.Group]int
+	openPieces map[*batch.Group]int
 	correction reach.Correction
 	admits     bool
-	yields     bool
+	defersLate bool
 	arrived    int
 	inTime     int
 	late       int
 	refused    int
 	slowest    clock.Millis
-	// returns says that refused callers come back once, and knows that they are
-	// then known.
-	returns bool
-	knows   bool
-	back    []caller
-	twice   int
+	// returns is set if refused callers return once, recognizes if the admission then
+	// treats them as returned callers.
+	returns      bool
+	recognizes   bool
+	returning    []caller
+	refusedTwice int
 }
 
-// caller is one caller with its first attempt, and when it comes back.
+// caller is a caller with the time of its first attempt and of its return.
 type caller struct {
-	pieces int
-	first  clock.Millis
-	at     clock.Millis
-	tries  int
+	pieces       int
+	firstArrival clock.Millis
+	returnAt     clock.Millis
+	attempts     int
 }
 
 const (
@@ -49,233 +49,232 @@
 	deadline  = 6000 * clock.Millis(1)
 )
 
-func newPlay(engines int, admits bool) *play {
-	return &play{busy: make([]clock.Millis, engines), calls: make([][]batch.Item, engines), left: map[*batch.Group]int{}, admits: admits}
+func newSimulation(engines int, admits bool) *simulation {
+	return &simulation{busy: make([]clock.Millis, engines), calls: make([][]batch.Item, engines), openPieces: map[*batch.Group]int{}, admits: admits}
 }
 
-func (p *play) known() *reach.Queue {
-	q := &reach.Queue{Bounds: bounds, Engines: len(p.busy), Queued: make([]int, len(reach.RankEdges)+1)}
-	for _, until := range p.busy {
-		if until <= p.now {
+func (s *simulation) queueState() *reach.Queue {
+	q := &reach.Queue{Bounds: bounds, Engines: len(s.busy), Queued: make([]int, len(reach.RankEdges)+1)}
+	for _, end := range s.busy {
+		if end <= s.now {
 			q.Free++
 		}
 	}
-	p.queue.Each(func(g *batch.Group) { q.Queued[reach.Class(g.Rank-p.now)] += g.Queued() })
+	s.queue.Each(func(g *batch.Group) { q.Queued[reach.Class(g.Rank-s.now)] += g.Queued() })
 	return q
 }
 
-// arrive is one request with so many pieces.
-func (p *play) arrive(pieces int) {
-	p.arrived++
-	p.attempt(caller{pieces: pieces, first: p.now})
+// arrive adds a new request with some pieces.
+func (s *simulation) arrive(pieces int) {
+	s.arrived++
+	s.attempt(caller{pieces: pieces, firstArrival: s.now})
 }
 
-// last is what a request takes after its stage.
-const last = 150 * clock.Millis(1)
+// generation is the time from the end of the stage to the answer.
+const generation = 150 * clock.Millis(1)
 
-// attempt is one attempt of a caller.
-func (p *play) attempt(c caller) {
+// attempt admits or refuses one attempt of a caller.
+func (s *simulation) attempt(c caller) {
 	r := &reach.Request{
 		Stages: []table.Stage{{Pool: "a"}}, Pieces: []int{c.pieces}, Done: []bool{false},
-		Slack: objective, Left: deadline, Generation: float64(last),
+		Slack: objective, Left: deadline, Generation: float64(generation),
 	}
-	if p.knows && c.tries > 0 {
-		r.Returned, r.Slack = true, c.first+objective-p.now
+	if s.recognizes && c.attempts > 0 {
+		r.Returned, r.Slack = true, c.firstArrival+objective-s.now
 	}
-	r.Left -= p.now - c.first
-	queues := func(string) *reach.Queue { return p.known() }
+	r.Left -= s.now - c.firstArrival
+	queues := func(string) *reach.Queue { return s.queueState() }
 	remaining := r.Remaining(queues)
-	r.Correction = p.correction.Value(p.now)
-	if p.admits && !r.Admissible(remaining) {
+	r.Correction = s.correction.Value(s.now)
+	if s.admits && !r.Admissible(remaining) {
 		r.Penalty = 2 * batch.LatePenalty
 		if !r.AdmissibleLate(r.Remaining(queues)) {
-			p.refuse(c)
+			s.refuse(c)
 			return
 		}
 	}
-	wanted := p.now + r.Slack
+	objectiveAt := s.now + r.Slack
 	g := &batch.Group{
-		Owner: job{first: c.first, estimate: clock.Millis(remaining), began: p.now, late: r.Penalty > 0},
-		Count: c.pieces, Rank: wanted + r.Penalty, NeededBy: wanted - last, Deadline: p.now + r.Left,
+		Owner: job{firstArrival: c.firstArrival, estimate: clock.Millis(remaining), admittedAt: s.now, late: r.Penalty > 0},
+		Count: c.pieces, Rank: objectiveAt + r.Penalty, NeededBy: objectiveAt - generation, Deadline: s.now + r.Left,
 	}
-	p.left[g] = c.pieces
-	p.queue.Add(g)
+	s.openPieces[g] = c.pieces
+	s.queue.Add(g)
 }
 
-// job is what a group was begun with.
+// job is the state of a group at its admission.
 type job struct {
-	first    clock.Millis
-	began    clock.Millis
-	estimate clock.Millis
-	late     bool
+	firstArrival clock.Millis
+	admittedAt   clock.Millis
+	estimate     clock.Millis
+	late         bool
 }
 
-// comeBack is the time to come back that refused callers are told.
-const comeBack = 350 * clock.Millis(1)
+// retryAfter is the delay after which refused callers return.
+const retryAfter = 350 * clock.Millis(1)
 
-func (p *play) refuse(c caller) {
+func (s *simulation) refuse(c caller) {
 	switch {
-	case p.returns && c.tries == 0:
-		c.tries, c.at = 1, p.now+comeBack
-		p.back = append(p.back, c)
-	case c.tries > 0:
-		p.twice++
+	case s.returns && c.attempts == 0:
+		c.attempts, c.returnAt = 1, s.now+retryAfter
+		s.returning = append(s.returning, c)
+	case c.attempts > 0:
+		s.refusedTwice++
 	default:
-		p.refused++
+		s.refused++
 	}
 }
 
-// comeBacks lets callers come back whose time it is.
-func (p *play) comeBacks() {
-	for len(p.back) > 0 && p.back[0].at <= p.now {
-		c := p.back[0]
-		p.back = p.back[1:]
-		p.attempt(c)
+// admitReturning makes the attempts of callers whose delay has passed.
+func (s *simulation) admitReturning() {
+	for len(s.returning) > 0 && s.returning[0].returnAt <= s.now {
+		c := s.returning[0]
+		s.returning = s.returning[1:]
+		s.attempt(c)
 	}
 }
 
-// step ends calls and begins others.
-func (p *play) step() {
-	p.comeBacks()
-	for i, until := range p.busy {
-		if until > p.now {
+// step ends finished calls and starts new ones.
+func (s *simulation) step() {
+	s.admitReturning()
+	for i, end := range s.busy {
+		if end > s.now {
 			continue
 		}
-		for _, item := range p.calls[i] {
-			p.end(item.Group)
+		for _, item := range s.calls[i] {
+			s.endPiece(item.Group)
 		}
-		if p.yields {
-			p.queue.DeferLate(bounds, p.now)
+		if s.defersLate {
+			s.queue.DeferLate(bounds, s.now)
 		}
-		p.calls[i] = p.queue.NextBatch(bounds, batch.Slot{FreeBytes: plenty, FreeEngines: 1}, p.now)
-		if len(p.calls[i]) > 0 {
-			p.busy[i] = p.now + clock.Millis(bounds.Duration(len(p.calls[i])))
+		s.calls[i] = s.queue.NextBatch(bounds, batch.Slot{FreeBytes: unlimitedBytes, FreeEngines: 1}, s.now)
+		if len(s.calls[i]) > 0 {
+			s.busy[i] = s.now + clock.Millis(bounds.Duration(len(s.calls[i])))
 		}
 	}
 }
 
-const plenty = 1 << 40
+const unlimitedBytes = 1 << 40
 
-func (p *play) end(g *batch.Group) {
-	p.left[g]--
-	if p.left[g] > 0 {
+func (s *simulation) endPiece(g *batch.Group) {
+	s.openPieces[g]--
+	if s.openPieces[g] > 0 {
 		return
 	}
-	began := g.Owner.(job)
-	took := p.now - began.first + last
-	p.slowest = max(p.slowest, took)
-	if !began.late {
-		p.correction.Observe(began.estimate, p.now-began.began+last, p.now)
+	admission := g.Owner.(job)
+	took := s.now - admission.firstArrival + generation
+	s.slowest = max(s.slowest, took)
+	if !admission.late {
+		s.correction.Observe(admission.estimate, s.now-admission.admittedAt+generation, s.now)
 	}
 	if took <= objective {
-		p.inTime++
+		s.inTime++
 		return
 	}
-	p.late++
+	s.late++
 }
 
-// run plays twenty seconds at a number of requests a second, each with one to
-// four pieces.
-func (p *play) run(perSecond float64) {
+// run simulates 20 seconds of perSecond requests a second, with one to four pieces
+// each.
+func (s *simulation) run(perSecond float64) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for ; p.now < 20*clock.Second; p.now++ {
+	for ; s.now < 20*clock.Second; s.now++ {
 		if random.Float64() < perSecond/1000 {
-			p.arrive(1 + random.IntN(4))
+			s.arrive(1 + random.IntN(4))
 		}
-		p.step()
+		s.step()
 	}
 }
 
-// More work arrives than five engines do: 80 requests of 2.5 pieces a second
-// against 135 pieces. Callers want answers within 1,100 ms.
+// More work arrives than five engines can process: 80 requests of 2.5 pieces a second
+// against 135 pieces. The objective is 1,100 ms.
 //
-// Without admission the queue grows without end and soon nobody is answered in
-// time, although the engines are always busy. With it, about as many answers as
-// the engines can make come in time, few a little late, and the others are told
+// Without admission the queue grows without limit and soon almost every answer is late,
+// although the engines are always busy. With admission, about as many answers as the
+// engines can produce are in time, few are slightly late, and other requests are refused
 // at once.
-func TestCallersUnderOverload(t *testing.T) {
-	open, admits := newPlay(5, false), newPlay(5, true)
-	open.run(80)
-	admits.run(80)
-	t.Logf("without: %d of %d in time, %d late, slowest %d ms", open.inTime, open.arrived, open.late, open.slowest)
-	t.Logf("with: %d of %d in time, %d late, %d refused, slowest %d ms", admits.inTime, admits.arrived, admits.late, admits.refused, admits.slowest)
-	assert.Assert(t, open.inTime*100 < 15*open.arrived)
-	assert.Assert(t, admits.inTime*100 > 55*admits.arrived, "%d of %d", admits.inTime, admits.arrived)
-	assert.Assert(t, admits.late*6 < admits.inTime, "%d late", admits.late)
-	assert.Assert(t, admits.slowest < 1300, "%d ms", admits.slowest)
+func TestAdmissionUnderOverload(t *testing.T) {
+	unrestricted, restricted := newSimulation(5, false), newSimulation(5, true)
+	unrestricted.run(80)
+	restricted.run(80)
+	t.Logf("without: %d of %d in time, %d late, slowest %d ms", unrestricted.inTime, unrestricted.arrived, unrestricted.late, unrestricted.slowest)
+	t.Logf("with: %d of %d in time, %d late, %d refused, slowest %d ms", restricted.inTime, restricted.arrived, restricted.late, restricted.refused, restricted.slowest)
+	assert.Assert(t, unrestricted.inTime*100 < 15*unrestricted.arrived)
+	assert.Assert(t, restricted.inTime*100 > 55*restricted.arrived, "%d of %d", restricted.inTime, restricted.arrived)
+	assert.Assert(t, restricted.late*6 < restricted.inTime, "%d late", restricted.late)
+	assert.Assert(t, restricted.slowest < 1300, "%d ms", restricted.slowest)
 }
 
-// The same load, where late work yields besides. Of the few that are late some
-// come later still, and more of the others come in time.
-func TestCallersUnderOverloadWhereLateWorkYields(t *testing.T) {
-	admits, both := newPlay(5, true), newPlay(5, true)
-	both.yields = true
-	admits.run(80)
+// The same overload, with late work served behind other work. Some late answers become
+// later, and more of the other answers are in time.
+func TestDeferringLateWorkUnderOverload(t *testing.T) {
+	admission, both := newSimulation(5, true), newSimulation(5, true)
+	both.defersLate = true
+	admission.run(80)
 	both.run(80)
-	t.Logf("admission alone: %d of %d in time, %d late", admits.inTime, admits.arrived, admits.late)
-	t.Logf("with yielding: %d of %d in time, %d late, slowest %d ms", both.inTime, both.arrived, both.late, both.slowest)
+	t.Logf("admission alone: %d of %d in time, %d late", admission.inTime, admission.arrived, admission.late)
+	t.Logf("with deferring: %d of %d in time, %d late, slowest %d ms", both.inTime, both.arrived, both.late, both.slowest)
 	assert.Assert(t, both.inTime*100 > 60*both.arrived)
-	assert.Assert(t, both.late*2 < admits.late)
+	assert.Assert(t, both.late*2 < admission.late)
 	assert.Assert(t, both.slowest < deadline)
 }
 
-// Below what the engines do, nobody is refused.
-func TestNobodyIsRefusedInCalm(t *testing.T) {
-	p := newPlay(5, true)
-	p.run(35)
-	assert.Equal(t, p.refused, 0)
-	assert.Assert(t, p.inTime*100 > 98*(p.inTime+p.late), "%d late", p.late)
+// Below the capacity of the engines, no request is refused.
+func TestNoRefusalsBelowCapacity(t *testing.T) {
+	s := newSimulation(5, true)
+	s.run(35)
+	assert.Equal(t, s.refused, 0)
+	assert.Assert(t, s.inTime*100 > 98*(s.inTime+s.late), "%d late", s.late)
 }
 
-// Two bursts of five seconds come, each with half as much work again as five
-// engines do, and are admitted by an estimate that sees none of it.
-// Served in the order in which they are wanted, nearly all are late, because
-// each one waits for those that are late already. Where late ones yield, most of
-// what the engines can do comes in time.
-func TestLateWorkDoesNotMakeTheRestLate(t *testing.T) {
-	ordered, yielding := newPlay(5, false), newPlay(5, false)
-	yielding.yields = true
-	for _, p := range []*play{ordered, yielding} {
+// Two bursts of five seconds arrive, each with 1.5 times the capacity of five engines,
+// and all requests are admitted. If pieces are served in the order of their objectives,
+// almost all are late, because each waits for pieces that are late already. If late
+// pieces are served behind the others, most of the work is in time.
+func TestLateWorkDoesNotDelayOtherWork(t *testing.T) {
+	ordered, deferring := newSimulation(5, false), newSimulation(5, false)
+	deferring.defersLate = true
+	for _, s := range []*simulation{ordered, deferring} {
 		random := rand.New(rand.NewPCG(3, 4))
-		for ; p.now < 24*clock.Second; p.now++ {
-			if p.now%10_000 < 5000 && p.now < 20*clock.Second && random.Float64() < 0.085 {
-				p.arrive(1 + random.IntN(4))
+		for ; s.now < 24*clock.Second; s.now++ {
+			if s.now%10_000 < 5000 && s.now < 20*clock.Second && random.Float64() < 0.085 {
+				s.arrive(1 + random.IntN(4))
 			}
-			p.step()
+			s.step()
 		}
 	}
-	t.Logf("in order: %d of %d in time; yielding: %d of %d", ordered.inTime, ordered.arrived, yielding.inTime, yielding.arrived)
-	assert.Equal(t, ordered.arrived, yielding.arrived)
-	assert.Assert(t, yielding.inTime > ordered.inTime+ordered.arrived/10)
+	t.Logf("in order: %d of %d in time; deferred: %d of %d", ordered.inTime, ordered.arrived, deferring.inTime, deferring.arrived)
+	assert.Equal(t, ordered.arrived, deferring.arrived)
+	assert.Assert(t, deferring.inTime > ordered.inTime+ordered.arrived/10)
 }
 
-// Bursts of five seconds come, each with nearly twice the work that five engines
-// do, and five calm seconds after each. Whoever is refused comes back once, as it
-// was told.
+// Bursts of five seconds arrive, each with nearly twice the capacity of five engines,
+// followed by five quiet seconds. Each refused caller returns once after the requested
+// delay.
 //
-// A process that takes it for a new caller refuses most of them again, in the same
-// burst: they get nothing. Known, they are served behind the others, as soon as
-// there is room, and no fewer of the others are answered in time.
-func TestCallersThatComeBackAreServed(t *testing.T) {
-	strange, known := newPlay(5, true), newPlay(5, true)
-	known.knows = true
-	for _, p := range []*play{strange, known} {
-		p.returns, p.yields = true, true
+// If returned callers are treated as new ones, most are refused again in the same burst
+// and get no answer. If they are recognized, they are served behind the others when
+// there is room, and no fewer of the other requests are answered in time.
+func TestReturnedCallersAreServed(t *testing.T) {
+	unrecognized, recognized := newSimulation(5, true), newSimulation(5, true)
+	recognized.recognizes = true
+	for _, s := range []*simulation{unrecognized, recognized} {
+		s.returns, s.defersLate = true, true
 		random := rand.New(rand.NewPCG(5, 6))
-		for ; p.now < 40*clock.Second; p.now++ {
+		for ; s.now < 40*clock.Second; s.now++ {
 			rate := 0.02
-			if p.now%10_000 < 5000 && p.now < 30*clock.Second {
+			if s.now%10_000 < 5000 && s.now < 30*clock.Second {
 				rate = 0.1
 			}
 			if random.Float64() < rate {
-				p.arrive(1 + random.IntN(4))
+				s.arrive(1 + random.IntN(4))
 			}
-			p.step()
+			s.step()
 		}
-		t.Logf("known %v: %d arrived, %d in time, %d late, %d refused twice", p.knows, p.arrived, p.inTime, p.late, p.twice)
+		t.Logf("recognized %v: %d arrived, %d in time, %d late, %d refused twice", s.recognizes, s.arrived, s.inTime, s.late, s.refusedTwice)
 	}
-	assert.Equal(t, strange.arrived, known.arrived)
-	assert.Assert(t, known.twice < strange.twice)
-	assert.Assert(t, known.inTime+known.late > strange.inTime+strange.late)
-	assert.Assert(t, known.inTime >= strange.inTime)
+	assert.Equal(t, unrecognized.arrived, recognized.arrived)
+	assert.Assert(t, recognized.refusedTwice < unrecognized.refusedTwice)
+	assert.Assert(t, recognized.inTime+recognized.late > unrecognized.inTime+unrecognized.late)
+	assert.Assert(t, recognized.inTime >= unrecognized.inTime)
 }
--- a/internal/flow/reach/merge.go
+++ b/internal/flow/reach/merge.go
@@ -1,24 +1,25 @@
 package reach
 
-// Merge returns the queue that several shards of a pool make together.
+// Merge combines the queues of several shards into one queue for the whole pool.
+// Bounds and ResultMemory are not set.
 func Merge(parts []*Queue) *Queue {
 	merged := &Queue{}
-	var filled, late, weight float64
+	var batchSizes, staleness, reporting float64
 	for _, part := range parts {
 		merged.Engines += part.Engines
 		merged.Free += part.Free
 		merged.Queued = addClasses(merged.Queued, part.Queued)
 		if part.BatchSize > 0 {
-			filled += part.BatchSize * float64(part.Engines)
-			weight += float64(part.Engines)
+			batchSizes += part.BatchSize * float64(part.Engines)
+			reporting += float64(part.Engines)
 		}
-		late += part.Staleness * float64(part.Engines)
+		staleness += part.Staleness * float64(part.Engines)
 	}
-	if weight > 0 {
-		merged.BatchSize = filled / weight
+	if reporting > 0 {
+		merged.BatchSize = batchSizes / reporting
 	}
 	if merged.Engines > 0 {
-		merged.Staleness = late / float64(merged.Engines)
+		merged.Staleness = staleness / float64(merged.Engines)
 	}
 	return merged
 }
--- a/internal/flow/reach/reach.go
+++ b/internal/flow/reach/reach.go
@@ -1,10 +1,11 @@
-// Package reach estimates when a request would have its answer, from the queues
-// of the stages that it still has to pass, and decides whether to begin or to
-// go on with it.
+// Package reach estimates when the answer to a request will be available, from the
+// queues of the remaining stages, and decides whether to admit or continue the
+// request.
 //
-// It answers loads above what the stage engines bear. Without it every request
-// waits in some queue until its deadline, engines work for requests that then
-// miss it in the next stage, and callers hear of that as late as possible.
+// It protects against more load than the stage engines can process. Without it,
+// every request waits in some queue until its deadline, engines work for requests
+// that miss the deadline in the next stage, and callers get the error as late as
+// possible.
 package reach
 
 import (
@@ -15,34 +16,35 @@
 	"github.com/jujubescale/jujubescale/internal/flow/batch"
 )
 
-// Queue is what is known of the queue of one pool.
+// Queue is the state of the queue of a pool or shard.
 type Queue struct {
 	Bounds batch.Bounds
-	// Engines that take calls, and those of them that are free.
+	// Engines is the number of engines that accept calls, Free the number of them
+	// that have no call.
 	Engines int
 	Free    int
-	// BatchSize is how many pieces a call holds when more wait than fit; memory for
-	// results may keep it below what the engine takes. 0 when it isn't known.
+	// BatchSize is the number of pieces in a call when more are queued than fit. The
+	// memory for results can keep it below the limit of the engine. 0 if unknown.
 	BatchSize float64
 	// ResultMemory is the memory for results of one engine, in bytes.
 	ResultMemory int64
-	// Staleness is how much older this is than it usually is, in milliseconds. Its owner
-	// may hang: the queue that it told of last is not there for ever.
+	// Staleness is how much older the report is than usual, in milliseconds. The owner
+	// may hang, so the reported queue is assumed to shrink meanwhile.
 	Staleness float64
-	// Queued is the pieces that wait, by rank: see Edges.
+	// Queued is the number of queued pieces by class of rank, see RankEdges.
 	Queued []int
-	// PendingArrivals is the pieces that requests under way will ask for after the stages
-	// that they are in, by rank.
+	// PendingArrivals is the number of pieces that open requests will send after their
+	// current stages, by class of rank.
 	PendingArrivals []int
 }
 
-// RankEdges are the upper ends of the classes of rank by which waiting pieces are
-// counted, in milliseconds from now; the last class has none. They are finer
-// than the distance between the objectives of two kinds of requests, so that the
-// more urgent kind doesn't count the other as ahead of it.
+// RankEdges are the upper bounds of the classes of rank by which queued pieces are
+// counted, in milliseconds from now. The last class has no upper bound. The classes
+// are narrower than the difference between the objectives of two kinds of requests,
+// so that pieces of the less urgent kind are not counted as ahead of the more urgent.
 var RankEdges = []clock.Millis{0, 150, 300, 450, 600, 800, 1000, 1200, 1400, 1600, 1800, 2000, 2200, 2500, 2800, 3200}
 
-// Class returns the class of a rank that lies so far from now.
+// Class returns the class of a rank that is ahead milliseconds from now.
 func Class(ahead clock.Millis) int {
 	for i, edge := range RankEdges {
 		if ahead < edge {
@@ -52,37 +54,38 @@
 	return len(RankEdges)
 }
 
-// ClassCounts returns so many pieces of a rank by class.
+// ClassCounts returns the counts by class for pieces that all have the same rank.
 func ClassCounts(ahead clock.Millis, pieces int) []int {
 	classes := make([]int, len(RankEdges)+1)
 	classes[Class(ahead)] = pieces
 	return classes
 }
 
-// Wait estimates how long a piece of a rank that arrives after a while waits for
-// its call; both are in milliseconds. What waits now is worked on meanwhile, and
-// what comes from requests that began earlier is ahead of it by then.
-func (q *Queue) Wait(rank clock.Millis, arrives float64) float64 {
+// Wait estimates how long a piece waits for its call, in milliseconds. The piece has
+// the given rank and arrives after arrivesIn milliseconds. By then the engines have
+// processed some of the queued pieces, and pending arrivals of requests that started
+// earlier are ahead of the piece.
+func (q *Queue) Wait(rank clock.Millis, arrivesIn float64) float64 {
 	if q.Engines == 0 {
-		return noEngines
+		return noEngineWait
 	}
-	fill := q.BatchSize
-	if fill < 1 {
-		fill = float64(q.Bounds.Pieces)
+	batchSize := q.BatchSize
+	if batchSize < 1 {
+		batchSize = float64(q.Bounds.Pieces)
 	}
-	span := q.Bounds.Duration(int(fill))
-	rate := fill * float64(q.Engines) / span
-	ahead := float64(upTo(q.Queued, rank)) + float64(upTo(q.PendingArrivals, rank)) - rate*(arrives+q.Staleness)
+	callTime := q.Bounds.Duration(int(batchSize))
+	rate := batchSize * float64(q.Engines) / callTime
+	ahead := float64(countAhead(q.Queued, rank)) + float64(countAhead(q.PendingArrivals, rank)) - rate*(arrivesIn+q.Staleness)
 	if ahead < float64(q.Free*q.Bounds.Pieces) {
 		return 0
 	}
-	// A place becomes free after a part of a call, and calls ahead each take a
-	// whole one.
-	return span/float64(q.Engines+1) + max(ahead, 0)/rate
+	// Part of a call passes until an engine is free. Each full batch ahead adds the
+	// duration of a call.
+	return callTime/float64(q.Engines+1) + max(ahead, 0)/rate
 }
 
-// upTo counts the pieces that go before those of a rank, or with them.
-func upTo(classes []int, rank clock.Millis) int {
+// countAhead returns the number of pieces in the class of rank or a lower class.
+func countAhead(classes []int, rank clock.Millis) int {
 	ahead := 0
 	for class, pieces := range classes {
 		if class <= Class(rank) {
@@ -92,52 +95,54 @@
 	return ahead
 }
 
-// noEngines is the wait of a pool that has no engine just now, in milliseconds:
-// engines that restart are back within a few seconds.
-const noEngines = 2500
+// noEngineWait is the wait in milliseconds for a pool that currently has no engine.
+// Engines that restart are available again within a few seconds.
+const noEngineWait = 2500
 
-// Request is a request on its way through its stages.
+// Request is an open request and the state of its stages.
 type Request struct {
 	Stages []table.Stage
 	Pieces []int
-	// Done tells which stages have their results or are with an engine.
+	// Done marks the stages that have their results or are being run by an engine.
 	Done []bool
-	// Slack is the time until the objective, Left that until the deadline.
+	// Slack is the time until the objective, Left the time until the deadline.
 	Slack clock.Millis
 	Left  clock.Millis
-	// Penalty puts the request behind others.
+	// Penalty is added to the rank, so that the request is served after others.
 	Penalty clock.Millis
-	// Returned says that its caller was refused before and has come back as told.
+	// Returned is set if the caller was refused earlier and has retried after the
+	// requested delay.
 	Returned bool
-	// Generation is how long the request itself takes after its stages, in milliseconds.
+	// Generation is the estimated time after the stages until the first byte of the
+	// answer, in milliseconds.
 	Generation float64
-	// Correction is how much longer than estimated it probably takes, in milliseconds.
+	// Correction is added to the estimate, see the type Correction; in milliseconds.
 	Correction float64
-	// ReservedShare is the part of its slack that it leaves free for more urgent requests.
+	// ReservedShare is the share of the slack that is left to more urgent requests.
 	ReservedShare float64
 }
 
-// Remaining estimates the time to the first byte of the answer, in
-// milliseconds: the longest way through the stages that are not done. Queues
-// returns what is known of a pool, nil when nothing is.
+// Remaining estimates the time until the first byte of the answer, in milliseconds:
+// the longest path through the stages that are not done. The function queues returns
+// the state of a pool's queue, or nil if it is unknown.
 func (r *Request) Remaining(queues func(pool string) *Queue) float64 {
 	longest := 0.0
 	ends := make([]float64, len(r.Stages))
 	for i := range ends {
-		ends[i] = unknown
+		ends[i] = notComputed
 	}
 	for i := range r.Stages {
-		longest = max(longest, r.end(i, ends, queues))
+		longest = max(longest, r.stageEnd(i, ends, queues))
 	}
 	return longest + r.Generation
 }
 
-// unknown is the end of a stage that was not looked at yet.
-const unknown = -1
+// notComputed marks a stage whose end has not been computed.
+const notComputed = -1
 
-// end returns when a stage ends.
-func (r *Request) end(stage int, ends []float64, queues func(string) *Queue) float64 {
-	if ends[stage] != unknown {
+// stageEnd returns the time until a stage ends, in milliseconds, and stores it in ends.
+func (r *Request) stageEnd(stage int, ends []float64, queues func(string) *Queue) float64 {
+	if ends[stage] != notComputed {
 		return ends[stage]
 	}
 	ends[stage] = 0
@@ -146,7 +151,7 @@
 	}
 	start := 0.0
 	for _, before := range r.Stages[stage].After {
-		start = max(start, r.end(before, ends, queues))
+		start = max(start, r.stageEnd(before, ends, queues))
 	}
 	ends[stage] = start
 	if q := queues(r.Stages[stage].Pool); q != nil {
@@ -156,8 +161,8 @@
 	return ends[stage]
 }
 
-// Bottleneck returns the pool that the request would wait for longest now, "" for
-// none.
+// Bottleneck returns the pool with the longest current wait for the request, or ""
+// if there is no wait.
 func (r *Request) Bottleneck(queues func(pool string) *Queue) string {
 	longest, binding := 0.0, ""
 	for i, stage := range r.Stages {
@@ -172,7 +177,7 @@
 	return binding
 }
 
-// rank is what the request's pieces wait behind, from now.
+// rank returns the rank of the request's pieces in a queue, in milliseconds from now.
 func (r *Request) rank() clock.Millis {
 	if r.Slack < 0 {
 		return r.Slack + r.Penalty + batch.LatePenalty
@@ -180,49 +185,49 @@
 	return r.Slack + r.Penalty
 }
 
-// Bounds of putting a stage off.
+// Limits for delaying a stage.
 const (
-	// heavyShare is the part of an engine's memory from which a stage's results
-	// are worth being made late: below it memory is not what binds.
-	heavyShare = 0.04
-	// putOffShare is how much longer than estimated a stage may take that is put
-	// off, and putOffLeast the shortest useful delay and the least that is kept
-	// in hand, about half a call: estimates of queues are off by that much.
-	putOffShare = 0.3
-	putOffLeast = 100
+	// largeShare is the share of an engine's memory for results from which a stage is
+	// delayed. Smaller results do not limit the batches of other requests.
+	largeShare = 0.04
+	// delayMargin is how much longer than estimated a delayed stage may take, as a
+	// share of the estimate. minDelay is the shortest useful delay and the smallest
+	// safety margin, in milliseconds: about half a call, which is the typical error
+	// of a queue estimate.
+	delayMargin = 0.3
+	minDelay    = 100
 )
 
-// StageDelay returns for how long a stage that could begin now is better put off, 0
-// for not at all. The results of a stage that only the request itself reads lie
-// in its engine's memory until the other stages are done, too. Large ones leave
-// no room for the calls of others meanwhile, and engines work in calls of a few
-// pieces during bursts. Begun so that it ends shortly before the others do, such a
-// stage takes memory for its own call and little more.
+// StageDelay returns how long to delay a stage that is ready to start, or 0 to start
+// it now. If no other stage reads the results of a stage, they stay in the memory of
+// its engine until all other stages are done. Large results reduce the batches of
+// other requests meanwhile, down to a few pieces per call during bursts. A delayed
+// stage ends shortly before the others and uses that memory only for a short time.
 func (r *Request) StageDelay(stage int, queues func(pool string) *Queue) clock.Millis {
 	q := queues(r.Stages[stage].Pool)
 	results := float64(r.Stages[stage].ResultBytes) * float64(r.Pieces[stage])
-	if q == nil || r.followed(stage) || results < heavyShare*float64(q.ResultMemory) {
+	if q == nil || r.hasReader(stage) || results < largeShare*float64(q.ResultMemory) {
 		return 0
 	}
 	ends := make([]float64, len(r.Stages))
 	for i := range ends {
-		ends[i] = unknown
+		ends[i] = notComputed
 	}
 	others := 0.0
 	for i := range r.Stages {
 		if i != stage {
-			others = max(others, r.end(i, ends, queues))
+			others = max(others, r.stageEnd(i, ends, queues))
 		}
 	}
-	spare := others - (1+putOffShare)*r.end(stage, ends, queues) - putOffLeast
-	if spare < putOffLeast {
+	delay := others - (1+delayMargin)*r.stageEnd(stage, ends, queues) - minDelay
+	if delay < minDelay {
 		return 0
 	}
-	return clock.Millis(spare)
+	return clock.Millis(delay)
 }
 
-// followed reports whether another stage that is to run reads a stage's results.
-func (r *Request) followed(stage int) bool {
+// hasReader reports whether another stage that has to run reads the results of stage.
+func (r *Request) hasReader(stage int) bool {
 	for i := range r.Stages {
 		if r.Pieces[i] > 0 && slices.Contains(r.Stages[i].After, stage) {
 			return true
@@ -231,40 +236,43 @@
 	return false
 }
 
-// Shares of the time left up to which requests begin late, and go on.
+// Shares of the time until the deadline.
 const (
-	// goOnShare: a request that has begun goes on as long as it probably has its
-	// answer within its deadline; what was spent on it would be lost otherwise.
-	goOnShare = 0.9
-	// lateShare: a request whose caller has come back begins behind others, though
-	// it will be late, if it probably has its answer within this part of the time
-	// left. Refused once more it would not come again; estimates of how long it
-	// waits behind others are rough.
+	// deadlineShare limits the estimate of a request that has started. As long as the
+	// answer is likely within the deadline, the request continues, because the work
+	// already done for it would be lost otherwise.
+	deadlineShare = 0.9
+	// lateShare limits the estimate of a returned request that will miss its objective.
+	// Such a request is admitted behind others, because its caller would not return
+	// after another refusal. The limit is low because estimates of the wait behind
+	// others are inaccurate.
 	lateShare = 0.3
 )
 
-// Admissible reports whether a request that would take so many milliseconds is
-// begun: if it probably meets its objective.
+// Admissible reports whether the request should start, given its remaining time in
+// milliseconds: it has to be likely to meet its objective.
 func (r *Request) Admissible(remaining float64) bool {
-	return remaining+r.Correction <= r.share() && remaining <= goOnShare*float64(r.Left)
+	return remaining+r.Correction <= r.usableSlack() && remaining <= deadlineShare*float64(r.Left)
 }
 
-// share is the part of the slack that the request may use, in milliseconds.
-func (r *Request) share() float64 { return (1 - r.ReservedShare) * float64(r.Slack) }
+// usableSlack returns the slack without the reserve for more urgent requests, in
+// milliseconds.
+func (r *Request) usableSlack() float64 { return (1 - r.ReservedShare) * float64(r.Slack) }
 
-// MeetsDeadline reports whether a request that has begun goes on.
+// MeetsDeadline reports whether a request that has started is likely to meet its
+// deadline and should continue.
 func (r *Request) MeetsDeadline(remaining float64) bool {
-	return remaining <= goOnShare*float64(r.Left)
+	return remaining <= deadlineShare*float64(r.Left)
 }
 
-// AdmissibleLate reports whether a request is begun that will probably miss its
-// objective, behind all that won't, where it would take so many milliseconds.
+// AdmissibleLate reports whether a request that is likely to miss its objective
+// should start behind all others, given its remaining time in milliseconds.
 func (r *Request) AdmissibleLate(remaining float64) bool {
 	return r.Returned && remaining <= lateShare*float64(r.Left)
 }
 
-// Excess returns by how many milliseconds a request misses what it needs to
-// begin: when the queues have become so much shorter it may come back.
+// Excess returns by how many milliseconds the estimate exceeds the limit for
+// admission. The caller can retry when the queues are shorter by that much.
 func (r *Request) Excess(remaining float64) clock.Millis {
-	return clock.Millis(max(remaining+r.Correction-r.share(), 0))
+	return clock.Millis(max(remaining+r.Correction-r.usableSlack(), 0))
 }
--- a/internal/flow/reach/reach_test.go
+++ b/internal/flow/reach/reach_test.go
@@ -13,7 +13,7 @@
 
 var bounds = batch.Bounds{Pieces: 10, CallTime: 200, PieceTime: 17}
 
-// queue returns a pool of five engines with so many pieces in the lowest class.
+// queue returns the queue of five engines with some pieces in the lowest class.
 func queue(waiting int) *reach.Queue {
 	return &reach.Queue{Bounds: bounds, Engines: 5, Queued: []int{waiting}}
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRemainingIsTheLongestWay(t *testing.T) {
+func TestRemainingIsTheLongestPath(t *testing.T) {
 	queues := func(string) *reach.Queue { return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5} }
 	r := chain()
 	assert.Equal(t, r.Remaining(queues), 100.0+2*234)
@@ -36,26 +36,26 @@
 	assert.Equal(t, chain().Remaining(func(string) *reach.Queue { return nil }), 100.0)
 }
 
-// A burst is admitted: its requests are in their first stage, and the queues of
-// the later ones are still empty. The next request would be admitted by them and
-// come far too late; what is on its way there counts.
-func TestWorkOnItsWayCounts(t *testing.T) {
+// The requests of a burst are in their first stage, so the queues of later stages are
+// still empty. Without pending arrivals in the estimate, the next request would be
+// admitted and be far too late.
+func TestWaitIncludesPendingArrivals(t *testing.T) {
 	q := &reach.Queue{Bounds: bounds, Engines: 5, Free: 5}
 	assert.Equal(t, q.Wait(800, 400), 0.0)
 	q.PendingArrivals = reach.ClassCounts(800, 300)
 	assert.Assert(t, q.Wait(900, 400) > 1500, "%f", q.Wait(900, 400))
-	assert.Equal(t, q.Wait(300, 400), 0.0, "what is wanted later doesn't go before it")
+	assert.Equal(t, q.Wait(300, 400), 0.0, "pieces with a later rank are not ahead")
 }
 
-// A long queue is worked on while a request is still in the stages before.
-func TestQueueShrinksUntilTheRequestArrives(t *testing.T) {
+// The engines process part of a long queue while the request is in earlier stages.
+func TestQueueShrinksUntilRequestArrives(t *testing.T) {
 	q := queue(100)
 	assert.Assert(t, q.Wait(800, 0)-q.Wait(800, 500) > 450)
 	assert.Assert(t, q.Wait(800, 10_000) < 100)
 }
 
-// sheet is a request with a large piece beside a chain of three stages.
-func sheet() *reach.Request {
+// largeResultsRequest returns a request with a stage of large results beside a chain of three stages.
+func largeResultsRequest() *reach.Request {
 	return &reach.Request{
 		Stages: []table.Stage{
 			{Pool: "a", ResultBytes: 1_500_000}, {Pool: "a"}, {Pool: "b", After: []int{1}}, {Pool: "b", After: []int{2}},
@@ -64,40 +64,40 @@
 	}
 }
 
-// A burst of requests with large results. Each of them lies in its engine's
-// memory until the request's other stages are done; begun at once, engines have
-// no room left for the pieces of others, and answers come late. The large stage
-// is begun so that it still ends before the others do.
-func TestLargeResultsAreNotMadeTooEarly(t *testing.T) {
+// Each request of a burst has large results that stay in the memory of their engine
+// until its other stages are done. If the large stage started at once, the engines would
+// have no room for other pieces and answers would be late. The delayed stage must still
+// end before the others.
+func TestStageWithLargeResultsIsDelayed(t *testing.T) {
 	free := func(string) *reach.Queue {
 		return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, ResultMemory: 18_000_000}
 	}
-	r := sheet()
+	r := largeResultsRequest()
 	wait := r.StageDelay(0, free)
 	assert.Assert(t, wait > 200 && wait < 500, "%d", wait)
 	large := 234.0
 	assert.Assert(t, float64(wait)+large < r.Remaining(free))
 	r.Done[1], r.Done[2] = true, true
-	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "the last other stage takes as long")
+	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "the remaining stage takes as long")
 }
 
-// What is needed first, or takes little memory, is never put off: it would only
-// make the answer later.
-func TestOnlyLargeResultsThatNothingWaitsForArePutOff(t *testing.T) {
+// A stage whose results are needed by others or are small must not be delayed, because
+// that would only delay the answer.
+func TestOnlyLargeResultsWithoutReaderAreDelayed(t *testing.T) {
 	free := func(string) *reach.Queue {
 		return &reach.Queue{Bounds: bounds, Engines: 5, Free: 5, ResultMemory: 18_000_000}
 	}
-	r := sheet()
-	assert.Equal(t, r.StageDelay(1, free), clock.Millis(0), "others read it")
+	r := largeResultsRequest()
+	assert.Equal(t, r.StageDelay(1, free), clock.Millis(0), "another stage reads the results")
 	r.Stages[0].ResultBytes = 6000
-	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "small")
-	alone := sheet()
+	assert.Equal(t, r.StageDelay(0, free), clock.Millis(0), "small results")
+	alone := largeResultsRequest()
 	alone.Pieces = []int{2, 0, 0, 0}
-	assert.Equal(t, alone.StageDelay(0, free), clock.Millis(0), "nothing runs beside it")
+	assert.Equal(t, alone.StageDelay(0, free), clock.Millis(0), "no other stage runs")
 }
 
-// More pieces arrive than the engines make. Whoever would miss its objective is
-// told so before any engine has worked for it.
+// More pieces arrive than the engines can process. A request that would miss its
+// objective is refused before an engine works for it.
 func TestOverloadIsRefusedBeforeTheFirstStage(t *testing.T) {
 	r := chain()
 	short := func(string) *reach.Queue { return queue(10) }
@@ -105,13 +105,13 @@
 	assert.Assert(t, r.Admissible(r.Remaining(short)))
 	assert.Assert(t, !r.Admissible(r.Remaining(long)))
 	assert.Assert(t, r.Excess(r.Remaining(long)) > 1000)
-	// What has begun goes on while its deadline can be met.
+	// A request that has started continues while it can meet its deadline.
 	assert.Assert(t, r.MeetsDeadline(r.Remaining(long)))
 	r.Left = 2000
 	assert.Assert(t, !r.MeetsDeadline(r.Remaining(long)))
 }
 
-func TestOnlyWhatGoesBeforeCounts(t *testing.T) {
+func TestWaitIgnoresPiecesOfLaterRank(t *testing.T) {
 	waiting := make([]int, len(reach.RankEdges)+1)
 	waiting[reach.Class(2500)] = 500
 	q := &reach.Queue{Bounds: bounds, Engines: 5, Queued: waiting}
@@ -119,16 +119,16 @@
 	assert.Assert(t, q.Wait(2600, 0) > 3000, q.Wait(2600, 0))
 }
 
-// Results fill the engines' memory, so that calls hold fewer pieces than they
-// could. The queue is then slower than its bounds say.
-func TestSmallCallsMakeALongWait(t *testing.T) {
+// Results fill the memory of the engines, so that calls hold fewer pieces than the bounds
+// allow. The queue is then slower than the bounds suggest.
+func TestSmallBatchesLengthenWait(t *testing.T) {
 	full, small := queue(100), queue(100)
 	small.BatchSize = 3
 	assert.Assert(t, small.Wait(0, 0) > 2*full.Wait(0, 0))
 	assert.Assert(t, (&reach.Queue{Bounds: bounds}).Wait(0, 0) > 1000)
 }
 
-func TestClassesOfRank(t *testing.T) {
+func TestClass(t *testing.T) {
 	for _, tt := range []struct {
 		ahead clock.Millis
 		want  int
@@ -145,10 +145,10 @@
 	}
 }
 
-// The owner of a pool hangs while its queue is long. If its last word counted on,
-// all processes would refuse every request for seconds, and as nobody asks the
-// owner any more, nobody would notice that it is gone.
-func TestQueueOfASilentOwnerIsForgotten(t *testing.T) {
+// The owner of a pool hangs while its queue is long. If its last report counted
+// indefinitely, all processes would refuse every request for seconds, and because no
+// process calls the owner any more, its failure would not be detected.
+func TestQueueOfUnreachableOwnerExpires(t *testing.T) {
 	q := queue(300)
 	now := q.Wait(0, 0)
 	q.Staleness = 500
@@ -158,9 +158,9 @@
 	assert.Assert(t, q.Wait(0, 0) < 100)
 }
 
-// Guards against an estimate for a divided pool that differs from that for the
-// same engines in one queue.
-func TestShardsTogetherAreThePool(t *testing.T) {
+// Guards against an estimate for the shards of a pool that differs from the estimate for
+// the same engines with one queue.
+func TestMergedShardsEqualOneQueue(t *testing.T) {
 	one := queue(100)
 	one.Queued = allClasses()
 	var parts []*reach.Queue
@@ -182,7 +182,7 @@
 	assert.Equal(t, reach.Merge(parts).Staleness, 200.0)
 }
 
-// allClasses is pieces in all classes of rank.
+// allClasses returns counts with pieces in every class of rank.
 func allClasses() []int {
 	classes := make([]int, len(reach.RankEdges)+1)
 	for i := range classes {
--- a/internal/flow/reach/yield.go
+++ b/internal/flow/reach/yield.go
@@ -7,64 +7,67 @@
 )
 
 const (
-	// admittedHalf is the time in which half of the requests counted are forgotten.
-	admittedHalf = 5 * clock.Second
-	// yieldShare is how much less of their objective requests of the next lower
-	// priority may fill the queues: what is more urgent then finds them shorter.
-	yieldShare = 0.1
-	// floorShare is the part of the share begun of all requests below which no
-	// route is held back for its priority: the urgent ones would take everything.
-	floorShare = 0.75
-	// fewAsked is how many requests are taken to have been begun besides those
-	// counted, so that the first few decide little.
-	fewAsked = 4
+	// admissionHalfLife is the half-life of the counts.
+	admissionHalfLife = 5 * clock.Second
+	// reservePerPriority is the share of its objective that a request leaves free per
+	// priority level, so that more urgent requests find shorter queues.
+	reservePerPriority = 0.1
+	// minRelativeShare is a route's admission share, relative to that of all requests,
+	// below which the route reserves nothing for its priority. Otherwise urgent requests
+	// would take all capacity.
+	minRelativeShare = 0.75
+	// priorAdmissions is the number of admitted requests added to the counts, so that
+	// the first few requests have little effect.
+	priorAdmissions = 4
 )
 
-// Admissions counts which part of some requests was begun in time lately. It is
-// safe for use by several goroutines.
+// Admissions tracks the share of recent requests that were admitted to meet their
+// objective. It is safe for concurrent use.
 type Admissions struct {
-	mu    sync.Mutex
-	begun float64
-	asked float64
-	at    clock.Millis
+	mu        sync.Mutex
+	admitted  float64
+	total     float64
+	updatedAt clock.Millis
 }
 
 // Count counts one request.
-func (a *Admissions) Count(begun bool, now clock.Millis) {
+func (a *Admissions) Count(admitted bool, now clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fade(now)
-	a.asked++
-	if begun {
-		a.begun++
+	a.decay(now)
+	a.total++
+	if admitted {
+		a.admitted++
 	}
 }
 
-// Share returns the part that was begun, 1 while little is known.
+// Share returns the share of recent requests that were admitted, close to 1 while
+// few requests are counted.
 func (a *Admissions) Share(now clock.Millis) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fade(now)
-	return (a.begun + fewAsked) / (a.asked + fewAsked)
+	a.decay(now)
+	return (a.admitted + priorAdmissions) / (a.total + priorAdmissions)
 }
 
-// fade forgets with time; the caller holds the lock.
-func (a *Admissions) fade(now clock.Millis) {
-	if now > a.at {
-		kept := keptAfter(now-a.at, admittedHalf)
-		a.begun *= kept
-		a.asked *= kept
-		a.at = now
+// decay reduces the counts by the time since the last update. The caller must hold
+// a.mu.
+func (a *Admissions) decay(now clock.Millis) {
+	if now > a.updatedAt {
+		factor := decayFactor(now-a.updatedAt, admissionHalfLife)
+		a.admitted *= factor
+		a.total *= factor
+		a.updatedAt = now
 	}
 }
 
-// ReservedShare returns which part of its objective a request leaves free for more urgent
-// ones, by its priority (0 is the most urgent) and the shares of its route's and
-// of all requests that were begun lately. It answers bursts in which urgent and
-// other requests together are more than engines do: without it the urgent ones
-// find queues as long as everybody, with a fixed part the others get next to
-// nothing for as long as the burst lasts.
+// ReservedShare returns the share of its objective that a request leaves free for more
+// urgent requests, from its priority (0 is the most urgent) and the recent admission
+// shares of its route and of all requests. It is meant for bursts in which urgent and
+// other requests together exceed the capacity. Without a reserve, urgent requests
+// would find the same queues as all others. With a fixed reserve, the others would get
+// almost no capacity during a burst.
 func ReservedShare(priority int, route, all float64) float64 {
-	held := (route/all - floorShare) / (1 - floorShare)
-	return yieldShare * float64(max(priority, 0)) * min(max(held, 0), 1)
+	scale := (route/all - minRelativeShare) / (1 - minRelativeShare)
+	return reservePerPriority * float64(max(priority, 0)) * min(max(scale, 0), 1)
 }
