--- a/internal/flow/stage/event.go
+++ b/internal/flow/stage/event.go
@@ -9,38 +9,40 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// HandleFrame takes in a frame of an attempt that came on a session. What does not
-// fit is dropped and counted: a frame of another session, of an attempt that
-// is over, or of none would otherwise put bytes into the wrong answer.
-func (m *Machine) HandleFrame(now clock.Millis, session uint64, try int, frame *wire.Frame) {
-	a, reason := m.fits(session, try)
+// HandleFrame processes a frame for an attempt that was received on a session.
+// Frames of another session, of an ended attempt or of an unknown attempt are dropped
+// and counted, because their bytes could end up in the wrong answer.
+func (m *Machine) HandleFrame(now clock.Millis, session uint64, index int, frame *wire.Frame) {
+	a, reason := m.openAttempt(session, index)
 	if reason != "" {
-		m.do(Action{Kind: Drop, Drop: reason})
+		m.enqueue(Action{Kind: Drop, Drop: reason})
 		return
 	}
 	switch frame.Kind {
 	case wire.KindPart:
-		m.part(now, a, frame.Part)
+		m.handlePart(now, a, frame.Part)
 	case wire.KindEnd:
-		m.end(now, a, frame.End)
+		m.handleEnd(now, a, frame.End)
 	case wire.KindRefuse:
 		refuse := frame.Refuse
 		m.wasted += refuse.EngineTime
-		m.do(Action{Kind: Ack, Attempt: a.try})
+		m.enqueue(Action{Kind: Ack, Attempt: a.index})
 		m.attemptFailed(now, a, fault.RefusalError{
 			Reason: refuse.Reason, Ran: refuse.Ran, RetryAfter: refuse.RetryAfter, Detail: refuse.Detail,
 		})
 	case wire.KindOutcome:
-		m.outcome(now, a, frame.Outcome.State)
+		m.handleOutcome(now, a, frame.Outcome.State)
 	default:
 	}
 }
 
-func (m *Machine) fits(session uint64, try int) (*attempt, DropReason) {
-	if try < 0 || try >= len(m.attempts) || m.attempts[try].state == stateNew {
+// openAttempt returns the attempt that a frame belongs to, or the reason to drop the
+// frame.
+func (m *Machine) openAttempt(session uint64, index int) (*attempt, DropReason) {
+	if index < 0 || index >= len(m.attempts) || m.attempts[index].state == stateNew {
 		return nil, DropUnknown
 	}
-	a := m.attempts[try]
+	a := m.attempts[index]
 	switch {
 	case m.over || a.state == stateOver:
 		return nil, DropLate
@@ -51,16 +53,16 @@
 	}
 }
 
-func (m *Machine) part(now clock.Millis, a *attempt, part *wire.Part) {
+func (m *Machine) handlePart(now clock.Millis, a *attempt, part *wire.Part) {
 	if reason := a.answer.AddPart(part.Offset, part.Bytes); reason != "" {
-		m.do(Action{Kind: Drop, Drop: reason})
-		m.repair(a, reason)
+		m.enqueue(Action{Kind: Drop, Drop: reason})
+		m.requestMissing(a, reason)
 		return
 	}
 	a.asked = false
 	if a.answer.Length() > MaxAnswerBytes {
-		m.do(Action{Kind: Cancel, Attempt: a.try})
-		m.attemptFailed(now, a, broken("the answer is larger than allowed"))
+		m.enqueue(Action{Kind: Cancel, Attempt: a.index})
+		m.attemptFailed(now, a, invalidAnswer("the answer is larger than allowed"))
 		return
 	}
 	if m.config.Stream {
@@ -68,73 +70,74 @@
 	}
 }
 
-// repair asks once for bytes that are missing.
-func (m *Machine) repair(a *attempt, reason DropReason) {
+// requestMissing requests missing bytes, at most once until the next part arrives.
+func (m *Machine) requestMissing(a *attempt, reason DropReason) {
 	if reason == DropGap && !a.asked {
 		m.ask(a)
 	}
 }
 
-// emit passes bytes on to the caller. The first attempt that brings any leads,
-// and the others are withdrawn. After a retry the new attempt has to repeat
-// what the caller already has; one that differs can't be joined to it.
+// emit passes new bytes to the caller. The first attempt with bytes becomes the leader
+// and the others are cancelled. After a retry, the new attempt has to repeat the bytes
+// that the caller already has. If they differ, the stage fails, because the two answers
+// cannot be joined.
 func (m *Machine) emit(a *attempt) {
 	if m.leader != a {
 		m.leader = a
-		m.hedgeAt, m.patienceAt = never, never
-		m.withdraw(a)
-	}
-	have := a.answer.Bytes()
-	known := min(len(have), len(m.shown))
-	if !bytes.Equal(have[:known], m.shown[:known]) {
-		m.do(Action{Kind: Cancel, Attempt: a.try})
-		m.unproven = true
+		m.hedgeAt, m.timeoutAt = never, never
+		m.cancelExcept(a)
+	}
+	received := a.answer.Bytes()
+	common := min(len(received), len(m.emitted))
+	if !bytes.Equal(received[:common], m.emitted[:common]) {
+		m.enqueue(Action{Kind: Cancel, Attempt: a.index})
+		m.mayHaveRun = true
 		a.state = stateOver
-		m.fail(broken("another attempt gave another answer"))
+		m.fail(invalidAnswer("another attempt gave another answer"))
 		return
 	}
-	if len(have) > len(m.shown) {
-		m.do(Action{Kind: Emit, Attempt: a.try, Bytes: have[len(m.shown):]})
-		m.shown = have
+	if len(received) > len(m.emitted) {
+		m.enqueue(Action{Kind: Emit, Attempt: a.index, Bytes: received[len(m.emitted):]})
+		m.emitted = received
 	}
 }
 
-func broken(detail string) fault.RefusalError {
+func invalidAnswer(detail string) fault.RefusalError {
 	return fault.RefusalError{Reason: fault.AnswerBroken, Ran: fault.DidRun, Detail: detail}
 }
 
-func (m *Machine) end(now clock.Millis, a *attempt, end *wire.End) {
+func (m *Machine) handleEnd(now clock.Millis, a *attempt, end *wire.End) {
 	if end.Length > a.answer.Length() {
-		// Parts are missing; the agent still has them.
-		m.do(Action{Kind: Drop, Drop: DropGap})
-		m.repair(a, DropGap)
+		// Parts are missing. The agent still has them.
+		m.enqueue(Action{Kind: Drop, Drop: DropGap})
+		m.requestMissing(a, DropGap)
 		return
 	}
 	if !a.answer.Matches(end.Length, end.Digest) {
-		m.do(Action{Kind: Drop, Drop: DropInvalid})
+		m.enqueue(Action{Kind: Drop, Drop: DropInvalid})
 		m.wasted += end.EngineTime
-		m.attemptFailed(now, a, broken("length or digest differ"))
+		m.attemptFailed(now, a, invalidAnswer("length or digest differ"))
 		return
 	}
-	if m.config.Stream && a.answer.Length() < int64(len(m.shown)) {
-		m.attemptFailed(now, a, broken("another attempt gave a shorter answer"))
+	if m.config.Stream && a.answer.Length() < int64(len(m.emitted)) {
+		m.attemptFailed(now, a, invalidAnswer("another attempt gave a shorter answer"))
 		return
 	}
 	m.finish(a, end)
 }
 
-func (m *Machine) outcome(now clock.Millis, a *attempt, state wire.State) {
+func (m *Machine) handleOutcome(now clock.Millis, a *attempt, state wire.State) {
 	if state != wire.StateUnknown {
 		return
 	}
-	// Another incarnation answers: the one that got the call is gone, and
-	// nobody knows whether it ran.
+	// The answer is from a later incarnation of the agent. The one that received
+	// the call has ended, and it is unknown whether the call ran.
 	m.attemptFailed(now, a, fault.RefusalError{
 		Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun, Detail: "the agent was restarted",
 	})
 }
 
-// Tick takes in that time has passed.
+// Tick handles deadlines and timeouts that have passed by now.
 func (m *Machine) Tick(now clock.Millis) {
 	if m.over {
 		return
@@ -143,16 +146,17 @@
 		m.fail(fault.RefusalError{Reason: fault.DeadlinePassed})
 		return
 	}
-	m.tickLost(now)
+	m.expireLost(now)
 	if !m.over && now >= m.hedgeAt {
-		m.tickHedge(now)
+		m.sendHedge(now)
 	}
-	if !m.over && now >= m.patienceAt {
-		m.tickPatience(now)
+	if !m.over && now >= m.timeoutAt {
+		m.replaceSlow(now)
 	}
 }
 
-func (m *Machine) tickLost(now clock.Millis) {
+// expireLost fails an idempotent attempt whose session was not restored in time.
+func (m *Machine) expireLost(now clock.Millis) {
 	for _, a := range m.attempts {
 		if m.config.Idempotent && a.state == stateLost && now >= a.lostAt+resumeWait {
 			m.attemptFailed(now, a, fault.RefusalError{
@@ -163,24 +167,26 @@
 	}
 }
 
-func (m *Machine) tickHedge(now clock.Millis) {
+// sendHedge sends a hedge if only one attempt was made, it has not returned any bytes
+// and the budget allows it.
+func (m *Machine) sendHedge(now clock.Millis) {
 	m.hedgeAt = never
 	if m.leader != nil || len(m.attempts) > 1 {
 		return
 	}
 	if !m.config.Hedges.Take() {
-		m.do(Action{Kind: Hedged, Outcome: hedge.NoBudget})
+		m.enqueue(Action{Kind: Hedged, Outcome: hedge.NoBudget})
 		return
 	}
 	m.hedged = true
 	m.send(now, false, true)
 }
 
-// tickPatience gives up an attempt that used up the stage's share of the time,
-// if another may start; otherwise it goes on waiting.
-func (m *Machine) tickPatience(now clock.Millis) {
-	m.patienceAt = never
-	slow := m.alive()
+// replaceSlow cancels an attempt that has used up its time if a retry is allowed.
+// Otherwise the attempt continues.
+func (m *Machine) replaceSlow(now clock.Millis) {
+	m.timeoutAt = never
+	slow := m.pendingAttempt()
 	if m.leader != nil || slow == nil {
 		return
 	}
@@ -188,7 +194,7 @@
 	if !m.decide(now, refusal).Retry {
 		return
 	}
-	m.withdraw(nil)
-	m.do(Action{Kind: Retried, Reason: fault.WontMakeIt})
+	m.cancelExcept(nil)
+	m.enqueue(Action{Kind: Retried, Reason: fault.WontMakeIt})
 	m.send(now, false, false)
 }
--- a/internal/flow/stage/random_test.go
+++ b/internal/flow/stage/random_test.go
@@ -17,125 +17,126 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// worker is one attempt at a fake agent: it either runs and answers, or
-// refuses without running; nothing in between.
-type worker struct {
+// fakeAttempt is an attempt at a simulated agent. It either runs and answers, or
+// refuses without running.
+type fakeAttempt struct {
 	session  uint64
 	ran      bool
 	refused  bool
-	replaced bool // another incarnation stands there now
+	replaced bool // the agent was restarted
 	text     string
 }
 
-// world drives one machine with random events and keeps what really happened.
-type world struct {
-	t       *rapid.T
-	m       *stage.Machine
-	now     clock.Millis
-	config  stage.Config
-	workers []*worker
-	emitted string
-	session uint64
-	sentAt  clock.Millis
+// harness drives one machine with random events and records what actually ran.
+type harness struct {
+	t        *rapid.T
+	m        *stage.Machine
+	now      clock.Millis
+	config   stage.Config
+	attempts []*fakeAttempt
+	emitted  string
+	session  uint64
+	sentAt   clock.Millis
 }
 
-func (w *world) runs() int {
+func (h *harness) runs() int {
 	runs := 0
-	for _, k := range w.workers {
-		if k.ran {
+	for _, a := range h.attempts {
+		if a.ran {
 			runs++
 		}
 	}
 	return runs
 }
 
-// drain carries out the machine's actions.
-func (w *world) drain() {
-	for action, found := w.m.Next(); found; action, found = w.m.Next() {
+// runActions performs the machine's actions.
+func (h *harness) runActions() {
+	for action, found := h.m.Next(); found; action, found = h.m.Next() {
 		switch action.Kind {
 		case stage.Send:
-			w.sentAt = w.now
-			k := &worker{text: fmt.Sprintf("answer %d of many", rapid.IntRange(0, 1).Draw(w.t, "variant"))}
-			w.workers = append(w.workers, k)
-			if rapid.IntRange(0, 9).Draw(w.t, "target") == 0 {
-				w.m.NoTarget(action.Attempt)
+			h.sentAt = h.now
+			a := &fakeAttempt{text: fmt.Sprintf("answer %d of many", rapid.IntRange(0, 1).Draw(h.t, "variant"))}
+			h.attempts = append(h.attempts, a)
+			if rapid.IntRange(0, 9).Draw(h.t, "target") == 0 {
+				h.m.NoTarget(action.Attempt)
 				continue
 			}
-			w.session++
-			k.session = w.session
-			w.m.Sent(w.now, action.Attempt, k.session)
+			h.session++
+			a.session = h.session
+			h.m.Sent(h.now, action.Attempt, a.session)
 		case stage.Emit:
-			w.emitted += string(action.Bytes)
+			h.emitted += string(action.Bytes)
 		default:
 		}
 	}
 }
 
-// event makes one random thing happen at one attempt.
-func (w *world) event() {
-	try := rapid.IntRange(0, len(w.workers)-1).Draw(w.t, "try")
-	k := w.workers[try]
+// randomEvent generates a random event for a random attempt.
+func (h *harness) randomEvent() {
+	index := rapid.IntRange(0, len(h.attempts)-1).Draw(h.t, "try")
+	a := h.attempts[index]
 	frame := func(f *wire.Frame) {
-		session := k.session
-		if rapid.IntRange(0, 9).Draw(w.t, "crossed") == 0 {
-			session = uint64(rapid.IntRange(0, 5).Draw(w.t, "other session"))
-			if session != k.session {
-				// A crossed frame carries another answer's bytes.
+		session := a.session
+		if rapid.IntRange(0, 9).Draw(h.t, "crossed") == 0 {
+			session = uint64(rapid.IntRange(0, 5).Draw(h.t, "other session"))
+			if session != a.session {
+				// A frame of another session contains the bytes of another answer.
 				f = part(0, "crossed bytes")
 			}
 		}
-		w.m.HandleFrame(w.now, session, try, f)
+		h.m.HandleFrame(h.now, session, index, f)
 	}
-	switch rapid.IntRange(0, 7).Draw(w.t, "event") {
+	switch rapid.IntRange(0, 7).Draw(h.t, "event") {
 	case 0, 1:
-		if k.session != 0 && !k.refused && !k.replaced {
-			k.ran = true
-			from := rapid.IntRange(0, len(k.text)-1).Draw(w.t, "from")
-			to := rapid.IntRange(from+1, len(k.text)).Draw(w.t, "to")
-			frame(part(int64(from), k.text[from:to]))
+		if a.session != 0 && !a.refused && !a.replaced {
+			a.ran = true
+			from := rapid.IntRange(0, len(a.text)-1).Draw(h.t, "from")
+			to := rapid.IntRange(from+1, len(a.text)).Draw(h.t, "to")
+			frame(part(int64(from), a.text[from:to]))
 		}
 	case 2:
-		if k.ran && !k.replaced {
-			frame(part(0, k.text))
+		if a.ran && !a.replaced {
+			frame(part(0, a.text))
 			frame(&wire.Frame{Kind: wire.KindEnd, End: &wire.End{
-				Length: int64(len(k.text)), Digest: xxhash.Sum64String(k.text), EngineTime: 1,
+				Length: int64(len(a.text)), Digest: xxhash.Sum64String(a.text), EngineTime: 1,
 			}})
 		}
 	case 3:
-		if k.session != 0 && !k.ran && !k.replaced {
-			k.refused = true
+		if a.session != 0 && !a.ran && !a.replaced {
+			a.refused = true
 			reason := rapid.SampledFrom([]fault.Reason{fault.QueueFull, fault.Leaving, fault.ColdStart, fault.DeadlinePassed})
-			frame(refuse(reason.Draw(w.t, "reason"), fault.NotRun))
+			frame(refuse(reason.Draw(h.t, "reason"), fault.NotRun))
 		}
 	case 4:
-		if k.ran && !k.replaced {
+		if a.ran && !a.replaced {
 			frame(refuse(fault.EndpointFailed, fault.MayHaveRun))
 		}
 	case 5:
-		if k.session != 0 {
-			w.m.SessionLost(w.now, try)
+		if a.session != 0 {
+			h.m.SessionLost(h.now, index)
 		}
 	case 6:
-		if k.session != 0 {
-			w.session++
-			k.session = w.session
-			k.replaced = k.replaced || rapid.Bool().Draw(w.t, "replaced")
-			w.m.SessionLost(w.now, try)
-			w.m.SessionRestored(try, k.session)
-			if k.replaced {
+		if a.session != 0 {
+			h.session++
+			a.session = h.session
+			a.replaced = a.replaced || rapid.Bool().Draw(h.t, "replaced")
+			h.m.SessionLost(h.now, index)
+			h.m.SessionRestored(index, a.session)
+			if a.replaced {
 				frame(outcome(wire.StateUnknown))
 			}
 		}
 	default:
-		w.now += clock.Millis(rapid.IntRange(1, 300).Draw(w.t, "pass"))
-		w.m.Tick(w.now)
+		h.now += clock.Millis(rapid.IntRange(1, 300).Draw(h.t, "pass"))
+		h.m.Tick(h.now)
 	}
 }
 
-// Whatever is lost, doubled, late, crossed or restarted: an answer is whole
-// and from one attempt, work that must not repeat is sent at most once unless
-// it provably did not run, "not run" is true, and nothing starts after the end.
-func TestPromisesUnderRandomEvents(t *testing.T) {
+// Frames are lost, duplicated, delayed and sent on the wrong session, and agents are
+// restarted. An answer must be complete and from one attempt. A stage that is not
+// idempotent must run at most once. "Not run" must be true, and no attempt may start
+// after the deadline.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := stage.Config{
 			Idempotent: rapid.Bool().Draw(t, "idempotent"), Stream: rapid.Bool().Draw(t, "stream"), Deadline: 1000,
@@ -146,34 +147,34 @@
 		for range 30 {
 			c.Hedges.Earn()
 		}
-		w := &world{t: t, m: stage.New(c), config: c}
-		w.m.Begin(0)
-		w.drain()
+		h := &harness{t: t, m: stage.New(c), config: c}
+		h.m.Begin(0)
+		h.runActions()
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			w.event()
-			w.drain()
-			w.check()
+			h.randomEvent()
+			h.runActions()
+			h.checkInvariants()
 		}
 	})
 }
 
-func (w *world) check() {
-	if !w.config.Idempotent {
-		assert.Assert(w.t, w.runs() <= 1)
+func (h *harness) checkInvariants() {
+	if !h.config.Idempotent {
+		assert.Assert(h.t, h.runs() <= 1)
 	}
-	assert.Assert(w.t, len(w.workers) <= retry.MaxAttempts+1)
-	assert.Assert(w.t, w.sentAt < w.config.Deadline)
-	if !w.m.Over() {
-		assert.Assert(w.t, w.m.WakeAt() <= w.config.Deadline)
+	assert.Assert(h.t, len(h.attempts) <= retry.MaxAttempts+1)
+	assert.Assert(h.t, h.sentAt < h.config.Deadline)
+	if !h.m.Over() {
+		assert.Assert(h.t, h.m.WakeAt() <= h.config.Deadline)
 		return
 	}
-	if !w.m.Answered() {
-		assert.Assert(w.t, w.m.Refusal().Ran != fault.NotRun || w.runs() == 0)
+	if !h.m.Answered() {
+		assert.Assert(h.t, h.m.Refusal().Ran != fault.NotRun || h.runs() == 0)
 		return
 	}
-	text := w.workers[w.m.Winner()].text
-	assert.Equal(w.t, string(w.m.Bytes()), text)
-	if w.config.Stream {
-		assert.Equal(w.t, w.emitted, text)
+	text := h.attempts[h.m.Winner()].text
+	assert.Equal(h.t, string(h.m.Bytes()), text)
+	if h.config.Stream {
+		assert.Equal(h.t, h.emitted, text)
 	}
 }
--- a/internal/flow/stage/stage.go
+++ b/internal/flow/stage/stage.go
@@ -1,7 +1,7 @@
-// Package stage is the state machine of one stage of one request: events in,
-// actions out. It holds the attempts, gathers their answers and decides on
-// retries, hedges, resumption after silence, and the end. It opens no sockets
-// and reads no clock, so that tests can drive every order of events.
+// Package stage is the state machine of one stage of one request. It receives events
+// and returns actions. It manages the attempts, collects their answers and decides on
+// retries, hedges, resumption after a lost session, and the result. It opens no sockets
+// and reads no clock, so that tests can generate any order of events.
 package stage
 
 import (
@@ -15,44 +15,44 @@
 )
 
 const (
-	// MaxAnswerBytes bounds the answer of one stage in bytes.
+	// MaxAnswerBytes limits the answer of one stage.
 	MaxAnswerBytes = 16 << 20
-	// resumeWait is how long an idempotent attempt waits for a new session
-	// after its session was lost, before it is tried elsewhere. One that must
-	// not run twice waits until the deadline.
+	// resumeWait is how long an idempotent attempt waits for a new session after its
+	// session was lost, before it is retried elsewhere. An attempt that must not run
+	// twice waits until the deadline.
 	resumeWait clock.Millis = 150
 	never                   = clock.Millis(1) << 60
 )
 
-// Kind is what the caller of the machine shall do.
+// Kind is the kind of an action.
 type Kind uint8
 
-// Things to do.
+// Kinds of actions.
 const (
-	// Send a new attempt Try elsewhere, away from its zone if AvoidZone. Answer
-	// with Sent or NoTarget.
+	// Send starts the new attempt Attempt, outside the zone of the previous one if
+	// AvoidZone is set. The result is reported with Sent or NoTarget.
 	Send Kind = iota
-	// Ask for the outcome of Try and its bytes from Offset on.
+	// Ask requests the outcome of Attempt and its bytes from Offset on.
 	Ask
-	// Cancel Try.
+	// Cancel cancels Attempt.
 	Cancel
-	// Ack tells the agent that the end of Try has arrived.
+	// Ack confirms to the agent that the end of Attempt was received.
 	Ack
-	// Emit Bytes to the caller.
+	// Emit sends Bytes to the caller.
 	Emit
-	// Drop counts a dropped frame by its Reason.
+	// Drop counts a dropped frame by the reason in Drop.
 	Drop
-	// Hedged counts how a hedge ended.
+	// Hedged counts the outcome of a hedge.
 	Hedged
-	// Retried counts a retry by the refusal's reason.
+	// Retried counts a retry by the reason of the refusal.
 	Retried
-	// Finish: the stage is answered; see Machine.Bytes and Machine.End.
+	// Finish reports that the stage is answered, see Machine.Bytes and Machine.End.
 	Finish
-	// Fail: the stage is not answered; see Machine.Refusal.
+	// Fail reports that the stage has failed, see Machine.Refusal.
 	Fail
 )
 
-// Action is one thing to do.
+// Action is one action that the caller of the machine has to perform.
 type Action struct {
 	Kind      Kind
 	Attempt   int
@@ -65,19 +65,19 @@
 	Outcome   hedge.Outcome
 }
 
-// Config is what a stage is run with.
+// Config is the configuration of a stage.
 type Config struct {
-	// Idempotent tells that the stage may run twice.
+	// Idempotent is set if the stage may run twice.
 	Idempotent bool
-	// Stream tells that bytes go to the caller as they come.
+	// Stream is set if bytes are sent to the caller as they arrive.
 	Stream bool
-	// Retries and Hedges are the quotas of the pool.
+	// Retries and Hedges are the retry and hedge budgets of the pool.
 	Retries *quota.Quota
 	Hedges  *quota.Quota
-	// Plan and Times of this stage.
+	// Plan and Times are the time limits and the usual durations of this stage.
 	Plan  budget.Plan
 	Times budget.Times
-	// Deadline of the request.
+	// Deadline is the deadline of the request.
 	Deadline clock.Millis
 }
 
@@ -91,7 +91,7 @@
 )
 
 type attempt struct {
-	try     int
+	index   int
 	hedge   bool
 	state   attemptState
 	session uint64
@@ -102,35 +102,35 @@
 	end     *wire.End
 }
 
-// Machine runs one stage. Not safe for use by several goroutines.
+// Machine runs one stage. It is not safe for concurrent use.
 type Machine struct {
 	config   Config
 	attempts []*attempt
 	actions  []Action
 	next     int
 
-	hedgeAt    clock.Millis
-	patienceAt clock.Millis
-	hedged     bool
+	hedgeAt   clock.Millis
+	timeoutAt clock.Millis
+	hedged    bool
 
-	leader *attempt // whose bytes go to the caller
-	shown  []byte   // bytes that the caller has
+	leader  *attempt // attempt whose bytes are sent to the caller
+	emitted []byte   // bytes that were sent to the caller
 
-	over     bool
-	winner   *attempt
-	last     fault.RefusalError // of the attempt that failed last
-	refusal  fault.RefusalError // of the stage
-	unproven bool               // an attempt may have run without an answer
-	ran      bool               // an attempt did run
-	wasted   clock.Millis
+	over        bool
+	winner      *attempt
+	lastRefusal fault.RefusalError // of the last failed attempt
+	refusal     fault.RefusalError // of the stage
+	mayHaveRun  bool               // an unanswered attempt may have run
+	didRun      bool               // an unanswered attempt has run
+	wasted      clock.Millis
 }
 
-// New returns a machine. Call Begin next.
+// New returns a machine. Begin has to be called next.
 func New(config Config) *Machine {
-	return &Machine{config: config, hedgeAt: never, patienceAt: never}
+	return &Machine{config: config, hedgeAt: never, timeoutAt: never}
 }
 
-// Begin asks for the first attempt.
+// Begin starts the first attempt.
 func (m *Machine) Begin(now clock.Millis) {
 	if m.config.Plan.TooLate {
 		m.fail(fault.RefusalError{Reason: fault.WontMakeIt, Ran: fault.NotRun})
@@ -146,16 +146,16 @@
 	m.send(now, false, false)
 }
 
-// send adds an attempt and asks for it to be sent.
+// send adds an attempt and the action that sends it.
 func (m *Machine) send(now clock.Millis, avoidZone, asHedge bool) {
-	a := &attempt{try: len(m.attempts), hedge: asHedge, sentAt: now}
+	a := &attempt{index: len(m.attempts), hedge: asHedge, sentAt: now}
 	m.attempts = append(m.attempts, a)
-	m.do(Action{Kind: Send, Attempt: a.try, AvoidZone: avoidZone, Hedge: asHedge})
+	m.enqueue(Action{Kind: Send, Attempt: a.index, AvoidZone: avoidZone, Hedge: asHedge})
 }
 
-func (m *Machine) do(action Action) { m.actions = append(m.actions, action) }
+func (m *Machine) enqueue(action Action) { m.actions = append(m.actions, action) }
 
-// Next returns the next action, in order.
+// Next returns the next action, and false if there is none.
 func (m *Machine) Next() (Action, bool) {
 	if m.next == len(m.actions) {
 		m.actions, m.next = m.actions[:0], 0
@@ -165,32 +165,32 @@
 	return m.actions[m.next-1], true
 }
 
-// Over reports whether the stage is answered or refused.
+// Over reports whether the stage is answered or has failed.
 func (m *Machine) Over() bool { return m.over }
 
 // Answered reports whether the stage is answered.
 func (m *Machine) Answered() bool { return m.winner != nil }
 
-// Bytes returns the whole answer after Finish.
+// Bytes returns the complete answer. It may be called after Finish.
 func (m *Machine) Bytes() []byte { return m.winner.answer.Bytes() }
 
-// End returns the end mark after Finish.
+// End returns the end frame of the answer. It may be called after Finish.
 func (m *Machine) End() *wire.End { return m.winner.end }
 
-// Winner returns the try that answered after Finish.
-func (m *Machine) Winner() int { return m.winner.try }
+// Winner returns the index of the attempt that answered. It may be called after
+// Finish.
+func (m *Machine) Winner() int { return m.winner.index }
 
-// Refusal returns why the stage was not answered after Fail. Its Ran speaks of
-// all attempts of the stage.
+// Refusal returns the reason of the failure after Fail. Its field Ran covers all
+// attempts of the stage.
 func (m *Machine) Refusal() fault.RefusalError { return m.refusal }
 
-// Wasted returns the engine time of attempts that gave no answer, as far as
-// their agents told.
+// Wasted returns the reported engine time of attempts without an answer.
 func (m *Machine) Wasted() clock.Millis { return m.wasted }
 
-// WakeAt returns when Tick is due next.
+// WakeAt returns the time of the next call of Tick.
 func (m *Machine) WakeAt() clock.Millis {
-	at := min(m.config.Deadline, m.hedgeAt, m.patienceAt)
+	at := min(m.config.Deadline, m.hedgeAt, m.timeoutAt)
 	for _, a := range m.attempts {
 		if a.state == stateLost && m.config.Idempotent {
 			at = min(at, a.lostAt+resumeWait)
@@ -199,52 +199,52 @@
 	return at
 }
 
-// Sent tells that an attempt went out on a session.
-func (m *Machine) Sent(now clock.Millis, try int, session uint64) {
-	a := m.attempts[try]
+// Sent reports that an attempt was sent on a session.
+func (m *Machine) Sent(now clock.Millis, index int, session uint64) {
+	a := m.attempts[index]
 	a.state, a.session, a.sentAt = stateLive, session, now
 	plan := m.config.Plan
 	if m.config.Idempotent && plan.AttemptTimeout < plan.Limit && m.leader == nil {
-		m.patienceAt = now + plan.AttemptTimeout
+		m.timeoutAt = now + plan.AttemptTimeout
 	}
 }
 
-// NoTarget tells that no endpoint is left for an attempt.
-func (m *Machine) NoTarget(try int) {
-	a := m.attempts[try]
+// NoTarget reports that there is no endpoint left for an attempt.
+func (m *Machine) NoTarget(index int) {
+	a := m.attempts[index]
 	a.state = stateOver
 	if a.hedge {
-		m.do(Action{Kind: Hedged, Outcome: hedge.NoEndpoint})
+		m.enqueue(Action{Kind: Hedged, Outcome: hedge.NoEndpoint})
 		return
 	}
-	if m.alive() == nil && !m.over {
-		if m.last.Reason == "" {
-			m.last.Reason = fault.NoEndpoint
+	if m.pendingAttempt() == nil && !m.over {
+		if m.lastRefusal.Reason == "" {
+			m.lastRefusal.Reason = fault.NoEndpoint
 		}
-		m.fail(m.last)
+		m.fail(m.lastRefusal)
 	}
 }
 
-// SessionLost tells that the session of an attempt has ended or gone silent.
-func (m *Machine) SessionLost(now clock.Millis, try int) {
-	if a := m.attempts[try]; a.state == stateLive {
+// SessionLost reports that the session of an attempt has ended or timed out.
+func (m *Machine) SessionLost(now clock.Millis, index int) {
+	if a := m.attempts[index]; a.state == stateLive {
 		a.state, a.lostAt = stateLost, now
 	}
 }
 
-// AgentGone tells that the process that held an attempt is gone for good, so that
-// nobody can tell any more what became of it.
-func (m *Machine) AgentGone(now clock.Millis, try int) {
-	if a := m.attempts[try]; a.state == stateLost && !m.over {
+// AgentGone reports that the process that ran an attempt no longer exists, so that
+// the outcome of the attempt cannot be found out.
+func (m *Machine) AgentGone(now clock.Millis, index int) {
+	if a := m.attempts[index]; a.state == stateLost && !m.over {
 		m.attemptFailed(now, a, fault.RefusalError{
 			Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun, Detail: "the agent is gone",
 		})
 	}
 }
 
-// SessionRestored tells that there is a new session to the endpoint of an attempt.
-func (m *Machine) SessionRestored(try int, session uint64) {
-	a := m.attempts[try]
+// SessionRestored reports a new session to the endpoint of an attempt.
+func (m *Machine) SessionRestored(index int, session uint64) {
+	a := m.attempts[index]
 	if a.state != stateLost || m.over {
 		return
 	}
@@ -254,18 +254,18 @@
 
 func (m *Machine) ask(a *attempt) {
 	a.asked = true
-	m.do(Action{Kind: Ask, Attempt: a.try, Offset: a.answer.Length()})
+	m.enqueue(Action{Kind: Ask, Attempt: a.index, Offset: a.answer.Length()})
 }
 
-// Abort tells that the caller went away or the request was withdrawn.
+// Abort ends the stage because the caller disconnected or the request was cancelled.
 func (m *Machine) Abort(reason fault.Reason) {
 	if !m.over {
 		m.fail(fault.RefusalError{Reason: reason})
 	}
 }
 
-// alive returns an attempt that may still answer.
-func (m *Machine) alive() *attempt {
+// pendingAttempt returns an attempt that may still answer, or nil.
+func (m *Machine) pendingAttempt() *attempt {
 	for _, a := range m.attempts {
 		if a.state != stateOver {
 			return a
@@ -274,15 +274,15 @@
 	return nil
 }
 
-// withdraw cancels every attempt but one.
-func (m *Machine) withdraw(but *attempt) {
+// cancelExcept cancels all open attempts except one.
+func (m *Machine) cancelExcept(except *attempt) {
 	for _, a := range m.attempts {
-		if a == but || a.state == stateOver {
+		if a == except || a.state == stateOver {
 			continue
 		}
 		if a.state != stateNew {
-			m.unproven = true
-			m.do(Action{Kind: Cancel, Attempt: a.try})
+			m.mayHaveRun = true
+			m.enqueue(Action{Kind: Cancel, Attempt: a.index})
 		}
 		a.state = stateOver
 	}
@@ -291,48 +291,49 @@
 func (m *Machine) finish(a *attempt, end *wire.End) {
 	a.end = end
 	m.over, m.winner = true, a
-	m.withdraw(a)
+	m.cancelExcept(a)
 	a.state = stateOver
-	m.do(Action{Kind: Ack, Attempt: a.try})
+	m.enqueue(Action{Kind: Ack, Attempt: a.index})
 	if m.hedged {
 		outcome := hedge.Lost
 		if a.hedge {
 			outcome = hedge.Won
 		}
-		m.do(Action{Kind: Hedged, Outcome: outcome})
+		m.enqueue(Action{Kind: Hedged, Outcome: outcome})
 	}
 	m.config.Retries.Earn()
-	m.do(Action{Kind: Finish})
+	m.enqueue(Action{Kind: Finish})
 }
 
-// fail ends the stage. "Not run" is said only if every attempt proved it.
+// fail ends the stage. The refusal reports "not run" only if no attempt can have run.
 func (m *Machine) fail(refusal fault.RefusalError) {
 	m.over = true
-	m.withdraw(nil)
+	m.cancelExcept(nil)
 	switch {
-	case m.unproven:
+	case m.mayHaveRun:
 		refusal.Ran = fault.MayHaveRun
-	case m.ran:
+	case m.didRun:
 		refusal.Ran = fault.DidRun
 	default:
 		refusal.Ran = fault.NotRun
 	}
 	m.refusal = refusal
-	m.do(Action{Kind: Fail})
+	m.enqueue(Action{Kind: Fail})
 }
 
-// attemptFailed takes in that one attempt gives no answer, and decides.
+// attemptFailed records the failure of an attempt. If no other attempt is pending, it
+// retries or ends the stage.
 func (m *Machine) attemptFailed(now clock.Millis, a *attempt, refusal fault.RefusalError) {
 	a.state = stateOver
 	switch refusal.Ran {
 	case fault.MayHaveRun:
-		m.unproven = true
+		m.mayHaveRun = true
 	case fault.DidRun:
-		m.ran = true
+		m.didRun = true
 	default:
 	}
-	m.last = refusal
-	if m.alive() != nil {
+	m.lastRefusal = refusal
+	if m.pendingAttempt() != nil {
 		return
 	}
 	decision := m.decide(now, refusal)
@@ -341,7 +342,7 @@
 		m.fail(refusal)
 		return
 	}
-	m.do(Action{Kind: Retried, Reason: refusal.Reason})
+	m.enqueue(Action{Kind: Retried, Reason: refusal.Reason})
 	m.send(now, decision.AvoidZone, false)
 }
 
--- a/internal/flow/stage/stage_test.go
+++ b/internal/flow/stage/stage_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func begun(t *testing.T, c stage.Config) *stage.Machine {
+func startedMachine(t *testing.T, c stage.Config) *stage.Machine {
 	t.Helper()
 	m := stage.New(c)
 	m.Begin(0)
@@ -32,12 +32,12 @@
 	return m
 }
 
-// expect returns the next action, which must be of a kind.
-func expect(t *testing.T, m *stage.Machine, do stage.Kind) stage.Action {
+// expect returns the next action and fails the test if its kind differs.
+func expect(t *testing.T, m *stage.Machine, kind stage.Kind) stage.Action {
 	t.Helper()
 	action, found := m.Next()
-	assert.Assert(t, found, "no action, want %d", do)
-	assert.Equal(t, action.Kind, do)
+	assert.Assert(t, found, "no action, want %d", kind)
+	assert.Equal(t, action.Kind, kind)
 	return action
 }
 
@@ -57,12 +57,12 @@
 	return &wire.Frame{Kind: wire.KindOutcome, Outcome: &wire.Outcome{State: state}}
 }
 
-// A part comes twice, as it does when a session is resumed while parts were
-// still on their way. The caller must not see its text twice.
-func TestDoubledPartsAreHarmless(t *testing.T) {
+// A part arrives twice, as it does when a session is resumed while parts are in
+// transit. The caller must not get the text twice.
+func TestDuplicatePartsAreIgnored(t *testing.T) {
 	c := config()
 	c.Stream = true
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.HandleFrame(1, session, 0, part(0, "abc"))
 	assert.Equal(t, string(expect(t, m, stage.Emit).Bytes), "abc")
 	m.HandleFrame(1, session, 0, part(0, "abc"))
@@ -75,10 +75,10 @@
 	assert.Equal(t, string(m.Bytes()), "abcde")
 }
 
-// A part is lost; its end mark comes. Without the length the caller would get
-// an answer with a hole.
-func TestMissingPartIsAskedForOnce(t *testing.T) {
-	m := begun(t, config())
+// A part is lost and the end frame arrives. Without the check of the length, the
+// caller would get an incomplete answer.
+func TestMissingPartIsRequestedOnce(t *testing.T) {
+	m := startedMachine(t, config())
 	m.HandleFrame(1, session, 0, part(0, "ab"))
 	m.HandleFrame(1, session, 0, part(4, "ef"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropGap)
@@ -92,7 +92,7 @@
 }
 
 func TestFrameOfAnotherSessionOrAttemptIsDropped(t *testing.T) {
-	m := begun(t, config())
+	m := startedMachine(t, config())
 	m.HandleFrame(1, session+1, 0, part(0, "wrong"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropSession)
 	m.HandleFrame(1, session, 3, part(0, "wrong"))
@@ -104,10 +104,10 @@
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropLate)
 }
 
-// The bytes were damaged or belong to another answer: the digest differs. The
-// stage is tried elsewhere, and the caller never sees the broken answer.
-func TestWrongDigestIsNoAnswer(t *testing.T) {
-	m := begun(t, config())
+// The bytes were corrupted or belong to another answer, so the digest differs. The
+// stage is retried elsewhere, and the invalid answer is not returned.
+func TestWrongDigestIsRetried(t *testing.T) {
+	m := startedMachine(t, config())
 	m.HandleFrame(1, session, 0, part(0, "abX"))
 	m.HandleFrame(1, session, 0, end("abc"))
 	assert.Equal(t, expect(t, m, stage.Drop).Drop, stage.DropInvalid)
@@ -115,12 +115,12 @@
 	expect(t, m, stage.Send)
 }
 
-// A connection goes silent for good in mid-stream while new ones work. The
-// answer goes on where it stopped, without running again.
-func TestResumesByOffsetOnNewSession(t *testing.T) {
+// A connection times out in mid-stream while new connections work. The answer resumes
+// at its offset without a second run.
+func TestResumeAtOffsetOnNewSession(t *testing.T) {
 	c := config()
 	c.Idempotent = false
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.HandleFrame(1, session, 0, part(0, "abc"))
 	m.SessionLost(2, 0)
 	m.Tick(900)
@@ -133,12 +133,12 @@
 	expect(t, m, stage.Finish)
 }
 
-// The agent died with a booking in its hands. Whether it ran is not known, so
-// it is neither repeated nor called not run.
-func TestBookingLostWithItsAgent(t *testing.T) {
+// The agent is restarted while it runs a non-idempotent call. Whether the call ran is
+// unknown, so it must be neither retried nor reported as not run.
+func TestNonIdempotentAttemptLostWithItsAgent(t *testing.T) {
 	c := config()
 	c.Idempotent = false
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.SessionLost(2, 0)
 	m.SessionRestored(0, session+1)
 	expect(t, m, stage.Ask)
@@ -148,14 +148,14 @@
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
 }
 
-// The host that runs a booking dies and nothing listens there any more. Waiting
-// until the deadline would bring nothing but a later refusal.
-func TestBookingWhoseAgentIsGoneIsRefusedAtOnce(t *testing.T) {
+// The host of a non-idempotent call fails and no process listens at its address. The
+// call must fail at once and not only at its deadline.
+func TestNonIdempotentAttemptOfGoneAgentFailsAtOnce(t *testing.T) {
 	c := config()
 	c.Idempotent = false
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.AgentGone(1, 0)
-	assert.Assert(t, !m.Over(), "the session is still there")
+	assert.Assert(t, !m.Over(), "the session was not lost")
 	m.SessionLost(2, 0)
 	m.AgentGone(3, 0)
 	expect(t, m, stage.Fail)
@@ -163,15 +163,15 @@
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
 }
 
-// One endpoint is a straggler: the hedge answers first, and the straggler is
-// stopped so that its engine time is not wasted further.
+// One endpoint is slow and the hedge answers first. The slow attempt is cancelled so
+// that it wastes no more engine time.
 func TestHedgeWinsAndLoserIsCancelled(t *testing.T) {
 	c := config()
 	c.Times = budget.Times{Typical: 20, Slow: 80}
 	for range 25 {
 		c.Hedges.Earn()
 	}
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	assert.Equal(t, int(m.WakeAt()), 80)
 	m.Tick(80)
 	assert.Assert(t, expect(t, m, stage.Send).Hedge)
@@ -184,12 +184,12 @@
 	expect(t, m, stage.Finish)
 }
 
-// The first attempt brought half a stream and broke; the second one generates
-// another text. Joined, they would be nonsense that looks whole.
-func TestDifferentSecondStreamIsNotJoined(t *testing.T) {
+// The first attempt fails after half of a stream, and the second one generates a
+// different text. Joined, they would be an invalid answer that looks complete.
+func TestDifferentRetriedStreamIsRejected(t *testing.T) {
 	c := config()
 	c.Stream = true
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.HandleFrame(1, session, 0, part(0, "abc"))
 	expect(t, m, stage.Emit)
 	m.HandleFrame(2, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
@@ -203,8 +203,8 @@
 	assert.Equal(t, m.Refusal().Reason, fault.AnswerBroken)
 }
 
-func TestNotRunOnlyIfEveryAttemptProvedIt(t *testing.T) {
-	m := begun(t, config())
+func TestNotRunRequiresProofFromEveryAttempt(t *testing.T) {
+	m := startedMachine(t, config())
 	m.HandleFrame(1, session, 0, refuse(fault.EndpointFailed, fault.MayHaveRun))
 	expect(t, m, stage.Ack)
 	expect(t, m, stage.Retried)
@@ -216,10 +216,10 @@
 	assert.Equal(t, m.Refusal().Ran, fault.MayHaveRun)
 }
 
-func TestPatienceGivesUpStragglerOnlyWithBudget(t *testing.T) {
+func TestSlowAttemptIsReplaced(t *testing.T) {
 	c := config()
 	c.Plan.AttemptTimeout = 100
-	m := begun(t, c)
+	m := startedMachine(t, c)
 	m.Tick(100)
 	assert.Equal(t, expect(t, m, stage.Cancel).Attempt, 0)
 	expect(t, m, stage.Retried)
