--- a/internal/flow/recall/recall.go
+++ b/internal/flow/recall/recall.go
@@ -1,10 +1,10 @@
-// Package recall remembers callers that were refused and told when to come
-// back, so that one that does is known whichever process it reaches.
+// Package recall stores the callers that were refused with a time to retry, so that a
+// caller that returns is recognized by every process.
 //
-// It answers bursts. To a process that doesn't know it, a caller that comes back
-// looks like a new one: its objective seems to lie further ahead than it does, it
-// queues behind others that have waited for less time, and it is refused once
-// more, although it has done as it was told.
+// It is meant for bursts. A process that does not recognize a returned caller treats it
+// as a new one: its objective is assumed to be later than it is, it is queued behind
+// callers that have waited for less time, and it is refused again although it retried
+// at the requested time.
 package recall
 
 import (
@@ -14,96 +14,98 @@
 )
 
 const (
-	// keep is how long a refusal is remembered: callers have left by then.
-	keep = 20 * clock.Second
-	// early is how much sooner than told a caller may come: times to come back
-	// are rounded on the way. One that comes earlier doesn't wait its turn and is
-	// treated as new.
-	early = 20 * clock.Millis(1)
-	// most bounds what is remembered, and what waits to be told to peers.
-	most     = 8192
-	mostTold = 1024
-	// forgetEvery is the shortest pause between two looks for what is too old: in
-	// a flood of refusals each would go through all of them.
-	forgetEvery = clock.Second
+	// lifetime is how long a refusal is stored after the first attempt. Callers have given
+	// up by then.
+	lifetime = 20 * clock.Second
+	// tolerance is how much earlier than requested a caller may return, because the
+	// times to retry are rounded. A caller that returns earlier than that is treated
+	// as new.
+	tolerance = 20 * clock.Millis(1)
+	// maxRefusals limits the stored refusals, maxUnsent those to be sent to peers.
+	maxRefusals = 8192
+	maxUnsent   = 1024
+	// pruneInterval is the shortest time between two scans for expired refusals. Without
+	// it, each refusal of a flood would cause a scan.
+	pruneInterval = clock.Second
 )
 
-// Refusal is one caller that was told to come back.
+// Refusal is one caller that was refused with a time to retry.
 type Refusal struct {
-	// Key names the caller's request; all its attempts have the same.
+	// Key identifies the caller's request and is the same for all its attempts.
 	Key uint64
-	// FirstArrival is when its first attempt arrived, Return when it may come back.
+	// FirstArrival is when the first attempt arrived, RetryAt when the caller may retry.
 	FirstArrival clock.Millis
 	RetryAt      clock.Millis
 }
 
-// Refusals holds refusals. It is safe for use by several goroutines.
+// Refusals is a set of refusals. It is safe for concurrent use.
 type Refusals struct {
 	mu     sync.Mutex
 	byKey  map[uint64]Refusal
-	untold []Refusal
-	// forgot is when old refusals were dropped last.
-	forgot clock.Millis
+	unsent []Refusal
+	// prunedAt is the time of the last scan for expired refusals.
+	prunedAt clock.Millis
 }
 
-// New returns an empty book.
+// New returns an empty set.
 func New() *Refusals { return &Refusals{byKey: make(map[uint64]Refusal)} }
 
-// Add remembers a refusal of this process.
-func (b *Refusals) Add(refusal Refusal, now clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.put(refusal, now)
-	if len(b.untold) < mostTold {
-		b.untold = append(b.untold, refusal)
+// Add stores a refusal of this process.
+func (r *Refusals) Add(refusal Refusal, now clock.Millis) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.put(refusal, now)
+	if len(r.unsent) < maxUnsent {
+		r.unsent = append(r.unsent, refusal)
 	}
 }
 
-// AddRemote remembers refusals of other processes.
-func (b *Refusals) AddRemote(refusals []Refusal, now clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// AddRemote stores refusals of other processes.
+func (r *Refusals) AddRemote(refusals []Refusal, now clock.Millis) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, refusal := range refusals {
-		b.put(refusal, now)
+		r.put(refusal, now)
 	}
 }
 
-// put enters a refusal; the caller holds the lock.
-func (b *Refusals) put(refusal Refusal, now clock.Millis) {
-	if len(b.byKey) >= most && now-b.forgot >= forgetEvery {
-		b.forget(now)
+// put stores a refusal if there is room. The caller must hold r.mu.
+func (r *Refusals) put(refusal Refusal, now clock.Millis) {
+	if len(r.byKey) >= maxRefusals && now-r.prunedAt >= pruneInterval {
+		r.prune(now)
 	}
-	if len(b.byKey) < most {
-		b.byKey[refusal.Key] = refusal
+	if len(r.byKey) < maxRefusals {
+		r.byKey[refusal.Key] = refusal
 	}
 }
 
-// forget drops what is too old; the caller holds the lock.
-func (b *Refusals) forget(now clock.Millis) {
-	b.forgot = now
-	for key, refusal := range b.byKey {
-		if now-refusal.FirstArrival > keep {
-			delete(b.byKey, key)
+// prune removes expired refusals. The caller must hold r.mu.
+func (r *Refusals) prune(now clock.Millis) {
+	r.prunedAt = now
+	for key, refusal := range r.byKey {
+		if now-refusal.FirstArrival > lifetime {
+			delete(r.byKey, key)
 		}
 	}
 }
 
-// TakeUnsent returns the refusals that peers have not been told yet.
-func (b *Refusals) TakeUnsent() []Refusal {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	untold := b.untold
-	b.untold = nil
-	return untold
+// TakeUnsent returns the refusals of this process since the last call, to be sent to
+// peers.
+func (r *Refusals) TakeUnsent() []Refusal {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	unsent := r.unsent
+	r.unsent = nil
+	return unsent
 }
 
-// Lookup returns the refusal of a caller that has come back as told, and
-// whether it is one.
-func (b *Refusals) Lookup(key uint64, now clock.Millis) (Refusal, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	refusal, known := b.byKey[key]
-	if !known || now-refusal.FirstArrival > keep || now < refusal.RetryAt-early {
+// Lookup returns the refusal with a key, and false if there is none, if it has expired
+// or if the caller returned too early.
+func (r *Refusals) Lookup(key uint64, now clock.Millis) (Refusal, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	refusal, known := r.byKey[key]
+	if !known || now-refusal.FirstArrival > lifetime || now < refusal.RetryAt-tolerance {
 		return Refusal{}, false
 	}
 	return refusal, true
--- a/internal/flow/recall/recall_test.go
+++ b/internal/flow/recall/recall_test.go
@@ -19,53 +19,53 @@
 	// Output: 1000 true
 }
 
-// A caller is told to come back and comes at once, and again. It must gain
-// nothing by that over those that wait as they were told.
-func TestCallerThatDoesNotWaitIsNew(t *testing.T) {
-	b := recall.New()
-	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+// A caller is asked to retry later and retries at once several times. It must gain no
+// advantage over callers that wait as requested.
+func TestEarlyReturnIsTreatedAsNew(t *testing.T) {
+	refusals := recall.New()
+	refusals.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
 	for _, tt := range []struct {
 		now  clock.Millis
 		want bool
 	}{{1001, false}, {1379, false}, {1380, true}, {1400, true}, {20_000, true}, {21_001, false}} {
-		_, returned := b.Lookup(7, tt.now)
+		_, returned := refusals.Lookup(7, tt.now)
 		assert.Equal(t, returned, tt.want, "%d", tt.now)
 	}
-	_, returned := b.Lookup(8, 1400)
+	_, returned := refusals.Lookup(8, 1400)
 	assert.Assert(t, !returned, "another caller")
 }
 
-func TestRefusalsAreToldOnce(t *testing.T) {
-	b := recall.New()
-	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
-	assert.Equal(t, len(b.TakeUnsent()), 1)
-	assert.Equal(t, len(b.TakeUnsent()), 0)
+func TestRefusalsAreSentOnce(t *testing.T) {
+	refusals := recall.New()
+	refusals.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+	assert.Equal(t, len(refusals.TakeUnsent()), 1)
+	assert.Equal(t, len(refusals.TakeUnsent()), 0)
 }
 
-// A caller is refused a second time. What counts is still its first attempt, and
-// the newest time to come back.
-func TestRefusedAgainKeepsItsFirstAttempt(t *testing.T) {
-	b := recall.New()
-	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
-	b.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 2400}, 1500)
-	_, returned := b.Lookup(7, 1600)
+// A caller is refused a second time. The first arrival must not change, and the newest
+// time to retry applies.
+func TestSecondRefusalKeepsFirstArrival(t *testing.T) {
+	refusals := recall.New()
+	refusals.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
+	refusals.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 2400}, 1500)
+	_, returned := refusals.Lookup(7, 1600)
 	assert.Assert(t, !returned)
-	refusal, returned := b.Lookup(7, 2400)
+	refusal, returned := refusals.Lookup(7, 2400)
 	assert.Assert(t, returned)
 	assert.Equal(t, refusal.FirstArrival, clock.Millis(1000))
 }
 
-// A flood of refusals: what is remembered and told stays bounded, and old ones
-// make room for new ones.
+// During a flood of refusals, the stored and unsent refusals are bounded, and expired
+// ones are removed to make room for new ones.
 func TestMemoryIsBounded(t *testing.T) {
-	b := recall.New()
+	refusals := recall.New()
 	for key := range uint64(20_000) {
-		b.Add(recall.Refusal{Key: key, FirstArrival: 1000, RetryAt: 1400}, 1000)
+		refusals.Add(recall.Refusal{Key: key, FirstArrival: 1000, RetryAt: 1400}, 1000)
 	}
-	assert.Assert(t, len(b.TakeUnsent()) <= 1024)
-	_, returned := b.Lookup(19_999, 1400)
-	assert.Assert(t, !returned, "there was no room")
-	b.Add(recall.Refusal{Key: 19_999, FirstArrival: 30_000, RetryAt: 30_400}, 30_000)
-	_, returned = b.Lookup(19_999, 30_400)
+	assert.Assert(t, len(refusals.TakeUnsent()) <= 1024)
+	_, returned := refusals.Lookup(19_999, 1400)
+	assert.Assert(t, !returned, "the set was full")
+	refusals.Add(recall.Refusal{Key: 19_999, FirstArrival: 30_000, RetryAt: 30_400}, 30_000)
+	_, returned = refusals.Lookup(19_999, 30_400)
 	assert.Assert(t, returned)
 }
--- a/internal/flow/spill/spill.go
+++ b/internal/flow/spill/spill.go
@@ -1,52 +1,53 @@
-// Package spill chooses the shard of a pool whose engines make a stage's pieces.
+// Package spill chooses the shard of a pool that processes the pieces of a stage.
 //
-// It answers bursts in one availability zone, zones with fewer engines than
-// others, and owners that hang or end: pieces stay where their inputs and their
-// reader are as long as that costs less than the wait there, and flow over to
-// another shard otherwise.
+// It handles bursts in one availability zone, zones with fewer engines than others, and
+// owners that hang or stop. Pieces stay near their inputs and their reader while the wait
+// there costs less than the way to another shard, and spill over to another shard
+// otherwise.
 package spill
 
 import "github.com/jujubescale/jujubescale/internal/base/clock"
 
 const (
-	// crossMs is what it costs at least to leave the zone that is wanted, in
-	// milliseconds: the way there and back, and figures that are as old.
-	crossMs = 60
-	// staleMs is the cost of a shard whose owner was silent for longer than
-	// usual. It may hang or have ended.
-	staleMs = 900
-	// staleFrom is how much later than usual an owner may report.
-	staleFrom = 400 * clock.Millis(1)
-	// samples is how many other shards are compared with the one that is wanted.
-	// With all of them, every process would choose the shard that was idle when
-	// its owner reported last.
+	// leaveZoneMs is the minimum cost of leaving the preferred zone, in milliseconds. It
+	// covers the round trip and the age of the reported waits.
+	leaveZoneMs = 60
+	// staleOwnerMs is the additional cost in milliseconds of a shard whose owner has not
+	// reported for longer than usual, because it may hang or have stopped.
+	staleOwnerMs = 900
+	// staleAfter is the staleness above which a report counts as stale.
+	staleAfter = 400 * clock.Millis(1)
+	// samples is the number of shards outside the preferred zone that are compared with
+	// the preferred one. If all were compared, every process would choose the shard that
+	// was idle at the last report of its owner.
 	samples = 2
 )
 
-// Shard is what is known of one shard.
+// Shard is the state of one shard.
 type Shard struct {
 	Zone string
-	// Wait is the time until a call with the pieces begins, in milliseconds.
+	// Wait is the estimated time until a call with the pieces starts, in milliseconds.
 	Wait float64
-	// Known says that its owner has reported, Late how much later than usual.
+	// Known is set if the owner has reported. Staleness is how much older the report is
+	// than usual.
 	Known     bool
 	Staleness clock.Millis
-	// Tried says that it was asked in vain.
+	// Tried is set if an earlier attempt at this shard failed.
 	Tried bool
 }
 
-// Preference is where pieces are best made: in which zone, "" for any, and how long it
-// is worth to wait there, in milliseconds.
+// Preference is the preferred zone for the pieces, "" for any, and how much longer a
+// wait in that zone may be than elsewhere, in milliseconds.
 type Preference struct {
 	Zone      string
 	ExtraWait clock.Millis
 }
 
-// None is the choice where every shard was tried.
+// None is returned by Choose if every shard was tried.
 const None = -1
 
-// Choose returns the position of a shard. Pick returns a random number below its
-// argument.
+// Choose returns the index of the shard with the lowest cost. The function pick returns
+// a random number below its argument.
 func Choose(shards []Shard, want Preference, pick func(n int) int) int {
 	best, least := None, 0.0
 	consider := func(i int) {
@@ -64,23 +65,24 @@
 		}
 	}
 	for range min(samples, len(others)) {
-		at := pick(len(others))
-		consider(others[at])
-		others[at] = others[len(others)-1]
+		n := pick(len(others))
+		consider(others[n])
+		others[n] = others[len(others)-1]
 		others = others[:len(others)-1]
 	}
 	if best != None {
 		return best
 	}
-	return anyOf(shards, pick)
+	return randomUntried(shards, pick)
 }
 
-// anyOf returns a random shard that was not tried: nothing is known of any.
-func anyOf(shards []Shard, pick func(n int) int) int {
+// randomUntried returns a random shard that was not tried, or None. It is used if no
+// shard can be compared because none has reported.
+func randomUntried(shards []Shard, pick func(n int) int) int {
 	start := pick(max(len(shards), 1))
 	for i := range shards {
-		if at := (start + i) % len(shards); !shards[at].Tried {
-			return at
+		if n := (start + i) % len(shards); !shards[n].Tried {
+			return n
 		}
 	}
 	return None
@@ -89,10 +91,10 @@
 func (s *Shard) cost(want Preference) float64 {
 	cost := s.Wait
 	if s.Zone != want.Zone {
-		cost += max(float64(want.ExtraWait), crossMs)
+		cost += max(float64(want.ExtraWait), leaveZoneMs)
 	}
-	if s.Known && s.Staleness > staleFrom {
-		cost += staleMs
+	if s.Known && s.Staleness > staleAfter {
+		cost += staleOwnerMs
 	}
 	return cost
 }
--- a/internal/flow/spill/spill_test.go
+++ b/internal/flow/spill/spill_test.go
@@ -22,33 +22,33 @@
 	// 0
 }
 
-// Guards against pieces that go where nobody makes them: to a shard whose owner is
-// silent, that was asked in vain, or of which nothing is known.
+// Guards against pieces that are sent to a shard that does not process them: its owner
+// does not report, an earlier attempt failed, or the shard is unknown.
 func TestUncertainShardsAreAvoided(t *testing.T) {
 	want := spill.Preference{Zone: "a"}
 	for name, tt := range map[string]struct {
 		shards []spill.Shard
 		want   int
 	}{
-		"silent owner":      {[]spill.Shard{{Zone: "a", Known: true, Staleness: 600}, {Zone: "b", Known: true, Wait: 200}}, 1},
+		"stale owner":       {[]spill.Shard{{Zone: "a", Known: true, Staleness: 600}, {Zone: "b", Known: true, Wait: 200}}, 1},
 		"tried":             {[]spill.Shard{{Zone: "a", Known: true, Tried: true}, {Zone: "b", Known: true, Wait: 2000}}, 1},
-		"unknown far away":  {[]spill.Shard{{Zone: "a", Known: true, Wait: 500}, {Zone: "b"}}, 0},
-		"unknown near":      {[]spill.Shard{{Zone: "a"}, {Zone: "b", Known: true}}, 0},
+		"unknown elsewhere": {[]spill.Shard{{Zone: "a", Known: true, Wait: 500}, {Zone: "b"}}, 0},
+		"unknown preferred": {[]spill.Shard{{Zone: "a"}, {Zone: "b", Known: true}}, 0},
 		"nothing known":     {[]spill.Shard{{Zone: "b"}, {Zone: "c"}}, 0},
 		"all tried":         {[]spill.Shard{{Zone: "a", Tried: true}, {Zone: "b", Tried: true}}, spill.None},
-		"one that is whole": {[]spill.Shard{{Known: true, Wait: 5000}}, 0},
-		"none":              {nil, spill.None},
+		"undivided pool":    {[]spill.Shard{{Known: true, Wait: 5000}}, 0},
+		"no shards":         {nil, spill.None},
 	} {
 		assert.Equal(t, spill.Choose(tt.shards, want, first), tt.want, name)
 	}
 }
 
-// zone is one shard of a play: engines that make ten pieces in 370 ms each, and
-// the queue before them.
+// zone is one simulated shard: engines that process ten pieces in 370 ms each, and
+// their queue.
 type zone struct {
-	busy    []clock.Millis
-	waiting []clock.Millis // when each piece arrived
-	told    float64        // the wait that its owner reported last
+	busy         []clock.Millis
+	waiting      []clock.Millis // arrival time of each piece
+	reportedWait float64        // last wait reported by its owner
 }
 
 func (z *zone) wait() float64 {
@@ -56,8 +56,8 @@
 }
 
 func (z *zone) step(now clock.Millis, served *[]clock.Millis) {
-	for i, until := range z.busy {
-		if until > now || len(z.waiting) == 0 {
+	for i, end := range z.busy {
+		if end > now || len(z.waiting) == 0 {
 			continue
 		}
 		count := min(10, len(z.waiting))
@@ -69,9 +69,9 @@
 	}
 }
 
-// play sends pieces to five shards of nine engines for ten seconds. One zone's
-// callers send half of all. Owners report ten times a second.
-func play(spills bool) (late, total int) {
+// simulate sends pieces to five shards of nine engines for ten seconds. Half of all
+// pieces come from callers in one zone. Owners report ten times a second.
+func simulate(spills bool) (late, total int) {
 	random := rand.New(rand.NewPCG(1, 2))
 	zones := make([]*zone, 5)
 	for i := range zones {
@@ -80,23 +80,23 @@
 	var served []clock.Millis
 	for now := clock.Millis(0); now < 12*clock.Second; now++ {
 		if now < 10*clock.Second && random.Float64() < 0.95 { // 950 of 1,216 a second
-			at := 0
+			target := 0
 			if random.IntN(2) == 0 {
-				at = random.IntN(5)
+				target = random.IntN(5)
 			}
 			if spills {
 				shards := make([]spill.Shard, len(zones))
 				for i, z := range zones {
-					shards[i] = spill.Shard{Zone: fmt.Sprint(i), Wait: z.told, Known: true}
+					shards[i] = spill.Shard{Zone: fmt.Sprint(i), Wait: z.reportedWait, Known: true}
 				}
-				at = spill.Choose(shards, spill.Preference{Zone: fmt.Sprint(at)}, random.IntN)
+				target = spill.Choose(shards, spill.Preference{Zone: fmt.Sprint(target)}, random.IntN)
 			}
-			zones[at].waiting = append(zones[at].waiting, now)
+			zones[target].waiting = append(zones[target].waiting, now)
 		}
 		for _, z := range zones {
 			z.step(now, &served)
 			if now%100 == 0 {
-				z.told = z.wait()
+				z.reportedWait = z.wait()
 			}
 		}
 	}
@@ -112,12 +112,12 @@
 	return late, total + len(served)
 }
 
-// Half of all callers stand in one zone, whose engines do a fifth of the work.
-// Kept there, their pieces wait for seconds while other zones are half idle; with
-// spilling, nearly all are made within 1,100 ms.
-func TestBurstInOneZoneFlowsOver(t *testing.T) {
-	kept, total := play(false)
-	spilled, _ := play(true)
+// Half of all callers are in one zone that has a fifth of the engines. Without spilling,
+// their pieces wait for seconds while other zones are half idle. With spilling, almost
+// all are processed within 1,100 ms.
+func TestBurstInOneZoneSpillsOver(t *testing.T) {
+	kept, total := simulate(false)
+	spilled, _ := simulate(true)
 	t.Logf("late of %d: %d kept in their zone, %d spilled", total, kept, spilled)
 	assert.Assert(t, kept*4 > total)
 	assert.Assert(t, spilled*50 < total, "%d of %d", spilled, total)
