--- a/internal/flow/retry/retry.go
+++ b/internal/flow/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed attempt of a stage is tried again.
-// Only the entry retries; agents and engines never do.
+// Package retry decides whether a failed attempt of a stage is retried. Only the entry
+// process retries. Agents and engines never do.
 package retry
 
 import (
@@ -9,37 +9,36 @@
 )
 
 const (
-	// share is what one success earns, in thousandths of a retry: a tenth, so
-	// that a pool which fails sees at most 1.1 times the calls it is offered.
-	share = 100
-	// reserve is what a budget starts with; it keeps small pools going.
-	reserve = 10
-	// most is the largest number of retries that can be saved up: a zone that
-	// leaves hands back its whole queue at once.
-	most = 200
+	// earnedPerSuccess is what one success adds to the budget, in thousandths of a retry.
+	// A tenth of a retry limits the calls to a failing pool to 1.1 times the offered calls.
+	earnedPerSuccess = 100
+	// initialRetries is the initial budget. It allows retries in pools with few calls.
+	initialRetries = 10
+	// maxRetries is the largest budget. It has to cover a zone that leaves and returns its
+	// whole queue at once.
+	maxRetries = 200
 
-	// MaxAttempts bounds the attempts of one stage.
+	// MaxAttempts limits the attempts of one stage.
 	MaxAttempts = 4
 )
 
-// NewBudget returns the retries that a pool may get; each answered stage earns
-// its share.
-func NewBudget() *quota.Quota { return quota.New(share, reserve, most) }
+// NewBudget returns the retry budget of a pool. Each answered stage adds to it.
+func NewBudget() *quota.Quota { return quota.New(earnedPerSuccess, initialRetries, maxRetries) }
 
-// Class groups the reasons of refusals by what a retry does to the pool.
+// Class groups the reasons of refusals by the effect of a retry on the pool.
 type Class string
 
 // Classes of refusals.
 const (
-	// ClassMoved: the endpoint takes no new work; the entry's view was old. A
-	// retry elsewhere costs the pool nothing and needs no budget.
+	// ClassMoved: the endpoint accepts no new work and the entry used an outdated view. A
+	// retry elsewhere adds no load to the pool and needs no budget.
 	ClassMoved Class = "moved"
-	// ClassFull: the endpoint has no room. Every retry of a full pool adds to
-	// its load, so it needs budget.
+	// ClassFull: the endpoint has no capacity. Each retry adds load to a full pool, so it
+	// needs budget.
 	ClassFull Class = "full"
-	// ClassFailed: the attempt broke; it may have run.
+	// ClassFailed: the attempt failed and may have run.
 	ClassFailed Class = "failed"
-	// ClassFinal: no other endpoint would answer differently.
+	// ClassFinal: other endpoints would answer in the same way.
 	ClassFinal Class = "final"
 )
 
@@ -57,45 +56,46 @@
 	}
 }
 
-// Failure is what is known of an attempt that got no whole answer.
+// Failure describes an attempt that got no complete answer.
 type Failure struct {
 	Reason     fault.Reason
 	Ran        fault.Ran
 	RetryAfter clock.Millis
-	// Idempotent tells that the stage may run twice.
+	// Idempotent is set if the stage may run twice.
 	Idempotent bool
-	// Attempts counts the attempts of this stage so far, this one included.
+	// Attempts is the number of attempts of this stage, including the failed one.
 	Attempts int
-	// Left is the time left to the request.
+	// Left is the time until the deadline of the request.
 	Left clock.Millis
-	// Need is what this stage and the later ones typically take; 0 if unknown.
+	// Need is the typical duration of this stage and the later ones, 0 if unknown.
 	Need clock.Millis
-	// HasAlternative tells that an endpoint is left which was not tried.
+	// HasAlternative is set if there is an endpoint that was not tried.
 	HasAlternative bool
 }
 
-// Decision says what happens after a failed attempt.
+// Decision is the reaction to a failed attempt.
 type Decision struct {
-	// Retry asks for another attempt, elsewhere.
+	// Retry is set if the stage is retried at another endpoint.
 	Retry bool
-	// AvoidZone tells that the next attempt avoids the zone of the failed one:
-	// a broken endpoint is often the first sign of a broken rack or zone.
+	// AvoidZone is set if the next attempt should use another zone. A failed endpoint
+	// is often the first sign of a failure of its rack or zone.
 	AvoidZone bool
-	// Class of the failure.
+	// Class is the class of the failure.
 	Class Class
-	// Reason and Ran are what the caller is told if there is no other attempt.
+	// Reason and Ran are returned to the caller if the stage is not retried.
 	Reason fault.Reason
 	Ran    fault.Ran
 }
 
-// Decide returns what happens after a failed attempt. The budget is touched
-// only when a retry is possible and needs it.
+// Decide returns the reaction to a failed attempt. It takes from the budget only if a
+// retry is possible and needs budget.
 func Decide(f Failure, budget *quota.Quota) Decision {
 	class := ClassOf(f.Reason)
 	d := Decision{Class: class, AvoidZone: class == ClassFailed, Reason: f.Reason, Ran: f.Ran}
 	switch {
 	case f.Ran != fault.NotRun && !f.Idempotent:
-		// The work may have run and must not run twice: the caller is told so.
+		// There is no retry because the work may have run and must not run twice. The reason
+		// informs the caller that the outcome is unknown.
 		if f.Ran == fault.MayHaveRun && class == ClassFailed {
 			d.Reason = fault.OutcomeUnknown
 		}
--- a/internal/flow/retry/retry_test.go
+++ b/internal/flow/retry/retry_test.go
@@ -11,11 +11,11 @@
 	"github.com/jujubescale/jujubescale/internal/flow/retry"
 )
 
-// A pool fails or is full, and every entry tries each call several times: the
-// pool then sees a multiple of its load just when it bears least, and does not
-// come back. Whatever share of calls fails, the attempts stay under 1.1 times
-// the offered calls and a fixed reserve.
-func TestFailingPoolSeesAtMostATenthMore(t *testing.T) {
+// A pool fails or is full and every entry retries each call several times. The pool would
+// get a multiple of its load while its capacity is lowest and would not recover. For any
+// share of failed calls, the attempts must stay below 1.1 times the offered calls plus the
+// initial budget.
+func TestRetriesAddAtMostATenth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.NewBudget()
 		offered := rapid.IntRange(1, 2000).Draw(t, "offered")
@@ -24,13 +24,13 @@
 		coin := rapid.IntRange(0, 99)
 		attempts := 0
 		for range offered {
-			for tries := 1; ; tries++ {
+			for attempt := 1; ; attempt++ {
 				attempts++
 				if coin.Draw(t, "coin") >= failShare {
 					budget.Earn()
 					break
 				}
-				f := retry.Failure{Reason: reason, Ran: fault.NotRun, Attempts: tries, Left: 1000, HasAlternative: true}
+				f := retry.Failure{Reason: reason, Ran: fault.NotRun, Attempts: attempt, Left: 1000, HasAlternative: true}
 				if !retry.Decide(f, budget).Retry {
 					break
 				}
@@ -40,9 +40,9 @@
 	})
 }
 
-// A booking that may have run is tried again and the reel is booked twice; or
-// an attempt starts after the deadline and its engine time is wasted.
-func TestNeverRepeatsUnprovenWorkNorPastDeadline(t *testing.T) {
+// Guards against a second run of a non-idempotent call that may have run, such as a booking
+// made twice, and against attempts after the deadline, which waste engine time.
+func TestNoRetryOfUnprovenWorkOrPastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := retry.Failure{
 			Reason:         rapid.SampledFrom(fault.Reasons()).Draw(t, "reason"),
@@ -73,27 +73,27 @@
 		want   retry.Decision
 	}{
 		{
-			"leaving endpoint, elsewhere at once",
+			"leaving endpoint is retried elsewhere",
 			func(f *retry.Failure) { f.Reason = fault.Leaving },
 			retry.Decision{Retry: true, Class: retry.ClassMoved, Reason: fault.Leaving, Ran: fault.NotRun},
 		},
 		{
-			"broken endpoint, another zone first",
+			"failed endpoint is retried in another zone",
 			func(f *retry.Failure) { f.Reason, f.Ran, f.Idempotent = fault.EndpointFailed, fault.MayHaveRun, true },
 			retry.Decision{Retry: true, AvoidZone: true, Class: retry.ClassFailed, Reason: fault.EndpointFailed, Ran: fault.MayHaveRun},
 		},
 		{
-			"booking that may have run",
+			"non-idempotent call that may have run",
 			func(f *retry.Failure) { f.Reason, f.Ran = fault.EndpointFailed, fault.MayHaveRun },
 			retry.Decision{AvoidZone: true, Class: retry.ClassFailed, Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun},
 		},
 		{
-			"no time for another",
+			"too little time for another attempt",
 			func(f *retry.Failure) { f.Reason, f.Left = fault.QueueFull, 50 },
 			retry.Decision{Class: retry.ClassFull, Reason: fault.WontMakeIt, Ran: fault.NotRun},
 		},
 		{
-			"back end said no",
+			"rejected by the back end",
 			func(f *retry.Failure) { f.Reason, f.Ran = fault.BackendRejected, fault.DidRun },
 			retry.Decision{Class: retry.ClassFinal, Reason: fault.BackendRejected, Ran: fault.DidRun},
 		},
--- a/internal/flow/shed/shed.go
+++ b/internal/flow/shed/shed.go
@@ -1,8 +1,7 @@
-// Package shed refuses requests before their first stage when later stages
-// have been refusing such requests for load: what the early stages spend on
-// them would be wasted. Shares are learned by pipeline and organisation, so
-// that the fairness of the agents' queues, which decides whom they refuse,
-// decides here too.
+// Package shed refuses requests before their first stage if later stages have recently
+// refused similar requests because of load. Otherwise the work of the early stages would
+// be wasted. The admitted share is tracked by pipeline and organisation, so that it
+// follows the fairness of the agents' queues, which decide whose requests they refuse.
 package shed
 
 import (
@@ -12,106 +11,105 @@
 )
 
 const (
-	// step is the least span between two changes of a share. It is about as
-	// long as a request takes, so that a change has shown its effect before the
-	// next one.
-	step = clock.Second
-	// enough is the number of ended requests that a change needs.
-	enough = 8
-	// tolerated is the loss below which the share grows again. A single loss among
-	// fewer requests than that takes is no evidence of load.
-	tolerated = 0.03
-	// eagerness is how much of the loss one step takes off.
-	eagerness = 0.5
-	// growth is how much the share grows in a step without loss.
+	// interval is the shortest time between two changes of a share. It is about the duration
+	// of a request, so that the effect of a change is visible before the next one.
+	interval = clock.Second
+	// minEnded is the number of ended requests that a change requires.
+	minEnded = 8
+	// toleratedLoss is the loss rate up to which the share grows. A single loss among
+	// fewer requests than 1/toleratedLoss is no evidence of load.
+	toleratedLoss = 0.03
+	// reduction is the fraction of the loss rate by which one change reduces the share.
+	reduction = 0.5
+	// growth is the increase of the share per change without loss.
 	growth = 0.04
-	// least share always goes through, to find out that the load has gone.
-	least = 0.05
-	// maxKeys bounds the memory. Beyond it nothing new is shed.
+	// minShare is the share that is always admitted, in order to detect the end of the load.
+	minShare = 0.05
+	// maxKeys limits the memory. Requests with other keys are always admitted.
 	maxKeys = 4096
 )
 
-// Key is what a share is learned for.
+// Key identifies a group of requests with a common share.
 type Key struct {
 	Pipeline     string
 	Organisation string
 }
 
 type share struct {
-	admitted float64
-	ended    int
-	lost     int
-	began    clock.Millis
+	admitted  float64
+	ended     int
+	lost      int
+	startedAt clock.Millis
 }
 
-// Shedder holds the shares below one. It is safe for use by several goroutines.
+// Shedder holds the shares that are below one. It is safe for concurrent use.
 type Shedder struct {
 	mu     sync.Mutex
 	shares map[Key]*share
 }
 
-// New returns a Shed that lets everything through.
+// New returns a Shedder that admits all requests.
 func New() *Shedder { return &Shedder{shares: make(map[Key]*share)} }
 
-// Admit reports whether a request shall begin. Drawn is a random number from 0
-// up to 1.
-func (s *Shedder) Admit(now clock.Millis, key Key, drawn float64) bool {
+// Admit reports whether a request should start. The argument random is a random number
+// in [0, 1).
+func (s *Shedder) Admit(now clock.Millis, key Key, random float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.shares[key]
-	if known == nil {
+	entry := s.shares[key]
+	if entry == nil {
 		return true
 	}
-	if now-known.began >= 2*step {
-		// Little or nothing ends any more: the load has gone.
-		s.change(now, key, known, known.loss())
+	if now-entry.startedAt >= 2*interval {
+		// Few or no requests have ended, so the load is assumed to have ended.
+		s.adjust(now, key, entry, entry.loss())
 	}
-	return drawn < known.admitted
+	return random < entry.admitted
 }
 
-// Ended takes in how a request ended that had gone beyond its first stage.
-// Lost is set if a later stage refused it for load, or that it ran out of time.
+// Ended records the end of a request that had passed its first stage. The argument lost
+// is set if a later stage refused it because of load or if it ran out of time.
 func (s *Shedder) Ended(now clock.Millis, key Key, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.shares[key]
-	if known == nil {
+	entry := s.shares[key]
+	if entry == nil {
 		if !lost || len(s.shares) >= maxKeys {
 			return
 		}
-		known = &share{admitted: 1, began: now}
-		s.shares[key] = known
+		entry = &share{admitted: 1, startedAt: now}
+		s.shares[key] = entry
 	}
-	known.ended++
+	entry.ended++
 	if lost {
-		known.lost++
+		entry.lost++
 	}
-	if now-known.began >= step && known.ended >= enough && !known.unsure() {
-		s.change(now, key, known, known.loss())
+	if now-entry.startedAt >= interval && entry.ended >= minEnded && !entry.inconclusive() {
+		s.adjust(now, key, entry, entry.loss())
 	}
 }
 
-// unsure reports whether a single request was lost, among so few that it may have
-// been by chance.
-func (s *share) unsure() bool { return s.lost == 1 && float64(s.ended)*tolerated < 1 }
+// inconclusive reports whether a single request was lost among so few that the loss may
+// be accidental.
+func (s *share) inconclusive() bool { return s.lost == 1 && float64(s.ended)*toleratedLoss < 1 }
 
-// loss is the share of the ended requests that were lost; 0 when too few ended
-// to tell.
+// loss returns the fraction of the ended requests that were lost, or 0 if there were too
+// few to decide.
 func (s *share) loss() float64 {
-	if s.ended < enough || s.unsure() {
+	if s.ended < minEnded || s.inconclusive() {
 		return 0
 	}
 	return float64(s.lost) / float64(s.ended)
 }
 
-func (s *Shedder) change(now clock.Millis, key Key, known *share, loss float64) {
-	if loss > tolerated {
-		known.admitted = max(least, known.admitted*(1-eagerness*loss))
+func (s *Shedder) adjust(now clock.Millis, key Key, entry *share, loss float64) {
+	if loss > toleratedLoss {
+		entry.admitted = max(minShare, entry.admitted*(1-reduction*loss))
 	} else {
-		known.admitted += growth
+		entry.admitted += growth
 	}
-	known.ended, known.lost, known.began = 0, 0, now
-	if known.admitted >= 1 {
+	entry.ended, entry.lost, entry.startedAt = 0, 0, now
+	if entry.admitted >= 1 {
 		delete(s.shares, key)
 	}
 }
