--- a/internal/flow/sums/message.go
+++ b/internal/flow/sums/message.go
@@ -8,84 +8,86 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Cursor is how far the messages to one destination have come. With the zero value
-// the next message holds everything.
+// Cursor is the position of one destination in the changes and events. With the zero
+// value, the next message is a full one.
 type Cursor struct {
 	changed  uint64
 	urgentAt uint64
 	events   uint64
 	crashes  uint64
-	begun    bool
-	// far is changed for the endpoints that the destination does not use normally,
-	// farAt when they were last sent.
-	far   uint64
-	farAt clock.Millis
-	// interestAt is the step at which the destination's interest changed last.
+	started  bool
+	// outsideChanged is like changed, for the endpoints outside the destination's
+	// interest. outsideAt is when they were last sent.
+	outsideChanged uint64
+	outsideAt      clock.Millis
+	// interestAt is the step of the last change of the destination's interest.
 	interestAt uint64
-	// trialsAt is when trials were sent last, trials whether there were any.
+	// trialsAt is when trials were last sent, trials whether there were any.
 	trialsAt clock.Millis
 	trials   bool
 }
 
 const (
-	// farEvery is the pause between two messages with the work at endpoints that a
-	// process does not use normally, farEach what each of them adds to it: the bytes
-	// for one process don't grow with all endpoints.
-	farEvery = 400 * clock.Millis(1)
-	farEach  = 2 * clock.Millis(1)
+	// outsideInterval is the shortest time between two messages with the work at endpoints
+	// outside the interest of a process. With many such endpoints, the time is
+	// outsidePerEndpoint for each of them, so that the bytes for one process do not grow
+	// with the number of endpoints.
+	outsideInterval    = 400 * clock.Millis(1)
+	outsidePerEndpoint = 2 * clock.Millis(1)
 )
 
-// trialsEvery is the shortest pause between two messages with trials.
-const trialsEvery = 250 * clock.Millis(1)
+// trialsInterval is the shortest time between two messages with trials.
+const trialsInterval = 250 * clock.Millis(1)
 
-// Reset has the next message hold everything, because one was lost: also the crashes
-// of the last seconds, which may be told twice.
+// Reset makes the next message a full one, after a message was lost. The next message
+// also contains the crashes of the last seconds, which may be sent twice.
 func (c *Cursor) Reset() { *c = Cursor{events: c.events} }
 
-// ForAggregator returns the sums of the group for another aggregator; nil when
-// nothing has changed. Regular messages hold everything that changed,
-// others only what is urgent.
-func (b *Totals) ForAggregator(c *Cursor, regular bool, now clock.Millis) *wire.Sums {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// ForAggregator returns the sums of the group for another aggregator, or nil if nothing
+// has changed. A regular message contains all changes, another one only urgent changes.
+func (t *Totals) ForAggregator(c *Cursor, regular bool, now clock.Millis) *wire.Sums {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	local := func(from Source) bool { return !from.OtherGroup }
-	message := b.message(c, regular, now, nil, func(endpoint string, e *entry) wire.Work {
+	message := t.message(c, regular, now, nil, func(endpoint string, e *entry) wire.Work {
 		work := e.group
 		work.Endpoint = endpoint
 		return work
 	})
-	b.addEvents(message, c, local, now)
+	t.addEvents(message, c, local, now)
 	if regular {
-		b.addLoads(message, local, now)
-		b.addTrials(message, c, local, now)
+		t.addLoads(message, local, now)
+		t.addTrials(message, c, local, now)
 	}
-	return ifAny(message)
+	return nilIfEmpty(message)
 }
 
-// ForProcess returns the sums of everything but the own work of a process that
-// reports here; nil when nothing has changed.
-func (b *Totals) ForProcess(process string, c *Cursor, regular bool, now clock.Millis) *wire.Sums {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.ownOf(process)
+// ForProcess returns, for a process that reports here, the sums without its own work, or
+// nil if nothing has changed. A regular message contains all changes, another one only
+// urgent changes.
+func (t *Totals) ForProcess(process string, c *Cursor, regular bool, now clock.Millis) *wire.Sums {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	own := t.ownWork(process)
 	others := func(from Source) bool { return from != (Source{Process: process}) }
 	var interest map[string]bool
-	if known := b.sources[Source{Process: process}]; known != nil {
-		if interest = known.interest; c.interestAt != known.interestAt {
-			// Work at endpoints outside the old interest may not have been sent yet.
-			*c = Cursor{events: c.events, crashes: c.crashes, interestAt: known.interestAt}
+	if state := t.sources[Source{Process: process}]; state != nil {
+		if interest = state.interest; c.interestAt != state.interestAt {
+			// Work at endpoints outside the previous interest may not have been sent yet.
+			*c = Cursor{events: c.events, crashes: c.crashes, interestAt: state.interestAt}
 		}
 	}
-	message := b.message(c, regular, now, interest, func(endpoint string, e *entry) wire.Work { return e.without(own, endpoint) })
-	b.addEvents(message, c, others, now)
+	message := t.message(c, regular, now, interest, func(endpoint string, e *entry) wire.Work { return e.without(own, endpoint) })
+	t.addEvents(message, c, others, now)
 	if regular {
-		b.addLoads(message, others, now)
-		b.addTrials(message, c, others, now)
+		t.addLoads(message, others, now)
+		t.addTrials(message, c, others, now)
 	}
-	return ifAny(message)
+	return nilIfEmpty(message)
 }
 
-func ifAny(message *wire.Sums) *wire.Sums {
+// nilIfEmpty returns nil for a message that contains nothing and need not be sent.
+func nilIfEmpty(message *wire.Sums) *wire.Sums {
 	events := len(message.Prefixes) + len(message.Refused) + len(message.Crashes)
 	if !message.Regular && !message.Whole && len(message.Work) == 0 && events == 0 {
 		return nil
@@ -93,56 +95,56 @@
 	return message
 }
 
-// message holds the work that was not sent to a destination yet: at the endpoints
-// in its interest, or of all where it has none, and from time to time of the others.
-// The caller holds the lock.
-func (b *Totals) message(c *Cursor, regular bool, now clock.Millis, interest map[string]bool, work func(string, *entry) wire.Work) *wire.Sums {
-	message := &wire.Sums{Whole: !c.begun, Regular: regular, Urgent: !regular}
-	regular = regular || !c.begun
-	pause := max(farEvery, farEach*clock.Millis(len(b.entries)-len(interest)))
-	farDue := regular && (!c.begun || interest == nil || now-c.farAt >= pause)
-	for endpoint, e := range b.entries {
-		known, due := c.changed, regular
+// message returns a message with the work that was not sent to a destination yet. With
+// an interest, the work at other endpoints is only included from time to time. The
+// caller must hold t.mu.
+func (t *Totals) message(c *Cursor, regular bool, now clock.Millis, interest map[string]bool, work func(string, *entry) wire.Work) *wire.Sums {
+	message := &wire.Sums{Whole: !c.started, Regular: regular, Urgent: !regular}
+	regular = regular || !c.started
+	pause := max(outsideInterval, outsidePerEndpoint*clock.Millis(len(t.entries)-len(interest)))
+	outsideDue := regular && (!c.started || interest == nil || now-c.outsideAt >= pause)
+	for endpoint, e := range t.entries {
+		sentStep, due := c.changed, regular
 		if interest != nil && !interest[endpoint] {
-			if known, due = c.far, farDue; !due {
+			if sentStep, due = c.outsideChanged, outsideDue; !due {
 				continue
 			}
 		}
-		told := e.urgentAt <= max(c.urgentAt, known)
+		sent := e.urgentAt <= max(c.urgentAt, sentStep)
 		if due {
-			told = e.changed <= known
+			sent = e.changed <= sentStep
 		}
-		if told {
+		if sent {
 			continue
 		}
-		if w := work(endpoint, e); c.begun || !w.None() {
+		if w := work(endpoint, e); c.started || !w.None() {
 			message.Work = append(message.Work, w)
 		}
 	}
 	if regular {
-		c.changed = b.step
+		c.changed = t.step
 	}
-	if farDue {
-		c.far, c.farAt = b.step, now
+	if outsideDue {
+		c.outsideChanged, c.outsideAt = t.step, now
 	}
-	c.urgentAt, c.begun = b.step, true
+	c.urgentAt, c.started = t.step, true
 	return message
 }
 
-// addEvents adds the events that were not sent to a destination yet. The caller
-// holds the lock.
-func (b *Totals) addEvents(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
-	crashes, nextCrash := b.crashes.since(c.crashes)
-	others, next := b.events.since(c.events)
-	for _, e := range slices.Concat(crashes, others) {
+// addEvents adds the events that were not sent to a destination yet. The caller must
+// hold t.mu.
+func (t *Totals) addEvents(message *wire.Sums, c *Cursor, include func(Source) bool, now clock.Millis) {
+	crashes, nextCrash := t.crashes.since(c.crashes)
+	other, next := t.events.since(c.events)
+	for _, e := range slices.Concat(crashes, other) {
 		switch {
-		case !take(e.from) || now-e.at > keepEvents:
+		case !include(e.from) || now-e.at > eventLifetime:
 		case e.prefix != nil:
 			message.Prefixes = append(message.Prefixes, *e.prefix)
 		case e.crash != nil:
 			message.Crashes = append(message.Crashes, *e.crash)
 		default:
-			// Its spans are as of when it was received.
+			// The age and the wait were valid when the event was received.
 			passed := now - e.at
 			message.Refused = append(message.Refused, wire.Refused{Key: e.refused.Key, Age: e.refused.Age + passed, Wait: e.refused.Wait - passed})
 		}
@@ -150,25 +152,25 @@
 	c.events, c.crashes = next, nextCrash
 }
 
-// addLoads adds what only regular messages hold. The caller holds the lock.
-func (b *Totals) addLoads(message *wire.Sums, take func(Source) bool, now clock.Millis) {
-	for _, pool := range b.pools(take) {
+// addLoads adds the parts of regular messages. The caller must hold t.mu.
+func (t *Totals) addLoads(message *wire.Sums, include func(Source) bool, now clock.Millis) {
+	for _, pool := range t.pools(include) {
 		load := pool.Load
 		load.Age = now - pool.At
 		message.Pools = append(message.Pools, load)
 	}
-	for _, load := range b.inflow(take) {
+	for _, load := range t.pendingArrivals(include) {
 		message.Inflow = append(message.Inflow, wire.Inflow{Pool: load.Pool, Pieces: load.Pieces})
 	}
 }
 
-// addTrials adds trials if there are any and it is time, and once more when there
-// are none any more. The caller holds the lock.
-func (b *Totals) addTrials(message *wire.Sums, c *Cursor, take func(Source) bool, now clock.Millis) {
-	if now-c.trialsAt < trialsEvery {
+// addTrials adds the trials if the last ones were sent long enough ago. After the last
+// trial has ended, one more message with no trials is sent. The caller must hold t.mu.
+func (t *Totals) addTrials(message *wire.Sums, c *Cursor, include func(Source) bool, now clock.Millis) {
+	if now-c.trialsAt < trialsInterval {
 		return
 	}
-	trials := b.trials(take)
+	trials := t.trials(include)
 	if len(trials) == 0 && !c.trials {
 		return
 	}
@@ -176,7 +178,7 @@
 	c.trialsAt, c.trials = now, len(trials) > 0
 }
 
-// PendingArrivalsOf converts what will come from a message.
+// PendingArrivalsOf converts the pending arrivals of a message.
 func PendingArrivalsOf(loads []wire.Inflow) []inflow.Load { return addInflow(nil, loads) }
 
 func addInflow(sum []inflow.Load, more []wire.Inflow) []inflow.Load {
--- a/internal/flow/sums/query.go
+++ b/internal/flow/sums/query.go
@@ -10,116 +10,117 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Reporters returns how many processes of the group are heard besides one.
-func (b *Totals) Reporters(self string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Reporters returns the number of processes of the group, other than self, whose reports
+// are not stale.
+func (t *Totals) Reporters(self string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	count := 0
-	for from, known := range b.sources {
-		if !from.OtherGroup && !known.silent && from.Process != self {
+	for from, state := range t.sources {
+		if !from.OtherGroup && !state.stale && from.Process != self {
 			count++
 		}
 	}
 	return count
 }
 
-// WorkOfOthers returns the work of all but one process of the group at some endpoints.
-func (b *Totals) WorkOfOthers(process string, endpoints []string) []wire.Work {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.ownOf(process)
+// WorkOfOthers returns the work at some endpoints of all processes except one.
+func (t *Totals) WorkOfOthers(process string, endpoints []string) []wire.Work {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	own := t.ownWork(process)
 	others := make([]wire.Work, 0, len(endpoints))
 	for _, endpoint := range endpoints {
-		if e := b.entries[endpoint]; e != nil {
+		if e := t.entries[endpoint]; e != nil {
 			others = append(others, e.without(own, endpoint))
 		}
 	}
 	return others
 }
 
-// AllWorkOfOthers is Others of every endpoint.
-func (b *Totals) AllWorkOfOthers(process string) []wire.Work {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.ownOf(process)
-	others := make([]wire.Work, 0, len(b.entries))
-	for endpoint, e := range b.entries {
+// AllWorkOfOthers is like WorkOfOthers for every endpoint.
+func (t *Totals) AllWorkOfOthers(process string) []wire.Work {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	own := t.ownWork(process)
+	others := make([]wire.Work, 0, len(t.entries))
+	for endpoint, e := range t.entries {
 		others = append(others, e.without(own, endpoint))
 	}
 	return others
 }
 
-func (b *Totals) ownOf(process string) map[string]wire.Work {
-	if known := b.sources[Source{Process: process}]; known != nil && !known.silent {
-		return known.work
+func (t *Totals) ownWork(process string) map[string]wire.Work {
+	if state := t.sources[Source{Process: process}]; state != nil && !state.stale {
+		return state.work
 	}
 	return nil
 }
 
 func (e *entry) without(own map[string]wire.Work, endpoint string) wire.Work {
-	left := e.all.Minus(own[endpoint])
-	left.Endpoint = endpoint
-	return left
+	rest := e.all.Minus(own[endpoint])
+	rest.Endpoint = endpoint
+	return rest
 }
 
-// Pool is what an owner said of a pool, and when.
+// Pool is the load of a pool and the time of the owner's report.
 type Pool struct {
 	Load wire.PoolLoad
 	At   clock.Millis
 }
 
-// Pools returns what all but one process of the group said of their pools.
-func (b *Totals) Pools(except string) []Pool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.pools(func(from Source) bool { return from != (Source{Process: except}) })
+// Pools returns the pool loads reported by all sources except one process.
+func (t *Totals) Pools(except string) []Pool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pools(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Totals) pools(take func(Source) bool) []Pool {
+func (t *Totals) pools(include func(Source) bool) []Pool {
 	var pools []Pool
-	for from, known := range b.sources {
-		if known.silent || !take(from) {
+	for from, state := range t.sources {
+		if state.stale || !include(from) {
 			continue
 		}
-		for _, load := range known.pools {
-			pools = append(pools, Pool{Load: load, At: known.poolsAt - load.Age})
+		for _, load := range state.pools {
+			pools = append(pools, Pool{Load: load, At: state.regularAt - load.Age})
 		}
 	}
 	return pools
 }
 
-// PendingArrivals returns the sum of what all but one process of the group say will come.
-func (b *Totals) PendingArrivals(except string) []inflow.Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.inflow(func(from Source) bool { return from != (Source{Process: except}) })
+// PendingArrivals returns the sum of the pending arrivals of all sources except one process.
+func (t *Totals) PendingArrivals(except string) []inflow.Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pendingArrivals(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Totals) inflow(take func(Source) bool) []inflow.Load {
+func (t *Totals) pendingArrivals(include func(Source) bool) []inflow.Load {
 	var loads []inflow.Load
-	for from, known := range b.sources {
-		if known.silent || !take(from) {
+	for from, state := range t.sources {
+		if state.stale || !include(from) {
 			continue
 		}
-		loads = addInflow(loads, known.inflow)
+		loads = addInflow(loads, state.inflow)
 	}
 	return loads
 }
 
-// Trials returns the sums of the trials of all but one process of the group.
-func (b *Totals) Trials(except string) []wire.Trial {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.trials(func(from Source) bool { return from != (Source{Process: except}) })
+// Trials returns the sums of the trials of all sources except one process.
+func (t *Totals) Trials(except string) []wire.Trial {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.trials(func(from Source) bool { return from != (Source{Process: except}) })
 }
 
-func (b *Totals) trials(take func(Source) bool) []wire.Trial {
+func (t *Totals) trials(include func(Source) bool) []wire.Trial {
 	sums := make(map[wire.TrialKey]wire.Trial)
-	for from, known := range b.sources {
-		if known.silent || !take(from) {
+	for from, state := range t.sources {
+		if state.stale || !include(from) {
 			continue
 		}
-		for _, trial := range known.trials {
+		for _, trial := range state.trials {
 			sum := sums[trial.TrialKey]
 			sum.TrialKey = trial.TrialKey
 			sums[trial.TrialKey] = sum.Plus(trial)
@@ -128,39 +129,40 @@
 	return slices.Collect(maps.Values(sums))
 }
 
-// Members returns all processes that report to this one or to another
-// aggregator.
-func (b *Totals) Members() []wire.Presence {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.present(func(Source) bool { return true })
+// Members returns all processes that report to this one or to another aggregator,
+// sorted by name.
+func (t *Totals) Members() []wire.Presence {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.members(func(Source) bool { return true })
 }
 
-// GroupMembers returns the processes that report to this one.
-func (b *Totals) GroupMembers() []wire.Presence {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.present(func(from Source) bool { return !from.OtherGroup })
+// GroupMembers returns the processes that report to this one, sorted by name.
+func (t *Totals) GroupMembers() []wire.Presence {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.members(func(from Source) bool { return !from.OtherGroup })
 }
 
-func (b *Totals) present(take func(Source) bool) []wire.Presence {
+func (t *Totals) members(include func(Source) bool) []wire.Presence {
 	var present []wire.Presence
-	for from, known := range b.sources {
-		if !known.silent && take(from) {
-			present = append(present, known.members...)
+	for from, state := range t.sources {
+		if !state.stale && include(from) {
+			present = append(present, state.members...)
 		}
 	}
 	slices.SortFunc(present, func(a, b wire.Presence) int { return cmp.Compare(a.Process, b.Process) })
 	return present
 }
 
-// StoreRevisions returns how far a source has followed the store, and when it said so.
-func (b *Totals) StoreRevisions(from Source) ([]wire.Seen, clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.sources[from]
-	if known == nil {
+// StoreRevisions returns the revisions up to which a source has read the store, and when
+// it reported them.
+func (t *Totals) StoreRevisions(from Source) ([]wire.Seen, clock.Millis) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state := t.sources[from]
+	if state == nil {
 		return nil, 0
 	}
-	return known.seen, known.poolsAt
+	return state.seen, state.regularAt
 }
--- a/internal/flow/sums/sums.go
+++ b/internal/flow/sums/sums.go
@@ -1,11 +1,10 @@
-// Package sums adds up what processes report of their work at endpoints, so
-// that each of them learns the work of all others from one message and not from
-// one of each.
+// Package sums adds up the work at endpoints that processes report. Each process receives
+// the work of all others in one message instead of one message from each process.
 //
-// A Book belongs to one process. As an aggregator it holds the reports of its
-// group and the sums of the other groups; it hands out the sum of its group for
-// other aggregators, and the sum of everything but a process's own work for that
-// process. Messages hold what changed since the one before.
+// A Totals belongs to one process. In an aggregator it contains the reports of the group
+// and the sums of the other groups. It returns the sum of its group for other aggregators
+// and, for each process, the sum of everything except the work of that process. Messages
+// contain the changes since the previous message.
 package sums
 
 import (
@@ -18,25 +17,25 @@
 )
 
 const (
-	// maxEvents bounds the prefixes and refused callers that wait to be passed on, and
-	// the crashes.
+	// maxEvents limits the stored prefixes and refused callers, and separately the stored
+	// crashes.
 	maxEvents = 4096
-	// keepEvents is how long they are sent to a new destination: a caller may be
-	// refused before the process that it returns to is reached.
-	keepEvents = 5 * clock.Second
-	// keepNone is how long an endpoint without work is kept, so that every
-	// destination receives the change.
-	keepNone = 10 * clock.Second
+	// eventLifetime is how long events are sent to a new destination. A caller may be
+	// refused before the process that it returns to has connected.
+	eventLifetime = 5 * clock.Second
+	// emptyLifetime is how long an endpoint without work is kept, so that every destination
+	// receives the change.
+	emptyLifetime = 10 * clock.Second
 )
 
-// Source names who sent sums: a process of the group, or the aggregator of
-// another one.
+// Source identifies the sender of a message: a process of the group or, with OtherGroup,
+// the aggregator of another group.
 type Source struct {
 	Process    string
 	OtherGroup bool
 }
 
-// ReportError is returned for sums that contradict themselves or earlier ones.
+// ReportError is returned for a message with invalid values.
 type ReportError struct {
 	Process string
 	Cause   string
@@ -45,46 +44,45 @@
 // Error implements error.
 func (e *ReportError) Error() string { return fmt.Sprintf("report of %q: %s", e.Process, e.Cause) }
 
-// UnknownSourceError is returned for changes of a source that has not sent whole sums yet;
-// the receiver has to request them.
+// UnknownSourceError is returned for changes from a source that has not sent a full
+// message yet. The receiver has to request one.
 type UnknownSourceError struct {
 	Process string
 }
 
 // Error implements error.
 func (e *UnknownSourceError) Error() string {
-	return fmt.Sprintf("nothing is known of %q yet", e.Process)
+	return fmt.Sprintf("no full report from %q yet", e.Process)
 }
 
-// entry is the work at one endpoint.
+// entry is the work at one endpoint: that of the group, and that of all sources.
 type entry struct {
 	group, all wire.Work
-	// changed and urgentAt are the steps of the last change, and of the last one
-	// that was urgent.
+	// changed and urgentAt are the steps of the last change and of the last urgent change.
 	changed, urgentAt uint64
-	noneSince         clock.Millis
+	emptySince        clock.Millis
 }
 
-// reported is what one source sent last.
-type reported struct {
-	work    map[string]wire.Work
-	pools   []wire.PoolLoad
-	poolsAt clock.Millis
-	inflow  []wire.Inflow
-	seen    []wire.Seen
-	members []wire.Presence
-	trials  []wire.Trial
-	// interest is the endpoints that a process uses normally, nil for all.
+// sourceState is the last state reported by one source.
+type sourceState struct {
+	work      map[string]wire.Work
+	pools     []wire.PoolLoad
+	regularAt clock.Millis
+	inflow    []wire.Inflow
+	seen      []wire.Seen
+	members   []wire.Presence
+	trials    []wire.Trial
+	// interest is the set of endpoints that a process normally uses, nil for all.
 	interest map[string]bool
-	// interestAt is the step at which it changed.
+	// interestAt is the step of the last change of interest.
 	interestAt uint64
-	at         clock.Millis
-	// silent is set after a long time without messages: the source does not count
-	// until the next one.
-	silent bool
+	receivedAt clock.Millis
+	// stale is set after a long time without messages. The source is excluded from the sums
+	// until its next message.
+	stale bool
 }
 
-// event is something that happened at a source, to be passed on once.
+// event is a single event at a source. It is forwarded once to each destination.
 type event struct {
 	from    Source
 	at      clock.Millis
@@ -93,63 +91,63 @@
 	crash   *wire.Crash
 }
 
-// events are the newest ones, in order.
+// events are the newest events in order.
 type events struct {
 	all []event
-	// dropped is how many were dropped from the front.
+	// dropped is the number of events that were removed from the front.
 	dropped uint64
 }
 
-func (e *events) add(one event) { e.all = append(e.all, one) }
+func (e *events) add(added event) { e.all = append(e.all, added) }
 
-// bound drops the oldest where there are too many.
-func (e *events) bound(most int) {
-	if surplus := len(e.all) - most; surplus > 0 {
+// trim removes the oldest events above the limit.
+func (e *events) trim(limit int) {
+	if surplus := len(e.all) - limit; surplus > 0 {
 		e.all = append([]event(nil), e.all[surplus:]...)
 		e.dropped += uint64(surplus)
 	}
 }
 
-// since returns the events from a number on, and the number of the next one.
+// since returns the events from a number on, and the number of the next event.
 func (e *events) since(number uint64) (newer []event, next uint64) {
 	from := max(number, e.dropped) - e.dropped
 	return e.all[min(from, uint64(len(e.all))):], e.dropped + uint64(len(e.all))
 }
 
-// Totals adds up sums. It is safe for use by several goroutines.
+// Totals adds up the reports of sources. It is safe for concurrent use.
 type Totals struct {
 	mu      sync.Mutex
 	step    uint64
 	entries map[string]*entry
-	sources map[Source]*reported
+	sources map[Source]*sourceState
 	events  events
-	// crashes are events of their own: a burst of others drops none of them.
+	// crashes are kept separately, so that a burst of other events does not remove any.
 	crashes events
 }
 
-// New returns an empty book.
+// New returns empty totals.
 func New() *Totals {
-	return &Totals{entries: make(map[string]*entry), sources: make(map[Source]*reported)}
+	return &Totals{entries: make(map[string]*entry), sources: make(map[Source]*sourceState)}
 }
 
-// Check returns a ReportError if sums can't be right.
+// Check returns a ReportError if a message contains invalid values.
 func Check(from Source, sums *wire.Sums) error {
 	for _, work := range sums.Work {
 		switch {
 		case work.Endpoint == "":
-			return &ReportError{Process: from.Process, Cause: "work at no endpoint"}
+			return &ReportError{Process: from.Process, Cause: "work without an endpoint"}
 		case work.Running < 0 || work.Prefill < 0 || work.Memory < 0 || work.Planned < 0:
 			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("negative work at endpoint %q", work.Endpoint)}
 		}
 	}
 	for _, load := range sums.Pools {
 		if load.Pool == "" || load.Age < 0 || load.Engines < 0 || load.Free < 0 {
-			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("impossible load of pool %q", load.Pool)}
+			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid load of pool %q", load.Pool)}
 		}
 	}
 	for _, seen := range sums.Seen {
 		if seen.Age < 0 || seen.Changed > seen.Revision {
-			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("impossible revision of %q", seen.Kind)}
+			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid revision of %q", seen.Kind)}
 		}
 	}
 	return checkTrials(from, sums.Trials)
@@ -157,15 +155,15 @@
 
 func checkTrials(from Source, trials []wire.Trial) error {
 	for i := range trials {
-		if !possible(&trials[i]) {
-			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("impossible trial of pool %q", trials[i].Pool)}
+		if !validTrial(&trials[i]) {
+			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid trial of pool %q", trials[i].Pool)}
 		}
 	}
 	return nil
 }
 
-// setOf returns the set of some names, nil for none.
-func setOf(names []string) map[string]bool {
+// toSet returns the names as a set, nil if there are none.
+func toSet(names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
 	}
@@ -176,180 +174,184 @@
 	return set
 }
 
-// possible reports whether the counts of a trial can be right.
-func possible(trial *wire.Trial) bool {
+// validTrial reports whether the counts of a trial are consistent.
+func validTrial(trial *wire.Trial) bool {
 	if trial.Pool == "" || trial.Sent < 0 || trial.Failed < 0 || trial.Answers < trial.Failed || trial.Took < 0 {
 		return false
 	}
 	return !slices.ContainsFunc(trial.Spread, func(count int64) bool { return count < 0 })
 }
 
-// Put takes sums and returns the endpoints whose work changed. The first sums of
-// a source must be whole; others return an UnknownError.
-func (b *Totals) Put(from Source, sums *wire.Sums, now clock.Millis) ([]string, error) {
+// Put processes a message and returns the endpoints whose work has changed. It returns a
+// ReportError for invalid values and an UnknownSourceError if the first message of a
+// source is not a full one.
+func (t *Totals) Put(from Source, sums *wire.Sums, now clock.Millis) ([]string, error) {
 	if err := Check(from, sums); err != nil {
 		return nil, err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.sources[from]
-	if known == nil {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state := t.sources[from]
+	if state == nil {
 		if !sums.Whole {
 			return nil, &UnknownSourceError{Process: from.Process}
 		}
-		known = &reported{work: make(map[string]wire.Work)}
-		b.sources[from] = known
+		state = &sourceState{work: make(map[string]wire.Work)}
+		t.sources[from] = state
 	}
-	b.step++
-	known.at = now
-	changed := b.revive(from, known, now)
+	t.step++
+	state.receivedAt = now
+	changed := t.include(from, state, now)
 	if sums.Whole {
-		changed = append(changed, b.clear(from, known, sums, now)...)
+		changed = append(changed, t.clearMissing(from, state, sums, now)...)
 	}
 	for _, work := range sums.Work {
-		if b.set(from, known, work, sums.Urgent, now) {
+		if t.setWork(from, state, work, sums.Urgent, now) {
 			changed = append(changed, work.Endpoint)
 		}
 	}
 	if sums.Regular {
-		known.pools, known.poolsAt, known.inflow, known.seen = sums.Pools, now, sums.Inflow, sums.Seen
+		state.pools, state.regularAt, state.inflow, state.seen = sums.Pools, now, sums.Inflow, sums.Seen
 	}
 	if sums.HasMembers {
-		known.members = sums.Members
+		state.members = sums.Members
 	}
 	if sums.HasTrials {
-		known.trials = sums.Trials
+		state.trials = sums.Trials
 	}
 	if sums.HasInterest {
-		known.interest, known.interestAt = setOf(sums.Interest), b.step
+		state.interest, state.interestAt = toSet(sums.Interest), t.step
 	}
-	b.note(from, sums, now)
+	t.recordEvents(from, sums, now)
 	return changed, nil
 }
 
-// clear sets to none what whole sums no longer hold. The caller holds the lock.
-func (b *Totals) clear(from Source, known *reported, sums *wire.Sums, now clock.Millis) []string {
-	held := make(map[string]bool, len(sums.Work))
+// clearMissing removes the work that a full message does not contain any more, and returns
+// the endpoints. The caller must hold t.mu.
+func (t *Totals) clearMissing(from Source, state *sourceState, sums *wire.Sums, now clock.Millis) []string {
+	present := make(map[string]bool, len(sums.Work))
 	for _, work := range sums.Work {
-		held[work.Endpoint] = true
+		present[work.Endpoint] = true
 	}
 	var cleared []string
-	for endpoint := range known.work {
-		if !held[endpoint] && b.set(from, known, wire.Work{Endpoint: endpoint}, false, now) {
+	for endpoint := range state.work {
+		if !present[endpoint] && t.setWork(from, state, wire.Work{Endpoint: endpoint}, false, now) {
 			cleared = append(cleared, endpoint)
 		}
 	}
 	return cleared
 }
 
-// set replaces the work of a source at one endpoint and reports whether that
-// changed anything. The caller holds the lock.
-func (b *Totals) set(from Source, known *reported, work wire.Work, urgent bool, now clock.Millis) bool {
-	change := work.Minus(known.work[work.Endpoint])
+// setWork replaces the work of a source at one endpoint and reports whether it changed. The
+// caller must hold t.mu.
+func (t *Totals) setWork(from Source, state *sourceState, work wire.Work, urgent bool, now clock.Millis) bool {
+	change := work.Minus(state.work[work.Endpoint])
 	if change.None() {
 		return false
 	}
 	if work.None() {
-		delete(known.work, work.Endpoint)
+		delete(state.work, work.Endpoint)
 	} else {
-		known.work[work.Endpoint] = work
+		state.work[work.Endpoint] = work
 	}
-	b.add(from, work.Endpoint, change, urgent, now)
+	t.addWork(from, work.Endpoint, change, urgent, now)
 	return true
 }
 
-// add changes the sums at one endpoint. The caller holds the lock.
-func (b *Totals) add(from Source, endpoint string, change wire.Work, urgent bool, now clock.Millis) {
-	e := b.entries[endpoint]
+// addWork adds a change to the sums at one endpoint. The caller must hold t.mu.
+func (t *Totals) addWork(from Source, endpoint string, change wire.Work, urgent bool, now clock.Millis) {
+	e := t.entries[endpoint]
 	if e == nil {
 		e = &entry{}
-		b.entries[endpoint] = e
+		t.entries[endpoint] = e
 	}
 	e.all = e.all.Plus(change)
 	if !from.OtherGroup {
 		e.group = e.group.Plus(change)
 	}
-	e.changed = b.step
+	e.changed = t.step
 	if urgent {
-		e.urgentAt = b.step
+		e.urgentAt = t.step
 	}
 	if e.all.None() {
-		e.noneSince = now
+		e.emptySince = now
 	}
 }
 
-// mute takes the work of a source out of the sums and returns the endpoints. The
-// caller holds the lock.
-func (b *Totals) mute(from Source, known *reported, now clock.Millis) []string {
-	if known.silent {
+// exclude removes the work of a source from the sums and returns the endpoints. The caller
+// must hold t.mu.
+func (t *Totals) exclude(from Source, state *sourceState, now clock.Millis) []string {
+	if state.stale {
 		return nil
 	}
-	known.silent = true
-	b.step++
-	endpoints := make([]string, 0, len(known.work))
-	for endpoint, work := range known.work {
-		b.add(from, endpoint, wire.Work{}.Minus(work), false, now)
+	state.stale = true
+	t.step++
+	endpoints := make([]string, 0, len(state.work))
+	for endpoint, work := range state.work {
+		t.addWork(from, endpoint, wire.Work{}.Minus(work), false, now)
 		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints
 }
 
-// revive adds the work of a source that was silent. The caller holds the lock.
-func (b *Totals) revive(from Source, known *reported, now clock.Millis) []string {
-	if !known.silent {
+// include adds the work of a stale source to the sums again and returns the endpoints. The
+// caller must hold t.mu.
+func (t *Totals) include(from Source, state *sourceState, now clock.Millis) []string {
+	if !state.stale {
 		return nil
 	}
-	known.silent = false
-	endpoints := make([]string, 0, len(known.work))
-	for endpoint, work := range known.work {
-		b.add(from, endpoint, work, false, now)
+	state.stale = false
+	endpoints := make([]string, 0, len(state.work))
+	for endpoint, work := range state.work {
+		t.addWork(from, endpoint, work, false, now)
 		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints
 }
 
-// note enters what happened at a source. The caller holds the lock.
-func (b *Totals) note(from Source, sums *wire.Sums, now clock.Millis) {
+// recordEvents stores the events of a message. The caller must hold t.mu.
+func (t *Totals) recordEvents(from Source, sums *wire.Sums, now clock.Millis) {
 	for i := range sums.Prefixes {
-		b.events.add(event{from: from, at: now, prefix: &sums.Prefixes[i]})
+		t.events.add(event{from: from, at: now, prefix: &sums.Prefixes[i]})
 	}
 	for i := range sums.Refused {
-		b.events.add(event{from: from, at: now, refused: &sums.Refused[i]})
+		t.events.add(event{from: from, at: now, refused: &sums.Refused[i]})
 	}
 	for i := range sums.Crashes {
-		b.crashes.add(event{from: from, at: now, crash: &sums.Crashes[i]})
+		t.crashes.add(event{from: from, at: now, crash: &sums.Crashes[i]})
 	}
-	b.events.bound(maxEvents)
-	b.crashes.bound(maxEvents)
+	t.events.trim(maxEvents)
+	t.crashes.trim(maxEvents)
 }
 
-// Remove forgets a source and returns the endpoints whose work changed.
-func (b *Totals) Remove(from Source, now clock.Millis) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.sources[from]
-	if known == nil {
+// Remove removes a source and returns the endpoints whose work has changed.
+func (t *Totals) Remove(from Source, now clock.Millis) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state := t.sources[from]
+	if state == nil {
 		return nil
 	}
-	delete(b.sources, from)
-	return b.mute(from, known, now)
+	delete(t.sources, from)
+	return t.exclude(from, state, now)
 }
 
-// ExcludeStale leaves sources out of the sums, but for one process's own, that were last
-// received before an instant. It returns them and the endpoints whose work changed.
-func (b *Totals) ExcludeStale(self string, before, now clock.Millis) (silent []Source, changed []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for from, known := range b.sources {
-		if known.at < before && !known.silent && from != (Source{Process: self}) {
-			silent = append(silent, from)
-			changed = append(changed, b.mute(from, known, now)...)
+// ExcludeStale excludes the sources whose last message is older than an instant from the
+// sums, except the process self. It returns these sources and the endpoints whose work has
+// changed.
+func (t *Totals) ExcludeStale(self string, before, now clock.Millis) (stale []Source, changed []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for from, state := range t.sources {
+		if state.receivedAt < before && !state.stale && from != (Source{Process: self}) {
+			stale = append(stale, from)
+			changed = append(changed, t.exclude(from, state, now)...)
 		}
 	}
-	for endpoint, e := range b.entries {
-		if e.all.None() && now-e.noneSince > keepNone {
-			delete(b.entries, endpoint)
+	for endpoint, e := range t.entries {
+		if e.all.None() && now-e.emptySince > emptyLifetime {
+			delete(t.entries, endpoint)
 		}
 	}
-	return silent, changed
+	return stale, changed
 }
