--- a/internal/flow/spill/spill.go
+++ b/internal/flow/spill/spill.go
@@ -48,17 +48,17 @@
 
 // Choose returns the index of the shard with the lowest cost. The function pick returns
 // a random number below its argument.
-func Choose(shards []Shard, want Preference, pick func(n int) int) int {
+func Choose(shards []Shard, preferred Preference, pick func(n int) int) int {
 	best, least := None, 0.0
 	consider := func(i int) {
-		if cost := shards[i].cost(want); !shards[i].Tried && (best == None || cost < least) {
+		if cost := shards[i].cost(preferred); !shards[i].Tried && (best == None || cost < least) {
 			best, least = i, cost
 		}
 	}
 	var others []int
 	for i := range shards {
 		switch {
-		case shards[i].Zone == want.Zone:
+		case shards[i].Zone == preferred.Zone:
 			consider(i)
 		case shards[i].Known && !shards[i].Tried:
 			others = append(others, i)
@@ -88,10 +88,10 @@
 	return None
 }
 
-func (s *Shard) cost(want Preference) float64 {
+func (s *Shard) cost(preferred Preference) float64 {
 	cost := s.Wait
-	if s.Zone != want.Zone {
-		cost += max(float64(want.ExtraWait), leaveZoneMs)
+	if s.Zone != preferred.Zone {
+		cost += max(float64(preferred.ExtraWait), leaveZoneMs)
 	}
 	if s.Known && s.Staleness > staleAfter {
 		cost += staleOwnerMs
--- a/internal/flow/spill/spill_test.go
+++ b/internal/flow/spill/spill_test.go
@@ -25,7 +25,7 @@
 // Guards against pieces that are sent to a shard that does not process them: its owner
 // does not report, an earlier attempt failed, or the shard is unknown.
 func TestUncertainShardsAreAvoided(t *testing.T) {
-	want := spill.Preference{Zone: "a"}
+	preferred := spill.Preference{Zone: "a"}
 	for name, tt := range map[string]struct {
 		shards []spill.Shard
 		want   int
@@ -39,7 +39,7 @@
 		"undivided pool":    {[]spill.Shard{{Known: true, Wait: 5000}}, 0},
 		"no shards":         {nil, spill.None},
 	} {
-		assert.Equal(t, spill.Choose(tt.shards, want, first), tt.want, name)
+		assert.Equal(t, spill.Choose(tt.shards, preferred, first), tt.want, name)
 	}
 }
 
