--- a/internal/serve/gate/accept.go
+++ b/internal/serve/gate/accept.go
@@ -16,11 +16,11 @@
 	"github.com/jujubescale/jujubescale/internal/serve/target"
 )
 
-// request is one request of a caller on its way.
+// request is the state of one caller's request.
 type request struct {
 	spell.Demand
-	// parts names the parts of the prompt among processes.
-	parts []target.Key
+	// partKeys identify the parts of the prompt in messages between processes.
+	partKeys []target.Key
 
 	routes       *table.Table
 	route        *table.Route
@@ -33,87 +33,93 @@
 	host   string
 	header http.Header
 	body   []byte
-	// key is set by crashKey. trial says that the request is let through although it is
-	// quarantined.
-	key   crash.Key
-	trial bool
+	// crashID is computed by crashKey on first use. quarantineTrial marks a quarantined
+	// request that may run once to check whether it still crashes endpoints.
+	crashID         crash.Key
+	quarantineTrial bool
 
-	// tried at the candidate version, if the pool's rollout runs.
+	// canary marks a request that goes to the candidate version of the pool's rollout, if
+	// one runs.
 	canary bool
 
 	began clock.Millis
-	// arrived is when the caller's first attempt did, as far as is known, and
-	// returned says that this one comes back as it was told.
-	arrived  clock.Millis
-	returned bool
-	// behind says that it was begun although it will be late.
-	behind    bool
-	objective clock.Millis
-	deadline  clock.Millis
+	// firstArrival is when the caller's first attempt arrived, as far as known.
+	// afterRefusal marks a request that was refused earlier and sent again as the refusal
+	// asked.
+	firstArrival clock.Millis
+	afterRefusal bool
+	// admittedLate marks a request that was admitted although it will probably miss its
+	// objective.
+	admittedLate bool
+	neededBy     clock.Millis
+	deadline     clock.Millis
 
 	run *graph.Run
-	// wish is the availability zone where the request will probably run, and
-	// generation how long it will take there to its first event.
-	wish       string
-	generation clock.Millis
-	// planned is the engine that will probably generate, plannedTokens what it
-	// has to read then.
-	planned       *target.Target
+	// preferredZone is the availability zone where the request will probably run, and
+	// generationEstimate the expected time from its start there to its first event.
+	preferredZone      string
+	generationEstimate clock.Millis
+	// plannedTarget is the engine that will probably run the generation, and plannedTokens
+	// the number of prompt tokens that it will have to read.
+	plannedTarget *target.Target
 	plannedTokens int64
-	made          map[string]madeAt // where references lie
-
-	// sent counts the endpoints that the request was sent to, tried holds them.
-	sent  int
-	tried []*view.Endpoint
-	// missed counts endpoints that could not be reached, restarts how often the
-	// stages were run again because a result was lost.
-	missed   int
-	restarts int
-	// mayHaveRun says that some endpoint may have run the request.
+	results       map[string]resultLocation // by reference
+
+	// sentCount is the number of endpoints that the request was sent to; tried also
+	// contains those that could not be reached.
+	sentCount int
+	tried     []*view.Endpoint
+	// unreachable is the number of endpoints that could not be reached. stageRestarts is
+	// how often the stages were run again because a result was lost.
+	unreachable   int
+	stageRestarts int
+	// mayHaveRun is set if an endpoint may have run the request.
 	mayHaveRun bool
-	// estimate is how long the stages and the first event were expected to take,
-	// stages how long the stages took, first when the first event came.
-	estimate clock.Millis
-	stages   clock.Millis
-	first    clock.Millis
-	// binding is the pool whose queue was too long to begin.
-	binding string
+	// estimate is the expected time of the stages and the first event. stagesTime is how
+	// long the stages took, firstEventTime the time from arrival to the first event.
+	estimate       clock.Millis
+	stagesTime     clock.Millis
+	firstEventTime clock.Millis
+	// bottleneck is the pool whose queue was too long to admit the request.
+	bottleneck string
 	// spans are the times of the stages, in the order in which they ended.
 	spans []span
-	// held is the time until the first send, in the stages and in waiting.
-	held clock.Millis
-	// begun says that the caller has got the head of an answer, whose status it is.
-	begun  bool
-	status int
-	events int
-	last   *view.Endpoint
+	// timeToSend is the time from arrival to the first attempt. It includes the stages and
+	// the wait for an endpoint.
+	timeToSend clock.Millis
+	// headSent is set once the caller has received the head of an answer; status is the
+	// status code of that answer.
+	headSent     bool
+	status       int
+	eventCount   int
+	lastEndpoint *view.Endpoint
 }
 
-// madeAt tells where a result of a stage lies.
-type madeAt struct {
+// resultLocation is the place where the result of a stage is stored.
+type resultLocation struct {
 	pool     string
 	endpoint string
 	zone     string
 	bytes    int64
 }
 
-// accept reads a request and checks everything that can be known without
-// asking anybody. A request that is refused here reaches no endpoint.
+// accept reads a request and runs all checks that need no other process. A request that it
+// refuses reaches no endpoint.
 func (g *Gate) accept(w http.ResponseWriter, r *http.Request, now clock.Millis) (*request, *fault.RefusalError) {
-	req := &request{began: now, arrived: now, method: r.Method, host: r.Host, target: r.RequestURI, header: r.Header}
+	req := &request{began: now, firstArrival: now, method: r.Method, host: r.Host, target: r.RequestURI, header: r.Header}
 	demand, err := g.Spelling.DemandFunc(r.Header)
 	req.Demand = demand
-	req.parts = target.KeysOf(demand.Parts)
+	req.partKeys = target.KeysOf(demand.Parts)
 	if len(r.TransferEncoding) > 0 {
-		// Where a length and chunks are both given, two readers may see two
-		// different ends of the body. What follows on such a connection is not
-		// read as another request.
+		// If a request has both a Content-Length and chunked encoding, two readers may
+		// disagree on where the body ends. The connection is closed so that the following
+		// bytes are not parsed as another request.
 		w.Header().Set("Connection", "close")
 	}
 	if err != nil {
 		return req, fault.Refuse(fault.BadRequest, err.Error())
 	}
-	if refused := g.admit(req, r); refused != nil {
+	if refused := g.resolveRoute(req, r); refused != nil {
 		return req, refused
 	}
 	if refused := readBody(w, r, req); refused != nil {
@@ -122,11 +128,12 @@
 	if refused := g.refuseQuarantined(req); refused != nil {
 		return req, refused
 	}
-	return req, g.shape(req)
+	return req, g.prepareStages(req)
 }
 
-// admit finds route and organisation.
-func (g *Gate) admit(req *request, r *http.Request) *fault.RefusalError {
+// resolveRoute sets the route, pool, organisation, priority, objective and deadline of the
+// request.
+func (g *Gate) resolveRoute(req *request, r *http.Request) *fault.RefusalError {
 	routes := g.Table()
 	if routes == nil || !g.View().Complete() {
 		return fault.Refuse(fault.NotReady, "no configuration yet")
@@ -140,20 +147,20 @@
 	if req.route == nil {
 		return fault.Refuse(fault.UnknownRoute, "")
 	}
-	holder := routes.Holder(req.Key)
-	if holder == nil && routes.NeedsKey(req.route) {
+	organisation := routes.Holder(req.Key)
+	if organisation == nil && routes.NeedsKey(req.route) {
 		return fault.Refuse(fault.Unauthorized, "")
 	}
-	if holder != nil {
-		req.organisation = holder.Name
+	if organisation != nil {
+		req.organisation = organisation.Name
 	}
-	req.priority = table.Priority(req.route, holder)
+	req.priority = table.Priority(req.route, organisation)
 	req.pool = routes.Pool(req.route.Pool(req.Request))
 	if req.pool == nil {
-		return fault.Refuse(fault.NoEndpoint, "the route names no pool")
+		return fault.Refuse(fault.NoEndpoint, "the route's pool is not configured")
 	}
 	req.canary = g.Deploy.Draw(req.pool.Name, req.route.Name)
-	req.objective = req.began + req.route.Objective
+	req.neededBy = req.began + req.route.Objective
 	req.deadline = req.began + req.route.Timeout
 	if req.Deadline > 0 {
 		req.deadline = min(req.deadline, req.began+req.Deadline)
@@ -161,37 +168,37 @@
 	return nil
 }
 
-// readBody reads the whole body, so that a caller that leaves in the middle of
-// it has started nothing.
+// readBody reads the complete body before anything else starts, so that a caller that
+// disconnects during the upload causes no work.
 func readBody(w http.ResponseWriter, r *http.Request, req *request) *fault.RefusalError {
-	most := req.routes.Limits.MaxBodyBytes
-	if most > 0 && r.ContentLength > most {
+	limit := req.routes.Limits.MaxBodyBytes
+	if limit > 0 && r.ContentLength > limit {
 		w.Header().Set("Connection", "close")
 		return fault.Refuse(fault.BodyTooLarge, "")
 	}
-	from := r.Body
-	if most > 0 {
-		from = http.MaxBytesReader(w, r.Body, most)
+	reader := r.Body
+	if limit > 0 {
+		reader = http.MaxBytesReader(w, r.Body, limit)
 	}
 	var err error
 	if r.ContentLength > 0 {
 		req.body = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(from, req.body)
+		_, err = io.ReadFull(reader, req.body)
 	} else {
-		req.body, err = io.ReadAll(from)
+		req.body, err = io.ReadAll(reader)
 	}
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
 		return fault.Refuse(fault.BodyTooLarge, "")
 	case err != nil:
-		return fault.Refuse(fault.Cancelled, "the body did not arrive: "+err.Error())
+		return fault.Refuse(fault.Cancelled, "reading the request body: "+err.Error())
 	}
 	return nil
 }
 
-// shape prepares the stages that the request's route has.
-func (g *Gate) shape(req *request) *fault.RefusalError {
+// prepareStages sets up the stages of the request's route, if it has any.
+func (g *Gate) prepareStages(req *request) *fault.RefusalError {
 	if len(req.route.Stages) == 0 {
 		return nil
 	}
@@ -200,20 +207,21 @@
 		return fault.Refuse(fault.BadRequest, err.Error())
 	}
 	req.run = run
-	req.made = make(map[string]madeAt)
-	g.recognise(req)
+	req.results = make(map[string]resultLocation)
+	g.applyEarlierRefusal(req)
 	return nil
 }
 
-// hopHeaders concern one connection only and are never passed on.
+// hopHeaders apply to a single connection and are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Host": true, "Expect": true,
 }
 
-// named returns the headers that a Connection header adds to the hop headers.
-func named(header http.Header) map[string]bool {
+// connectionHeaders returns the additional hop-by-hop headers that a Connection header
+// lists.
+func connectionHeaders(header http.Header) map[string]bool {
 	var names map[string]bool
 	for _, line := range header["Connection"] {
 		for _, token := range strings.Split(line, ",") {
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -19,95 +19,95 @@
 )
 
 const (
-	// reuseIdle and reuseUnsafe bound how long a connection may have been unused
-	// before it carries a request. An endpoint that drops it just then leaves
-	// open whether the request ran, which costs a request that may run once its
-	// answer.
-	reuseIdle   = 4 * clock.Second
-	reuseUnsafe = 300 * clock.Millis(1)
-	// maxPlainBytes is the largest answer that is read whole before any of it is
-	// passed on; the largest of the users' plain answers has 5 KB.
+	// maxReuseIdle and maxReuseIdleUnsafe bound how long a connection may have been idle
+	// before it is reused, for idempotent routes and for others. If the endpoint closes the
+	// connection just as the request is sent, it is unknown whether the request ran, and a
+	// request that must not be repeated gets no answer.
+	maxReuseIdle       = 4 * clock.Second
+	maxReuseIdleUnsafe = 300 * clock.Millis(1)
+	// maxPlainBytes bounds an answer that is read completely before it is passed on. The
+	// largest plain answers of known users have 5 KB.
 	maxPlainBytes = 1 << 20
-	// fullBar is how long an endpoint that was full gets nothing.
-	fullBar = 80 * clock.Millis(1)
-	// headBytes is the usual size of a request's head.
-	headBytes = 1 << 10
-	// stallTimes is how many objectives an endpoint may take for the first byte
-	// of an answer while another endpoint may still be tried.
-	stallTimes = 2.5
-	// stallStream bounds pauses of a stream that another engine could go on
-	// with: several times those that a busy engine makes.
-	stallStream = 1800 * clock.Millis(1)
+	// fullBackoff is how long an endpoint is blocked after it was found full.
+	fullBackoff = 80 * clock.Millis(1)
+	// headCapacity is the usual size of a request's head, in bytes.
+	headCapacity = 1 << 10
+	// stallObjectives is the number of the route's objectives that an endpoint may take for
+	// the first byte of an answer while another endpoint may still be tried.
+	stallObjectives = 2.5
+	// streamStallTimeout bounds the pauses of a stream that another engine could resume. It
+	// is several times the pauses that a busy engine makes.
+	streamStallTimeout = 1800 * clock.Millis(1)
 )
 
-// attempt sends the request to one endpoint and passes its answer on.
-func (g *Gate) attempt(ctx context.Context, w http.ResponseWriter, req *request, chosen choice) result {
+// attempt sends the request to one endpoint and passes the answer on.
+func (g *Gate) attempt(ctx context.Context, w http.ResponseWriter, req *request, chosen choice) attemptResult {
 	t := chosen.target
 	req.tried = append(req.tried, t.Endpoint)
-	req.last = t.Endpoint
+	req.lastEndpoint = t.Endpoint
 	now := g.Clock.Now()
 	g.Log.Info("request sent", "request", req.Request, "route", req.route.Name, "pool", req.pool.Name,
 		"endpoint", t.ID, "version", t.Version, "running", t.Load.Running.Load(), "peerRunning", t.Load.PeerRunning.Load(),
 		"prefill", t.Load.Prefill.Load()+t.Load.PeerPrefill.Load(), "unread", chosen.unread, "delayMs", int64(chosen.delay),
-		"zone", t.Zone, "wish", req.wish, "farBytes", req.farBytes(t.Zone), "cold", t.Cold(now), "heardMs", int64(now-t.UpdatedAt()), "sent", req.sent, "timeLeftMs", int64(req.deadline-now))
-	l := g.countLoad(t, req, chosen)
-	defer l.end()
+		"zone", t.Zone, "wish", req.preferredZone, "farBytes", req.remoteBytes(t.Zone), "cold", t.Cold(now), "heardMs", int64(now-t.UpdatedAt()), "sent", req.sentCount, "timeLeftMs", int64(req.deadline-now))
+	l := g.addLoad(t, req, chosen)
+	defer l.release()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := g.watchStall(req, cancel)
-	defer stall.stop()
+	timer := g.startStallTimer(req, cancel)
+	defer timer.stop()
 	if req.pool.Generation != nil {
-		g.spareInputs(req, t)
+		g.releaseInputsEarly(req, t)
 	}
-	result := g.exchange(ctx, w, req, l, stall)
-	g.noteAttempt(ctx, req, t, result)
+	result := g.exchange(ctx, w, req, l, timer)
+	g.recordAttempt(ctx, req, t, result)
 	return result
 }
 
-// exchange sends the request to the endpoint of a load and passes the answer on.
-func (g *Gate) exchange(ctx context.Context, w http.ResponseWriter, req *request, l *load, s *stall) result {
+// exchange sends the request to the endpoint of l and passes the answer on.
+func (g *Gate) exchange(ctx context.Context, w http.ResponseWriter, req *request, l *attemptLoad, timer *stallTimer) attemptResult {
 	t, now := l.target, g.Clock.Now()
-	reply, err := t.Conns.Do(ctx, g.request(req, t, now))
+	reply, err := t.Conns.Do(ctx, g.buildRequest(req, t, now))
 	if err != nil {
-		return g.noReply(ctx, req, t, l, err)
+		return g.handleNoReply(ctx, req, t, l, err)
 	}
 	defer reply.Finish()
-	req.sent++
-	return g.takeReply(w, req, t, reply, l, s, now)
+	req.sentCount++
+	return g.handleReply(w, req, t, reply, l, timer, now)
 }
 
-// longPrompt is the number of tokens to read, about 30 ms of an engine's time,
-// from which all other processes are told at once that a prompt is sent. They
-// choose engines by the same parts of prompts; told only with the next regular
-// message, several would send theirs to one engine, where they wait for each other.
+// longPrompt is the number of unread prompt tokens, about 30 ms of an engine's time, from
+// which peers are sent a report at once. Peers choose engines by the same prompt parts;
+// with the next regular report alone, several processes would send such prompts to one
+// engine, where they would queue behind each other.
 const longPrompt = 1500
 
-// load is one request's part in the load of an endpoint.
-type load struct {
+// attemptLoad is what one attempt adds to the load of an endpoint.
+type attemptLoad struct {
 	target  *target.Target
 	prefill int64
 	memory  int64
-	// trial counts the answer while a rollout of the pool runs.
-	trial *deploy.Attempt
-	// alone says that no other prompt was to be read there when it was sent.
-	alone bool
-	from  clock.Millis
+	// rolloutAttempt counts the answer while a rollout of the pool runs.
+	rolloutAttempt *deploy.Attempt
+	// onlyPrompt is set if the endpoint had no other prompt to read when this one was sent.
+	onlyPrompt bool
+	sentAt     clock.Millis
 }
 
-func (g *Gate) countLoad(t *target.Target, req *request, chosen choice) *load {
-	l := &load{target: t}
+func (g *Gate) addLoad(t *target.Target, req *request, chosen choice) *attemptLoad {
+	l := &attemptLoad{target: t}
 	expected := deploy.AnswerUnit
 	if req.pool.Generation != nil {
-		expected = float64(generationTime) + chosen.delay
+		expected = float64(minGenerationTime) + chosen.delay
 		l.prefill = chosen.unread
-		l.memory = req.PromptTokens + req.outputTokens()
-		g.prefixes.Sent(t, req.parts)
+		l.memory = req.PromptTokens + req.expectedOutput()
+		g.prefixes.Sent(t, req.partKeys)
 	}
-	l.trial = g.Deploy.Begin(t.Endpoint, req.route.Name, 1, expected)
+	l.rolloutAttempt = g.Deploy.Begin(t.Endpoint, req.route.Name, 1, expected)
 	t.Load.Running.Add(1)
-	l.alone = t.Load.Prefill.Load()+t.Load.PeerPrefill.Load() == 0
-	l.from = g.Clock.Now()
-	t.Load.AddPrompt(l.prefill, g.rates.of(req.pool.Name).TokensPerMs(), l.from)
+	l.onlyPrompt = t.Load.Prefill.Load()+t.Load.PeerPrefill.Load() == 0
+	l.sentAt = g.Clock.Now()
+	t.Load.AddPrompt(l.prefill, g.readRates.get(req.pool.Name).TokensPerMs(), l.sentAt)
 	t.Load.Memory.Add(l.memory)
 	if l.prefill >= longPrompt {
 		g.mesh.Tell()
@@ -115,59 +115,60 @@
 	return l
 }
 
-// learn takes the time to the first event of a long prompt that nothing waited
-// before.
-func (g *Gate) learn(l *load, pool string) {
-	if l.alone && l.prefill >= longPrompt {
-		g.rates.of(pool).Learn(l.prefill, float64(g.Clock.Since(l.from)-generationTime/2))
+// learnReadRate updates the pool's read rate from the time to the first event of a long
+// prompt that did not queue behind another one.
+func (g *Gate) learnReadRate(l *attemptLoad, pool string) {
+	if l.onlyPrompt && l.prefill >= longPrompt {
+		g.readRates.get(pool).Learn(l.prefill, float64(g.Clock.Since(l.sentAt)-minGenerationTime/2))
 	}
 }
 
-// read notes that the prompt has been read: the first event is there.
-func (l *load) read() {
+// markPromptRead removes the prompt from the load; the first event shows that it was read.
+func (l *attemptLoad) markPromptRead() {
 	l.target.Load.Prefill.Add(-l.prefill)
 	l.prefill = 0
 }
 
-func (l *load) end() {
-	l.read()
-	l.trial.Dropped()
+func (l *attemptLoad) release() {
+	l.markPromptRead()
+	l.rolloutAttempt.Dropped()
 	l.target.Load.Running.Add(-1)
 	l.target.Load.Memory.Add(-l.memory)
 }
 
-// stall ends an attempt whose endpoint keeps silent while another could be tried.
-type stall struct {
-	timer *time.Timer
-	span  clock.Millis
+// stallTimer cancels an attempt whose endpoint sends nothing while another endpoint could
+// be tried.
+type stallTimer struct {
+	timer   *time.Timer
+	timeout clock.Millis
 }
 
-func (g *Gate) watchStall(req *request, cancel context.CancelFunc) *stall {
-	if !req.route.Idempotent() || req.sent+1 >= max(req.route.Attempts, 1) {
-		return &stall{}
+func (g *Gate) startStallTimer(req *request, cancel context.CancelFunc) *stallTimer {
+	if !req.route.Idempotent() || req.sentCount+1 >= max(req.route.Attempts, 1) {
+		return &stallTimer{}
 	}
-	span := clock.Millis(stallTimes * float64(req.route.Objective))
-	s := &stall{span: stallStream}
-	s.timer = time.AfterFunc(span.Duration(), cancel)
+	firstByteTimeout := clock.Millis(stallObjectives * float64(req.route.Objective))
+	s := &stallTimer{timeout: streamStallTimeout}
+	s.timer = time.AfterFunc(firstByteTimeout.Duration(), cancel)
 	return s
 }
 
-// heard puts the end off.
-func (s *stall) heard() {
+// reset restarts the timer with the timeout for pauses of a stream.
+func (s *stallTimer) reset() {
 	if s.timer != nil {
-		s.timer.Reset(s.span.Duration())
+		s.timer.Reset(s.timeout.Duration())
 	}
 }
 
-func (s *stall) stop() {
+func (s *stallTimer) stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 }
 
-// request spells the request for an endpoint.
-func (g *Gate) request(req *request, t *target.Target, now clock.Millis) *conn.Request {
-	head := make([]byte, 0, headBytes)
+// buildRequest encodes the request for an endpoint.
+func (g *Gate) buildRequest(req *request, t *target.Target, now clock.Millis) *conn.Request {
+	head := make([]byte, 0, headCapacity)
 	head = append(head, req.method...)
 	head = append(head, ' ')
 	head = append(head, req.target...)
@@ -192,34 +193,34 @@
 		head = append(head, "\r\n"...)
 	}
 	head = append(head, "\r\n"...)
-	maxIdle := reuseIdle
+	maxIdle := maxReuseIdle
 	if !req.route.Idempotent() {
-		maxIdle = reuseUnsafe
+		maxIdle = maxReuseIdleUnsafe
 	}
 	id := req.Request
 	return &conn.Request{
 		Method: req.method, Head: head, Body: req.body, MaxIdle: maxIdle,
 		OwnFunc: func(header http.Header, fresh bool) bool {
-			belongs := g.Spelling.MarksFunc(header).Request
-			return belongs == id || (belongs == "" && fresh)
+			answerID := g.Spelling.MarksFunc(header).Request
+			return answerID == id || (answerID == "" && fresh)
 		},
 	}
 }
 
-// urgency ranks a generation at its engine: by priority, and behind all others
-// when it is late already.
+// urgency returns the rank of a generation at its engine, 0 first: by priority, and behind
+// the others if it is already late.
 func urgency(req *request, now clock.Millis) int {
-	const lateSteps, most = 5, 9
-	rank := min(max(req.priority, 0)+1, most)
-	if now > req.objective && !req.begun {
-		rank = min(rank+lateSteps, most)
+	const lateRanks, maxRank = 5, 9
+	rank := min(max(req.priority, 0)+1, maxRank)
+	if now > req.neededBy && !req.headSent {
+		rank = min(rank+lateRanks, maxRank)
 	}
 	return rank
 }
 
-// appendHeaders adds the caller's headers that are to be passed on.
+// appendHeaders appends the caller's headers that are forwarded to the endpoint.
 func (g *Gate) appendHeaders(head []byte, header http.Header) []byte {
-	drop := named(header)
+	drop := connectionHeaders(header)
 	for name, values := range header {
 		if hopHeaders[name] || drop[name] || g.Spelling.OwnFunc(name) {
 			continue
@@ -234,73 +235,74 @@
 	return head
 }
 
-// noReply judges an attempt without the head of an answer.
-func (g *Gate) noReply(ctx context.Context, req *request, t *target.Target, l *load, err error) result {
+// handleNoReply returns the result of an attempt that got no head of an answer.
+func (g *Gate) handleNoReply(ctx context.Context, req *request, t *target.Target, l *attemptLoad, err error) attemptResult {
 	now := g.Clock.Now()
 	var full *conn.FullError
 	if errors.As(err, &full) {
-		t.Block(now + fullBar)
-		return result{end: unsent, err: fault.Refuse(fault.QueueFull, err.Error())}
+		t.Block(now + fullBackoff)
+		return attemptResult{outcome: unsent, err: fault.Refuse(fault.QueueFull, err.Error())}
 	}
 	t.Failed(now)
 	var sent *conn.SentError
 	g.Log.Info("endpoint failed", "request", req.Request, "endpoint", t.ID, "sent", errors.As(err, &sent), logs.KeyError, err)
 	if !errors.As(err, &sent) {
-		return result{end: unsent, cause: err, err: fault.Refuse(fault.NoEndpoint, err.Error())}
+		return attemptResult{outcome: unsent, cause: err, err: fault.Refuse(fault.NoEndpoint, err.Error())}
 	}
 	if req.pool.ColdTime > 0 {
-		// A reset may be all that shows of a restart, after which it is cold.
+		// The endpoint may have restarted without any sign but the reset; then it is cold.
 		t.SetCold(now + req.pool.ColdTime)
 	}
 	if ctx.Err() == nil {
-		l.trial.Broke()
+		l.rolloutAttempt.Broke()
 	}
-	req.sent++
+	req.sentCount++
 	req.mayHaveRun = true
-	return result{end: broken, err: fault.Refuse(fault.EndpointFailed, err.Error())}
+	return attemptResult{outcome: broken, err: fault.Refuse(fault.EndpointFailed, err.Error())}
 }
 
-// takeReply judges an answer by its head and passes it on.
-func (g *Gate) takeReply(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *load, s *stall, began clock.Millis) result {
+// handleReply decides by the head of an answer whether to pass it on.
+func (g *Gate) handleReply(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, timer *stallTimer, began clock.Millis) attemptResult {
 	marks := g.Spelling.MarksFunc(reply.Header)
 	if marks.Cold > 0 {
 		t.SetCold(g.Clock.Now() + marks.Cold)
 	}
 	switch {
 	case marks.NotRun || reply.Status == http.StatusMisdirectedRequest:
-		return g.refusedBy(req, t, reply, marks)
+		return g.handleRefusal(req, t, reply, marks)
 	case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices && !marks.Sealed:
 		req.mayHaveRun = true
 		t.Failed(g.Clock.Now())
-		l.trial.Broke()
-		return result{end: broken, err: fault.Refuse(fault.AnswerBroken, "the answer bears no seal")}
+		l.rolloutAttempt.Broke()
+		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the answer has no seal")}
 	}
 	req.mayHaveRun = true
 	if reply.Status < http.StatusMultipleChoices && req.route.Kind == table.Stream {
-		return g.passEvents(w, req, t, reply, l, s)
+		return g.passEvents(w, req, t, reply, l, timer)
 	}
-	return g.passWhole(w, req, t, reply, l, marks, began)
+	return g.passComplete(w, req, t, reply, l, marks, began)
 }
 
-// refusedBy judges a proof that the request did not run.
-func (g *Gate) refusedBy(req *request, t *target.Target, reply *conn.Reply, marks spell.Marks) result {
-	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxPlainBytes)) // only the head counts
+// handleRefusal returns the result of an attempt whose endpoint answered that it did not
+// run the request.
+func (g *Gate) handleRefusal(req *request, t *target.Target, reply *conn.Reply, marks spell.Marks) attemptResult {
+	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxPlainBytes)) // only the head matters
 	now := g.Clock.Now()
 	g.Log.Info("endpoint refused", "request", req.Request, "endpoint", t.ID, "status", reply.Status,
 		"running", marks.Running, "waiting", marks.Waiting, "slots", marks.Slots)
 	switch reply.Status {
 	case http.StatusMisdirectedRequest:
 		t.Replaced(now)
-		return result{end: notRun, err: refuseAgain(fault.WrongEndpoint, comeBackFull)}
+		return attemptResult{outcome: notRun, err: temporaryRefusal(fault.WrongEndpoint, retryAfterFull)}
 	case http.StatusConflict:
-		return result{end: inputsGone, err: refuseAgain(fault.InputGone, comeBackFull)}
+		return attemptResult{outcome: inputsGone, err: temporaryRefusal(fault.InputGone, retryAfterFull)}
 	case http.StatusBadRequest:
-		return result{end: notRun, err: fault.Refuse(fault.BadRequest, "the endpoint refused the request")}
+		return attemptResult{outcome: notRun, err: fault.Refuse(fault.BadRequest, "the endpoint refused the request")}
 	}
-	t.Block(now + fullBar)
-	return result{end: notRun, err: refuseAgain(fault.Overloaded, comeBackFull)}
+	t.Block(now + fullBackoff)
+	return attemptResult{outcome: notRun, err: temporaryRefusal(fault.Overloaded, retryAfterFull)}
 }
 
-func refuseAgain(reason fault.Reason, after clock.Millis) *fault.RefusalError {
-	return &fault.RefusalError{Reason: reason, Ran: fault.NotRun, RetryAfter: spread(after)}
+func temporaryRefusal(reason fault.Reason, after clock.Millis) *fault.RefusalError {
+	return &fault.RefusalError{Reason: reason, Ran: fault.NotRun, RetryAfter: jitter(after)}
 }
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// coldUse is the part of a cold endpoint's rate that its owner uses. Two
-	// processes may both believe to be its owner for a moment, and what was sent
-	// before it turned cold counts too.
-	coldUse = 0.8
-	// warmUse is the part of the bound of a cold endpoint that all processes
-	// together may send to a warm one in a second: it may turn cold before
-	// anybody hears of it.
-	warmUse = 0.9
-	// leastWarm is what one process may always send to a warm endpoint.
-	leastWarm = 3
-	// guessedOutput is the part of the largest output that a generation is
-	// expected to have when its caller says nothing.
-	guessedOutput = 0.5
+	// coldRateShare is the share of a cold endpoint's rate that its owner uses. The rest
+	// covers moments when two processes both act as its owner, and requests sent before it
+	// became cold.
+	coldRateShare = 0.8
+	// warmRateShare is the share of a cold endpoint's limit that all processes together may
+	// send to a warm endpoint in a second: it may become cold before the processes are
+	// informed.
+	warmRateShare = 0.9
+	// minWarmStarts is the number of requests per second that each process may always start
+	// at a warm endpoint.
+	minWarmStarts = 3
+	// expectedOutputShare is the share of the largest allowed output that a generation is
+	// expected to produce when the caller gives no estimate.
+	expectedOutputShare = 0.5
 )
 
-// choice is the endpoint for a request, or when to look again.
+// choice is the endpoint for a request, or the time after which to choose again.
 type choice struct {
 	target *target.Target
-	// wait is the time until an endpoint may take the request; it is set when
-	// there is no target but an endpoint is only held back by its pace.
+	// wait is the time until an endpoint may take the request. It is set if there is no
+	// target because the rate limits of the endpoints hold the request back.
 	wait clock.Millis
-	// unread is the prompt tokens that the endpoint has to read.
+	// unread is the number of prompt tokens that the endpoint has to read, and delay the
+	// expected delay to its first token there, in ms.
 	unread int64
 	delay  float64
 }
 
-// choose looks for the endpoint that answers first. Endpoints that failed a
-// moment ago are used only if there is no other.
+// choose returns the endpoint that will probably answer first. Endpoints that failed
+// recently are used only if there is no other.
 func (g *Gate) choose(req *request) choice {
 	chosen := g.chooseAmong(req, false)
 	if chosen.target == nil && chosen.wait == 0 {
@@ -47,148 +49,149 @@
 	return chosen
 }
 
-func (g *Gate) chooseAmong(req *request, barred bool) choice {
+func (g *Gate) chooseAmong(req *request, useBlocked bool) choice {
 	now := g.Clock.Now()
-	endpoints := g.candidates(req, now)
-	shut := make([]bool, len(endpoints))
-	found := make([]*target.Target, len(endpoints))
+	endpoints := g.eligibleEndpoints(req, now)
+	excluded := make([]bool, len(endpoints))
+	targets := make([]*target.Target, len(endpoints))
 	var wait clock.Millis
 	for i, e := range endpoints {
 		t := g.targets.Of(e)
-		found[i] = t
-		if e.Unavailable() || slices.Contains(req.tried, e) || (!barred && e.Blocked(now)) {
-			shut[i] = true
+		targets[i] = t
+		if e.Unavailable() || slices.Contains(req.tried, e) || (!useBlocked && e.Blocked(now)) {
+			excluded[i] = true
 			continue
 		}
-		if held := t.WaitFor(g.paceOf(req, e, now), now); held > 0 {
-			shut[i] = true
-			if wait == 0 || held < wait {
-				wait = held
+		if delay := t.WaitFor(g.startLimit(req, e, now), now); delay > 0 {
+			excluded[i] = true
+			if wait == 0 || delay < wait {
+				wait = delay
 			}
 		}
 	}
 	if req.pool.Generation != nil {
-		return g.chooseEngine(req, found, shut, wait, now)
+		return g.chooseEngine(req, targets, excluded, wait, now)
 	}
-	return g.chooseServer(found, shut, wait)
+	return g.chooseServer(targets, excluded, wait)
 }
 
-// candidates returns the endpoints that a request may be sent to: those that this
-// process normally uses, those that hold the prompt's shared parts, and cold ones
-// that only this process may send to. Where none of them takes requests, all are.
-func (g *Gate) candidates(req *request, now clock.Millis) []*view.Endpoint {
-	if next := g.nextVersion(req, now); len(next) > 0 {
+// eligibleEndpoints returns the endpoints that a request may be sent to. For a request that
+// a rollout sends to the candidate version, these are endpoints of that version. Otherwise
+// they are those of this process's subset, those that hold the shared parts of the prompt,
+// and cold ones that this process owns, or all endpoints of the pool if none of these
+// accepts requests.
+func (g *Gate) eligibleEndpoints(req *request, now clock.Millis) []*view.Endpoint {
+	if next := g.candidateEndpoints(req, now); len(next) > 0 {
 		return next
 	}
-	return g.usual(req, g.View().Pool(req.pool.Name), now)
+	return g.preferredEndpoints(req, g.View().Pool(req.pool.Name), now)
 }
 
-// usual returns those of some endpoints of the request's pool that this process
-// considers.
-func (g *Gate) usual(req *request, all []*view.Endpoint, now clock.Millis) []*view.Endpoint {
-	chosen := g.subsets.Of(g.View(), req.pool.Name, all)
+// preferredEndpoints returns those of the given endpoints that this process considers.
+func (g *Gate) preferredEndpoints(req *request, all []*view.Endpoint, now clock.Millis) []*view.Endpoint {
+	chosen := g.subsets.positions(g.View(), req.pool.Name, all)
 	if len(chosen) == len(all) {
 		return all
 	}
-	group, grouped := req.group()
-	var candidates []*view.Endpoint
+	group, grouped := req.sharedPart()
+	var preferred []*view.Endpoint
 	usable := false
 	for i, e := range all {
-		usual := len(chosen) > 0 && chosen[0] == i
-		if usual {
+		inSubset := len(chosen) > 0 && chosen[0] == i
+		if inSubset {
 			chosen = chosen[1:]
 		}
-		if usual || (grouped && g.targets.Of(e).Holds(group, now)) || (e.Cold(now) && g.mesh.Owns(e.ID)) {
-			candidates = append(candidates, e)
+		if inSubset || (grouped && g.targets.Of(e).Holds(group, now)) || (e.Cold(now) && g.mesh.Owns(e.ID)) {
+			preferred = append(preferred, e)
 			usable = usable || (!e.Blocked(now) && !e.Unavailable() && !slices.Contains(req.tried, e))
 		}
 	}
 	if !usable {
 		return all
 	}
-	return candidates
+	return preferred
 }
 
-// nextVersion returns the endpoints of the version that the pool's rollout goes
-// to, if the request is to run there; none if none of them may take it.
-func (g *Gate) nextVersion(req *request, now clock.Millis) []*view.Endpoint {
+// candidateEndpoints returns the endpoints of the rollout's candidate version if the
+// request is to run there, or nil if none of them accepts it.
+func (g *Gate) candidateEndpoints(req *request, now clock.Millis) []*view.Endpoint {
 	next := g.View().Candidates(req.pool.Name)
 	switch {
 	case len(next) == 0:
 		return nil
 	case g.Deploy.Promoted(req.pool.Name, req.route.Name):
-		next = g.usual(req, next, now)
+		next = g.preferredEndpoints(req, next, now)
 	case req.canary && len(req.tried) == 0:
 		next = g.Deploy.Tried(req.pool.Name, next)
 	default:
 		return nil
 	}
-	takes := func(e *view.Endpoint) bool {
+	usable := func(e *view.Endpoint) bool {
 		return !e.Unavailable() && !e.Blocked(now) && !slices.Contains(req.tried, e) && (!e.Cold(now) || g.mesh.Owns(e.ID))
 	}
-	if !slices.ContainsFunc(next, takes) {
+	if !slices.ContainsFunc(next, usable) {
 		return nil
 	}
 	return next
 }
 
-// group names the last part of the prompt that other requests have, too; false
-// without any.
-func (r *request) group() (target.Key, bool) {
-	if len(r.parts) < 2 {
+// sharedPart returns the key of the last prompt part that other requests may share, and
+// whether there is one.
+func (r *request) sharedPart() (target.Key, bool) {
+	if len(r.partKeys) < 2 {
 		return 0, false
 	}
-	return r.parts[len(r.parts)-2], true
+	return r.partKeys[len(r.partKeys)-2], true
 }
 
-// unbounded is a pace that holds nothing back.
-const unbounded = 1 << 20
+// unlimited is a number of starts per second that holds no request back.
+const unlimited = 1 << 20
 
-// paceOf returns how many requests this process may start at an endpoint
-// within a second.
-func (g *Gate) paceOf(req *request, e *view.Endpoint, now clock.Millis) int {
+// startLimit returns how many requests this process may start at an endpoint within a
+// second.
+func (g *Gate) startLimit(req *request, e *view.Endpoint, now clock.Millis) int {
 	rate := req.pool.ColdRate
 	if rate <= 0 {
-		return unbounded
+		return unlimited
 	}
 	if e.Cold(now) {
 		if !g.mesh.Owns(e.ID) {
 			return 0
 		}
-		return max(int(coldUse*rate), 1)
+		return max(int(coldRateShare*rate), 1)
 	}
 	bounds := g.bounds.Load()
-	all := (rate*bounds.ColdShare + bounds.ColdSpare) * warmUse
-	return max(int(all)/max(g.mesh.Count(), 1), leastWarm)
+	all := (rate*bounds.ColdShare + bounds.ColdSpare) * warmRateShare
+	return max(int(all)/max(g.mesh.Count(), 1), minWarmStarts)
 }
 
-func (g *Gate) chooseEngine(req *request, found []*target.Target, shut []bool, wait, now clock.Millis) choice {
-	engines := make([]place.Engine, len(found))
-	hot := g.prefixes.Hot(req.parts, now)
-	rate := g.rates.of(req.pool.Name).TokensPerMs()
-	for i, t := range found {
-		engines[i] = place.Engine{ID: t.ID, Zone: t.Zone, Excluded: shut[i], Capacity: req.pool.Generation.Tokens}
-		if shut[i] {
+func (g *Gate) chooseEngine(req *request, targets []*target.Target, excluded []bool, wait, now clock.Millis) choice {
+	engines := make([]place.Engine, len(targets))
+	hot := g.prefixes.Hot(req.partKeys, now)
+	rate := g.readRates.get(req.pool.Name).TokensPerMs()
+	for i, t := range targets {
+		engines[i] = place.Engine{ID: t.ID, Zone: t.Zone, Excluded: excluded[i], Capacity: req.pool.Generation.Tokens}
+		if excluded[i] {
 			continue
 		}
 		engines[i].Running = t.Load.Running.Load() + t.Load.PeerRunning.Load()
 		engines[i].Prefill = t.Load.PendingPrefill(rate, now) + t.Load.PeerPrefill.Load()
-		engines[i].Planned = req.othersPlanned(t)
+		engines[i].Planned = req.plannedByOthers(t)
 		engines[i].Memory = t.Load.Memory.Load() + t.Load.PeerMemory.Load()
 		engines[i].Slots = int64(req.pool.Generation.Slots)
-		engines[i].Cached, engines[i].CachedHot = t.Cached(req.Parts, req.parts, hot, now)
+		engines[i].Cached, engines[i].CachedHot = t.Cached(req.Parts, req.partKeys, hot, now)
 	}
-	at, delay := place.ChooseEngine(req.prompt(hot, rate, now), engines)
-	if at == place.NoEngine {
+	index, delay := place.ChooseEngine(req.prompt(hot, rate, now), engines)
+	if index == place.NoEngine {
 		return choice{wait: wait}
 	}
-	unread := max(req.PromptTokens-engines[at].Cached, 0)
-	return choice{target: found[at], unread: unread, delay: delay}
+	unread := max(req.PromptTokens-engines[index].Cached, 0)
+	return choice{target: targets[index], unread: unread, delay: delay}
 }
 
-// prompt describes the request for the choice of an engine.
+// prompt returns the properties of the request by which an engine is chosen.
 func (r *request) prompt(hot []bool, rate float64, now clock.Millis) *place.Prompt {
-	p := &place.Prompt{TokensPerMs: rate, Tokens: r.PromptTokens, Output: r.outputTokens(), Slack: r.objective - now}
+	p := &place.Prompt{TokensPerMs: rate, Tokens: r.PromptTokens, Output: r.expectedOutput(), Slack: r.neededBy - now}
 	shared := max(len(r.Parts)-1, 0) // the last part is the request's own
 	for i, part := range r.Parts[:shared] {
 		p.LastPart = part.ID
@@ -204,27 +207,27 @@
 	}
 	for i, stage := range r.route.Stages {
 		for _, reference := range r.run.Results(i) {
-			p.InputBytes = addBytes(p.InputBytes, r.made[reference].zone, stage.ResultBytes)
+			p.InputBytes = addZoneBytes(p.InputBytes, r.results[reference].zone, stage.ResultBytes)
 		}
 	}
 	return p
 }
 
-// farBytes returns the bytes of inputs that lie outside an availability zone.
-func (r *request) farBytes(zone string) int64 {
+// remoteBytes returns the size of the inputs that are stored outside an availability zone.
+func (r *request) remoteBytes(zone string) int64 {
 	if r.run == nil {
 		return 0
 	}
-	var far int64
+	var remote int64
 	for _, reference := range r.run.FinalResults() {
-		if at := r.made[reference]; at.zone != zone {
-			far += at.bytes
+		if location := r.results[reference]; location.zone != zone {
+			remote += location.bytes
 		}
 	}
-	return far
+	return remote
 }
 
-func addBytes(all []place.ZoneBytes, zone string, bytes int64) []place.ZoneBytes {
+func addZoneBytes(all []place.ZoneBytes, zone string, bytes int64) []place.ZoneBytes {
 	for i := range all {
 		if all[i].Zone == zone {
 			all[i].Bytes += bytes
@@ -234,19 +237,19 @@
 	return append(all, place.ZoneBytes{Zone: zone, Bytes: bytes})
 }
 
-// outputTokens guesses how much will be generated.
-func (r *request) outputTokens() int64 {
+// expectedOutput returns the expected number of output tokens.
+func (r *request) expectedOutput() int64 {
 	if r.LikelyTokens > 0 {
 		return min(r.LikelyTokens, r.OutputTokens)
 	}
-	return int64(guessedOutput * float64(r.OutputTokens))
+	return int64(expectedOutputShare * float64(r.OutputTokens))
 }
 
-func (g *Gate) chooseServer(found []*target.Target, shut []bool, wait clock.Millis) choice {
-	servers := make([]place.Server, len(found))
-	for i, t := range found {
-		servers[i] = place.Server{Excluded: shut[i]}
-		if shut[i] {
+func (g *Gate) chooseServer(targets []*target.Target, excluded []bool, wait clock.Millis) choice {
+	servers := make([]place.Server, len(targets))
+	for i, t := range targets {
+		servers[i] = place.Server{Excluded: excluded[i]}
+		if excluded[i] {
 			continue
 		}
 		running := max(t.Load.Running.Load()+t.Load.PeerRunning.Load(), 0)
@@ -255,52 +258,50 @@
 	if len(servers) == 0 {
 		return choice{wait: wait}
 	}
-	at := place.ChooseServer(servers, rand.IntN(len(servers)))
-	if at == place.NoEngine {
+	index := place.ChooseServer(servers, rand.IntN(len(servers)))
+	if index == place.NoEngine {
 		return choice{wait: wait}
 	}
-	return choice{target: found[at]}
+	return choice{target: targets[index]}
 }
 
-// othersPlanned returns the prompt tokens planned for an engine by all requests
-// but this one.
-func (r *request) othersPlanned(t *target.Target) int64 {
+// plannedByOthers returns the prompt tokens planned for an engine by all other requests.
+func (r *request) plannedByOthers(t *target.Target) int64 {
 	planned := t.Load.Planned.Load() + t.Load.PeerPlanned.Load()
-	if r.planned == t {
+	if r.plannedTarget == t {
 		planned -= r.plannedTokens
 	}
 	return max(planned, 0)
 }
 
-// plan chooses the engine where the request would be generated if it were sent
-// now, so that its inputs are made near it, and returns how long it would take
-// there to its first event. Until it is sent, its prompt counts as planned:
-// many requests leave their stages at the same moment, and would all choose the
-// engine that was idle when they looked.
-func (g *Gate) plan(req *request) clock.Millis {
+// planEngine chooses the engine that would run the request if it were sent now, so that its
+// inputs are made near it, and returns the expected time there to the first event. Until
+// the request is sent, its prompt counts as planned at that engine: many requests end their
+// stages at the same moment, and without this they would all choose the same idle engine.
+func (g *Gate) planEngine(req *request) clock.Millis {
 	if req.pool.Generation == nil {
-		return generationTime
+		return minGenerationTime
 	}
 	chosen := g.choose(req)
 	if chosen.target == nil {
-		return generationTime
+		return minGenerationTime
 	}
-	req.wish = chosen.target.Zone
-	req.planned, req.plannedTokens = chosen.target, chosen.unread
+	req.preferredZone = chosen.target.Zone
+	req.plannedTarget, req.plannedTokens = chosen.target, chosen.unread
 	chosen.target.Load.Planned.Add(chosen.unread)
-	return generationTime + clock.Millis(chosen.delay)
+	return minGenerationTime + clock.Millis(chosen.delay)
 }
 
-// unplan takes plan back: the request is sent now, or ends.
-func (r *request) unplan() {
-	if r.planned != nil {
-		r.planned.Load.Planned.Add(-r.plannedTokens)
-		r.planned, r.plannedTokens = nil, 0
+// cancelPlan undoes planEngine, when the request is sent or ends.
+func (r *request) cancelPlan() {
+	if r.plannedTarget != nil {
+		r.plannedTarget.Load.Planned.Add(-r.plannedTokens)
+		r.plannedTarget, r.plannedTokens = nil, 0
 	}
 }
 
-// UnreadTokens returns the prompt tokens that this process sent to an endpoint and
-// that are probably still to be read.
+// UnreadTokens returns the number of prompt tokens that this process sent to an endpoint
+// and that the endpoint has probably not read yet.
 func (g *Gate) UnreadTokens(e *view.Endpoint) int64 {
-	return e.Load.PendingPrefill(g.rates.of(e.Pool).TokensPerMs(), g.Clock.Now())
+	return e.Load.PendingPrefill(g.readRates.get(e.Pool).TokensPerMs(), g.Clock.Now())
 }
--- a/internal/serve/gate/crash.go
+++ b/internal/serve/gate/crash.go
@@ -20,202 +20,205 @@
 )
 
 const (
-	// maxLooks bounds the looks at endpoints that wait, maxProbes those that are made
-	// at a time.
-	maxLooks  = 512
-	maxProbes = 16
-	// probeTime bounds one look: an endpoint that has ended refuses connections at
+	// maxQueuedProbes bounds the queued probes of endpoints, maxProbes the concurrent ones.
+	maxQueuedProbes = 512
+	maxProbes       = 16
+	// probeTimeout bounds one probe. An endpoint that has ended refuses connections at
 	// once.
-	probeTime = 250 * clock.Millis(1)
-	// keepOpenEnded is how long after its end an attempt without a whole answer still
-	// counts among those that its endpoint works on: the entry of an endpoint that
-	// crashed goes some seconds later.
-	keepOpenEnded = 5 * clock.Second
-	// maxOpenEnded bounds those attempts.
-	maxOpenEnded = 2048
+	probeTimeout = 250 * clock.Millis(1)
+	// keepUnfinished is how long after its end an attempt without a complete answer counts
+	// as work that its endpoint may still run: the entry of a crashed endpoint is removed
+	// some seconds after the crash.
+	keepUnfinished = 5 * clock.Second
+	// maxUnfinished bounds the number of those attempts.
+	maxUnfinished = 2048
 )
 
-// unfinished is an attempt that ended without a whole answer, at an endpoint that may have
-// crashed under it.
-type unfinished struct {
+// unfinishedAttempt is an attempt that ended without a complete answer at an endpoint that
+// may have crashed while it ran the request.
+type unfinishedAttempt struct {
 	request string
 	key     crash.Key
 	target  *target.Target
 	at      clock.Millis
 }
 
-// crashWatch finds out which endpoints crashed under which requests.
-type crashWatch struct {
-	looks chan unfinished
+// crashDetector holds the probes to run and the attempts that a crash would be counted for.
+type crashDetector struct {
+	probes chan unfinishedAttempt
 
 	mu sync.Mutex
-	// openEnded are the attempts that this process has ended, or that were answered a
-	// failure, by endpoint.
-	openEnded map[*view.Endpoint][]unfinished
-	count     int
+	// byEndpoint holds the attempts that this process has ended or that were answered with
+	// a failure.
+	byEndpoint map[*view.Endpoint][]unfinishedAttempt
+	count      int
 }
 
-func newCrashWatch() *crashWatch {
-	return &crashWatch{looks: make(chan unfinished, maxLooks), openEnded: make(map[*view.Endpoint][]unfinished)}
+func newCrashDetector() *crashDetector {
+	return &crashDetector{probes: make(chan unfinishedAttempt, maxQueuedProbes), byEndpoint: make(map[*view.Endpoint][]unfinishedAttempt)}
 }
 
-// crashKey names what the request asks for among all requests.
+// crashKey returns a key of the request's organisation and content, which is the same
+// whenever a caller repeats the request.
 func (r *request) crashKey() crash.Key {
-	if r.key == (crash.Key{}) {
+	if r.crashID == (crash.Key{}) {
 		host, _, _ := strings.Cut(strings.ToLower(r.host), ":")
-		r.key = crash.KeyOf(r.organisation, r.method, host, r.target, r.body)
+		r.crashID = crash.KeyOf(r.organisation, r.method, host, r.target, r.body)
 	}
-	return r.key
+	return r.crashID
 }
 
-// QuarantineSubject names a request where its owner is chosen, rank 0, or a deputy.
+// QuarantineSubject returns the subject by which the owner of a quarantined request is
+// chosen: rank 0 for the owner, higher ranks for its deputies.
 func QuarantineSubject(key crash.Key, rank int) string {
 	return fmt.Sprintf("quarantine/%s/%d", key, rank)
 }
 
-// refuseQuarantined refuses a request that has crashed too many endpoints, before it
-// begins.
+// refuseQuarantined refuses a new request that is quarantined because it crashed too many
+// endpoints. The owner of the quarantine admits one trial when it is due.
 func (g *Gate) refuseQuarantined(req *request) *fault.RefusalError {
-	left := g.quarantineLeft(req)
-	if left == 0 {
+	remaining := g.quarantineRemaining(req)
+	if remaining == 0 {
 		return nil
 	}
 	if now := g.Clock.Now(); g.crashes.TrialDue(req.crashKey(), now) && g.mesh.Owns(QuarantineSubject(req.crashKey(), 0)) {
-		req.trial = true
+		req.quarantineTrial = true
 		return nil
 	}
-	return refusalOf(req, left)
+	return quarantineRefusal(req, remaining)
 }
 
-// refuseAttempt refuses one more attempt of a request that was quarantined after it had
-// begun. A trial has one.
-func (g *Gate) refuseAttempt(req *request) *fault.RefusalError {
-	left := g.quarantineLeft(req)
-	if left == 0 {
+// refuseQuarantinedAttempt refuses the next attempt of a request that was quarantined after
+// it was admitted. A trial has one attempt.
+func (g *Gate) refuseQuarantinedAttempt(req *request) *fault.RefusalError {
+	remaining := g.quarantineRemaining(req)
+	if remaining == 0 {
 		return nil
 	}
-	if req.trial && req.sent == 0 && g.crashes.TakeTrial(req.crashKey(), g.Clock.Now()) {
+	if req.quarantineTrial && req.sentCount == 0 && g.crashes.TakeTrial(req.crashKey(), g.Clock.Now()) {
 		g.Log.Info("quarantined request tried", "request", req.Request, "key", req.crashKey())
 		return nil
 	}
-	return refusalOf(req, left)
+	return quarantineRefusal(req, remaining)
 }
 
-func (g *Gate) quarantineLeft(req *request) clock.Millis {
+func (g *Gate) quarantineRemaining(req *request) clock.Millis {
 	if g.crashes.Empty() {
 		return 0
 	}
 	return g.crashes.QuarantineLeft(req.crashKey(), g.Clock.Now())
 }
 
-func refusalOf(req *request, left clock.Millis) *fault.RefusalError {
+func quarantineRefusal(req *request, remaining clock.Millis) *fault.RefusalError {
 	return &fault.RefusalError{
-		Reason: fault.Quarantined, Ran: fault.NotRun, RetryAfter: left,
-		Detail: "endpoints crashed under this request, key " + req.crashKey().String(),
+		Reason: fault.Quarantined, Ran: fault.NotRun, RetryAfter: remaining,
+		Detail: "endpoints crashed while they ran this request, key " + req.crashKey().String(),
 	}
 }
 
-// noteAttempt takes the end of an attempt.
-func (g *Gate) noteAttempt(ctx context.Context, req *request, t *target.Target, result result) {
-	b := unfinished{request: req.Request, target: t, at: g.Clock.Now()}
+// recordAttempt updates the crash detection with the result of an attempt.
+func (g *Gate) recordAttempt(ctx context.Context, req *request, t *target.Target, result attemptResult) {
+	attempt := unfinishedAttempt{request: req.Request, target: t, at: g.Clock.Now()}
 	switch {
-	case result.end == answered && result.err == nil && req.status < http.StatusInternalServerError:
+	case result.outcome == answered && result.err == nil && req.status < http.StatusInternalServerError:
 		if !g.crashes.Empty() && g.crashes.RecordAnswer(req.crashKey()) {
 			g.Log.Info("suspected request answered", "request", req.Request, "key", req.crashKey())
 		}
-	case result.end == broken && ctx.Err() == nil:
-		b.key = req.crashKey()
-		g.look(b)
-	case result.end == unsent:
-		if req.trial {
+	case result.outcome == broken && ctx.Err() == nil:
+		attempt.key = req.crashKey()
+		g.queueProbe(attempt)
+	case result.outcome == unsent:
+		if req.quarantineTrial {
 			g.crashes.ReturnTrial(req.crashKey())
 		}
-		if errors.Is(result.cause, syscall.ECONNREFUSED) && g.watch.left(t.Endpoint) {
-			g.look(b)
+		if errors.Is(result.cause, syscall.ECONNREFUSED) && g.detector.has(t.Endpoint) {
+			g.queueProbe(attempt)
 		}
-	case result.end == notRun || result.end == inputsGone:
+	case result.outcome == notRun || result.outcome == inputsGone:
 	default:
-		b.key = req.crashKey()
-		g.watch.leave(b)
+		attempt.key = req.crashKey()
+		g.detector.add(attempt)
 	}
 }
 
-// look has an endpoint looked at.
-func (g *Gate) look(b unfinished) {
+// queueProbe queues a probe of the attempt's endpoint; if the queue is full, the probe is
+// dropped and logged.
+func (g *Gate) queueProbe(attempt unfinishedAttempt) {
 	select {
-	case g.watch.looks <- b:
+	case g.detector.probes <- attempt:
 	default:
-		g.Log.Info("endpoint not looked at", "request", b.request, "endpoint", b.target.ID)
+		g.Log.Info("endpoint not looked at", "request", attempt.request, "endpoint", attempt.target.ID)
 	}
 }
 
-// CheckRemovedEndpoint has an endpoint looked at whose entry is gone.
+// CheckRemovedEndpoint queues a probe of an endpoint whose entry was removed, if it has
+// unfinished attempts.
 func (g *Gate) CheckRemovedEndpoint(e *view.Endpoint) {
-	if g.watch.left(e) {
-		g.look(unfinished{target: g.targets.Of(e), at: g.Clock.Now()})
+	if g.detector.has(e) {
+		g.queueProbe(unfinishedAttempt{target: g.targets.Of(e), at: g.Clock.Now()})
 	}
 }
 
-// leave notes an attempt that this process has ended, or whose answer was a failure.
-func (w *crashWatch) leave(b unfinished) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.count >= maxOpenEnded {
-		w.forget(b.at)
+// add stores an attempt that this process has ended or whose answer was a failure.
+func (d *crashDetector) add(attempt unfinishedAttempt) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.count >= maxUnfinished {
+		d.expire(attempt.at)
 	}
-	if w.count < maxOpenEnded {
-		w.openEnded[b.target.Endpoint] = append(w.openEnded[b.target.Endpoint], b)
-		w.count++
+	if d.count < maxUnfinished {
+		d.byEndpoint[attempt.target.Endpoint] = append(d.byEndpoint[attempt.target.Endpoint], attempt)
+		d.count++
 	}
 }
 
-// forget drops what is too old; the caller holds the lock.
-func (w *crashWatch) forget(now clock.Millis) {
-	w.count = 0
-	for e, all := range w.openEnded {
+// expire drops attempts older than keepUnfinished; the caller holds the lock.
+func (d *crashDetector) expire(now clock.Millis) {
+	d.count = 0
+	for e, all := range d.byEndpoint {
 		kept := all[:0]
-		for _, b := range all {
-			if now-b.at <= keepOpenEnded {
-				kept = append(kept, b)
+		for _, attempt := range all {
+			if now-attempt.at <= keepUnfinished {
+				kept = append(kept, attempt)
 			}
 		}
-		if w.openEnded[e] = kept; len(kept) == 0 {
-			delete(w.openEnded, e)
+		if d.byEndpoint[e] = kept; len(kept) == 0 {
+			delete(d.byEndpoint, e)
 		}
-		w.count += len(kept)
+		d.count += len(kept)
 	}
 }
 
-// left reports whether attempts were left at an endpoint.
-func (w *crashWatch) left(e *view.Endpoint) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.openEnded[e]) > 0
+// has reports whether an endpoint has unfinished attempts.
+func (d *crashDetector) has(e *view.Endpoint) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.byEndpoint[e]) > 0
 }
 
-// take returns the attempts that were left at an endpoint lately, once.
-func (w *crashWatch) take(e *view.Endpoint, now clock.Millis) []unfinished {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.forget(now)
-	all := w.openEnded[e]
-	w.count -= len(all)
-	delete(w.openEnded, e)
+// takeRecent removes and returns the recent unfinished attempts at an endpoint.
+func (d *crashDetector) takeRecent(e *view.Endpoint, now clock.Millis) []unfinishedAttempt {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.expire(now)
+	all := d.byEndpoint[e]
+	d.count -= len(all)
+	delete(d.byEndpoint, e)
 	return all
 }
 
-// WatchCrashes looks at endpoints where attempts broke off until the context ends.
+// WatchCrashes runs the queued probes until the context ends.
 func (g *Gate) WatchCrashes(ctx context.Context) {
 	var probes sync.WaitGroup
 	defer probes.Wait()
-	places := make(chan struct{}, maxProbes)
+	slots := make(chan struct{}, maxProbes)
 	for {
 		select {
-		case b := <-g.watch.looks:
-			places <- struct{}{}
+		case attempt := <-g.detector.probes:
+			slots <- struct{}{}
 			probes.Go(func() {
-				defer func() { <-places }()
-				g.judge(ctx, b)
+				defer func() { <-slots }()
+				g.countCrashes(ctx, attempt)
 			})
 		case <-ctx.Done():
 			return
@@ -223,30 +226,30 @@
 	}
 }
 
-// judge counts a crash under each request that its endpoint worked on, if that has
-// ended.
-func (g *Gate) judge(ctx context.Context, b unfinished) {
-	if !crashed(ctx, b.target) {
+// countCrashes probes the endpoint of a failed attempt. If the endpoint has crashed, it
+// counts a crash for each request that the endpoint was running.
+func (g *Gate) countCrashes(ctx context.Context, failed unfinishedAttempt) {
+	if !crashed(ctx, failed.target) {
 		return
 	}
-	all := g.watch.take(b.target.Endpoint, g.Clock.Now())
-	if b.key != (crash.Key{}) {
-		all = append(all, b)
+	all := g.detector.takeRecent(failed.target.Endpoint, g.Clock.Now())
+	if failed.key != (crash.Key{}) {
+		all = append(all, failed)
 	}
-	endpoint := b.target.ID + "/" + strconv.FormatInt(b.target.StartedAt, 10)
-	for _, under := range all {
-		crashes, begins := g.crashes.RecordCrash(under.key, endpoint, g.Clock.Now())
-		g.meter.crashes.WithLabelValues(b.target.Pool).Inc()
-		g.Log.Info("endpoint crashed under request", "request", under.request, "key", under.key, "pool", b.target.Pool,
-			"endpoint", b.target.ID, "born", b.target.StartedAt, "endedMs", int64(g.Clock.Since(under.at)), "crashes", crashes)
-		if begins {
-			g.noteQuarantine(under.key, "crashes here")
+	endpoint := failed.target.ID + "/" + strconv.FormatInt(failed.target.StartedAt, 10)
+	for _, attempt := range all {
+		crashes, quarantined := g.crashes.RecordCrash(attempt.key, endpoint, g.Clock.Now())
+		g.meter.crashes.WithLabelValues(failed.target.Pool).Inc()
+		g.Log.Info("endpoint crashed under request", "request", attempt.request, "key", attempt.key, "pool", failed.target.Pool,
+			"endpoint", failed.target.ID, "born", failed.target.StartedAt, "endedMs", int64(g.Clock.Since(attempt.at)), "crashes", crashes)
+		if quarantined {
+			g.recordQuarantine(attempt.key, "crashes seen by this process")
 		}
 	}
 }
 
-// crashed reports whether an endpoint has ended without having been emptied before:
-// nothing listens at its address any more, or it has started again.
+// crashed reports whether an endpoint ended without a planned stop: it has restarted, or
+// its address refuses connections.
 func crashed(ctx context.Context, t *target.Target) bool {
 	switch {
 	case t.Leaving():
@@ -254,7 +257,7 @@
 	case t.Restarted():
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeTime.Duration())
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	opened, err := conn.Dial(ctx, "tcp", t.Address)
 	if err != nil {
@@ -264,16 +267,15 @@
 	return false
 }
 
-func (g *Gate) noteQuarantine(key crash.Key, cause string) {
+func (g *Gate) recordQuarantine(key crash.Key, cause string) {
 	g.meter.quarantines.Inc()
 	g.Log.Warn("request quarantined", "key", key, "cause", cause, "forMs", int64(crash.QuarantineTime))
 }
 
-// Quarantines returns the book of requests under which endpoints crashed.
+// Quarantines returns the record of requests that crashed endpoints.
 func (g *Gate) Quarantines() *crash.Tracker { return g.crashes }
 
-// UnsentCrashes returns what peers have not been sent yet of requests under which
-// endpoints crashed.
+// UnsentCrashes returns the crash reports that peers have not been sent yet.
 func (g *Gate) UnsentCrashes() []wire.Crash {
 	reports, dropped := g.crashes.TakeUnsent()
 	if dropped > 0 {
@@ -286,7 +288,7 @@
 	return crashes
 }
 
-// AddPeerCrashes takes what a peer learned.
+// AddPeerCrashes records the crash reports of a peer.
 func (g *Gate) AddPeerCrashes(crashes []wire.Crash) {
 	reports := make([]crash.Report, 0, len(crashes))
 	for _, c := range crashes {
@@ -295,15 +297,16 @@
 		}
 	}
 	for _, key := range g.crashes.AddReports(reports, g.Clock.Now()) {
-		g.noteQuarantine(key, "crashes at peers")
+		g.recordQuarantine(key, "crashes reported by peers")
 	}
 }
 
-// SetQuarantines takes what the platform's store holds.
+// SetQuarantines applies the quarantines that the platform's store lists, and lifts those
+// that it no longer lists.
 func (g *Gate) SetQuarantines(listed []crash.Stored) {
 	began, lifted := g.crashes.SetStored(listed, g.Clock.Now())
 	for _, key := range began {
-		g.noteQuarantine(key, "platform's store")
+		g.recordQuarantine(key, "platform's store")
 	}
 	for _, key := range lifted {
 		g.Log.Info("quarantine lifted", "key", key)
--- a/internal/serve/gate/crash_test.go
+++ b/internal/serve/gate/crash_test.go
@@ -32,8 +32,9 @@
 	return &target.Target{Endpoint: &view.Endpoint{ID: id, Address: address}}
 }
 
-// dark returns an address that answers no connection, as a host without power.
-func dark(t *testing.T) string {
+// unresponsiveAddress returns an address that accepts no connection and sends no refusal,
+// like a host without power.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	assert.NilError(t, err)
@@ -43,7 +44,7 @@
 	bound, err := syscall.Getsockname(fd)
 	assert.NilError(t, err)
 	address := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
-	for range 4 { // fills the queue of connections that nobody accepts
+	for range 4 { // fills the listen backlog, from which no connection is accepted
 		if opened, err := net.DialTimeout("tcp", address, 50*time.Millisecond); err == nil {
 			t.Cleanup(func() { _ = opened.Close() })
 		}
@@ -51,9 +52,10 @@
 	return address
 }
 
-// Guards against a crash that is looked into only when the endpoint is back: hosts of a zone
-// have lost power, connections to them broke, and each look at one takes a quarter second.
-func TestDarkEndpointsDelayNoLookAtACrash(t *testing.T) {
+// Guards against a crash that is missed because its probe runs only after the endpoint is
+// back. This happens if hosts of a zone lose power: connections to all of them break, and
+// each probe of one takes a quarter of a second.
+func TestUnresponsiveEndpointsDoNotDelayCrashProbe(t *testing.T) {
 	g := newTestGate(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -61,50 +63,50 @@
 	defer func() { cancel(); <-done }()
 	now := g.Clock.Now()
 	for i := range 24 {
-		g.look(unfinished{request: fmt.Sprint(i), key: crash.Key{1, byte(i)}, target: targetAt(fmt.Sprint("dark", i), dark(t)), at: now})
+		g.queueProbe(unfinishedAttempt{request: fmt.Sprint(i), key: crash.Key{1, byte(i)}, target: targetAt(fmt.Sprint("dark", i), unresponsiveAddress(t)), at: now})
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
 	began := time.Now()
-	g.look(unfinished{request: "x", key: crash.Key{2}, target: targetAt("crashed", listener.Addr().String()), at: now})
+	g.queueProbe(unfinishedAttempt{request: "x", key: crash.Key{2}, target: targetAt("crashed", listener.Addr().String()), at: now})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		reports, _ := g.crashes.TakeUnsent()
 		if slices.ContainsFunc(reports, func(r crash.Report) bool { return r.Key == (crash.Key{2}) }) {
 			return poll.Success()
 		}
-		return poll.Continue("not counted after %v", time.Since(began))
+		return poll.Continue("crash not counted after %v", time.Since(began))
 	}, poll.WithTimeout(3*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// counted returns how many crashes wait to be reported.
-func (g *Gate) counted() int {
+// unsentCrashCount returns the number of crashes that are to be reported to peers.
+func (g *Gate) unsentCrashCount() int {
 	reports, _ := g.crashes.TakeUnsent()
 	return len(reports)
 }
 
-// Guards against resets that count as crashes because nothing listened at the endpoint once,
-// while its entry stayed as it was.
-func TestEndpointThatListensAgainIsLookedAtAgain(t *testing.T) {
+// Guards against connection resets that are counted as crashes because an earlier probe
+// found nothing listening at the endpoint, while its entry stayed unchanged.
+func TestEndpointIsProbedAgainAfterItListensAgain(t *testing.T) {
 	g := newTestGate(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
 	e := targetAt("e", address)
-	g.judge(t.Context(), unfinished{key: crash.Key{1}, target: e, at: g.Clock.Now()})
-	assert.Equal(t, g.counted(), 1)
+	g.countCrashes(t.Context(), unfinishedAttempt{key: crash.Key{1}, target: e, at: g.Clock.Now()})
+	assert.Equal(t, g.unsentCrashCount(), 1)
 	listener, err = net.Listen("tcp", address)
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
-	g.judge(t.Context(), unfinished{key: crash.Key{2}, target: e, at: g.Clock.Now()})
-	assert.Equal(t, g.counted(), 0, "it listens, and the connection was only reset")
+	g.countCrashes(t.Context(), unfinishedAttempt{key: crash.Key{2}, target: e, at: g.Clock.Now()})
+	assert.Equal(t, g.unsentCrashCount(), 0, "the endpoint listens; the connection was only reset")
 }
 
-// Guards against a broken connection that counts as a crash because the engine leaves as
-// planned: its entry is removed while it goes on serving, or it ends after it was emptied.
-func TestEndpointThatLeavesAsPlannedHasNotCrashed(t *testing.T) {
-	for name, leaving := range map[string]bool{"entry removed": false, "emptied and ended": true} {
+// Guards against a planned stop of an engine that is counted as a crash: its entry is
+// removed while it still serves, or it ends after it was drained.
+func TestPlannedStopIsNotACrash(t *testing.T) {
+	for name, leaving := range map[string]bool{"entry removed": false, "drained and ended": true} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
@@ -125,30 +127,30 @@
 	}
 }
 
-// Guards against crashes that nobody counts because the callers left before them.
-func TestCrashCountsUnderAttemptsThatWereLeft(t *testing.T) {
+// Guards against crashes that are not counted because the callers had disconnected before.
+func TestCrashCountsForUnfinishedAttempts(t *testing.T) {
 	g := newTestGate(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
 	e, now := targetAt("e", listener.Addr().String()), g.Clock.Now()
-	g.watch.leave(unfinished{key: crash.Key{1}, target: e, at: now})
-	g.watch.leave(unfinished{key: crash.Key{2}, target: e, at: now - keepOpenEnded - 1})
-	g.watch.leave(unfinished{key: crash.Key{3}, target: targetAt("other", e.Address), at: now})
-	g.judge(t.Context(), unfinished{target: e, at: now})
+	g.detector.add(unfinishedAttempt{key: crash.Key{1}, target: e, at: now})
+	g.detector.add(unfinishedAttempt{key: crash.Key{2}, target: e, at: now - keepUnfinished - 1})
+	g.detector.add(unfinishedAttempt{key: crash.Key{3}, target: targetAt("other", e.Address), at: now})
+	g.countCrashes(t.Context(), unfinishedAttempt{target: e, at: now})
 	reports, _ := g.crashes.TakeUnsent()
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].Key, crash.Key{1})
-	g.judge(t.Context(), unfinished{target: e, at: now})
-	assert.Equal(t, g.counted(), 0, "each attempt counts once")
-	for range 3 * maxOpenEnded {
-		g.watch.leave(unfinished{key: crash.Key{4}, target: e, at: now})
+	g.countCrashes(t.Context(), unfinishedAttempt{target: e, at: now})
+	assert.Equal(t, g.unsentCrashCount(), 0, "each attempt counts once")
+	for range 3 * maxUnfinished {
+		g.detector.add(unfinishedAttempt{key: crash.Key{4}, target: e, at: now})
 	}
-	assert.Assert(t, g.watch.count <= maxOpenEnded)
+	assert.Assert(t, g.detector.count <= maxUnfinished)
 }
 
-// Guards against connections that break taken for crashes, and crashes for broken connections.
-func TestProbeTellsCrashesFromBrokenConnections(t *testing.T) {
+// Guards against broken connections that are counted as crashes, and the other way round.
+func TestProbeDistinguishesCrashFromBrokenConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	e := targetAt("e", listener.Addr().String())
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -1,7 +1,7 @@
-// Package gate takes requests by host and path and brings each to an endpoint
-// of its route's pool: it checks key and limits, runs the stages that go
-// before, chooses the endpoint, passes the answer on unchanged, and says
-// truthfully what became of a request that gets none.
+// Package gate routes callers' requests by host and path and sends each to an endpoint of
+// its route's pool. It checks the API key and the limits, runs the stages that precede the
+// request, chooses the endpoint and passes its answer on unchanged. A request without an
+// answer gets a refusal that states whether the request may have run.
 package gate
 
 import (
@@ -33,126 +33,126 @@
 	"github.com/jujubescale/jujubescale/internal/serve/target"
 )
 
-// Settings are what a Gate needs.
+// Settings configure a Gate.
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
 	Spelling *spell.Spelling
 	Registry prometheus.Registerer
-	// Name of this process, and the availability zone that it stands in.
+	// Name of this process, and its availability zone.
 	Name string
 	Zone string
-	// Table and View return the newest routes and endpoints, nil before the first.
+	// Table and View return the current routes and endpoints, nil before the first have
+	// been read.
 	Table func() *table.Table
 	View  func() *view.Snapshot
-	// Starting reports whether routes and endpoints are being read for the first
-	// time and will probably be there in a moment.
+	// Starting reports whether the first read of the routes and endpoints is under way.
 	Starting func() bool
-	// Deploy carries out rollouts, nil where there are none.
+	// Deploy runs the rollouts; nil without rollouts.
 	Deploy *deploy.Controller
 }
 
-// Bounds are what may change while a Gate serves.
+// Bounds are the limits that can be changed while a Gate serves.
 type Bounds struct {
-	// ExtraShare is the part of a pool's requests that may be sent once more,
-	// over all processes, and ExtraSpare how many besides within ExtraWindow.
+	// ExtraShare is the share of a pool's requests that all processes together may send a
+	// second time. ExtraSpare is the number of further repeats allowed in each ExtraWindow.
 	ExtraShare  float64
 	ExtraSpare  float64
 	ExtraWindow clock.Millis
-	// ColdShare is how far the rate of a cold endpoint may be exceeded, and
-	// ColdSpare how many requests may come at once besides.
+	// ColdShare is the factor by which the rate of a cold endpoint may be exceeded, and
+	// ColdSpare the number of requests allowed in one burst on top of that.
 	ColdShare float64
 	ColdSpare float64
 }
 
-// Gate serves callers.
+// Gate serves callers' requests.
 type Gate struct {
 	Settings
-	mesh    *mesh.Mesh
-	host    *host.Host
-	meter   *Meter
-	targets *target.Set
-	extras  *extra.Budget
-	// pieceExtras are those of the pools that this process owns.
-	pieceExtras *extra.Budget
-	prefixes    *target.Prefixes
-	subsets     subsets
-	inflow      *inflow.Tracker
-	recall      *recall.Refusals
-	crashes     *crash.Tracker
-	watch       *crashWatch
-	routes      byName[routeRecord]
-	// rates holds how fast the engines of each pool read prompts.
-	rates byName[place.Rate]
-	// admitted counts the requests of all routes with stages.
-	admitted reach.Admissions
-	bounds   atomic.Pointer[Bounds]
-	leaving  atomic.Bool
-	refusing atomic.Bool
-	open     sync.WaitGroup
-	count    atomic.Int64
-	cut      context.Context
-	cutAll   context.CancelFunc
+	mesh        *mesh.Mesh
+	host        *host.Host
+	meter       *Meter
+	targets     *target.Set
+	retryBudget *extra.Budget
+	// pieceRetryBudget is the budget of the pools that this process owns.
+	pieceRetryBudget *extra.Budget
+	prefixes         *target.Prefixes
+	subsets          subsets
+	arrivals         *inflow.Tracker
+	refusals         *recall.Refusals
+	crashes          *crash.Tracker
+	detector         *crashDetector
+	routeStats       byName[routeStats]
+	// readRates holds the rate at which the engines of each pool read prompts.
+	readRates byName[place.Rate]
+	// admitted is the share of requests admitted over all routes with stages.
+	admitted        reach.Admissions
+	bounds          atomic.Pointer[Bounds]
+	leaving         atomic.Bool
+	refusing        atomic.Bool
+	openGroup       sync.WaitGroup
+	openCount       atomic.Int64
+	requestsContext context.Context
+	cancelRequests  context.CancelFunc
 }
 
-// New returns a gate. Join it to its mesh and host before it serves.
+// New returns a gate. Attach must be called before it serves.
 func New(settings Settings) *Gate {
 	g := &Gate{
-		Settings: settings, meter: NewMeter(settings.Registry), inflow: inflow.New(), recall: recall.New(),
-		crashes: crash.New(), watch: newCrashWatch(),
+		Settings: settings, meter: NewMeter(settings.Registry), arrivals: inflow.New(), refusals: recall.New(),
+		crashes: crash.New(), detector: newCrashDetector(),
 	}
 	g.bounds.Store(&Bounds{})
-	g.targets = target.NewSet(g.Clock, g.mostConns, g.meter.dialed)
+	g.targets = target.NewSet(g.Clock, g.maxConns, g.meter.dialed)
 	g.prefixes = target.NewPrefixes(g.targets)
-	g.extras = extra.New(g.Clock, g.extraBounds, func() int { return g.mesh.Count() })
-	g.pieceExtras = extra.New(g.Clock, g.extraBounds, func() int { return g.View().MaxShards() + 1 })
+	g.retryBudget = extra.New(g.Clock, g.budgetBounds, func() int { return g.mesh.Count() })
+	g.pieceRetryBudget = extra.New(g.Clock, g.budgetBounds, func() int { return g.View().MaxShards() + 1 })
 	g.subsets.process, g.subsets.zone = settings.Name, settings.Zone
 	g.subsets.processes = func() int { return g.mesh.Count() }
-	g.cut, g.cutAll = context.WithCancel(context.Background())
+	g.requestsContext, g.cancelRequests = context.WithCancel(context.Background())
 	return g
 }
 
-// SetBounds changes what may change while the gate serves.
+// SetBounds replaces the limits; it can be called while the gate serves.
 func (g *Gate) SetBounds(bounds Bounds) { g.bounds.Store(&bounds) }
 
 // NotDraining reports whether no planned stop has begun.
 func (g *Gate) NotDraining() bool { return !g.leaving.Load() }
 
-// Sweep forgets endpoints that are gone and closes unused connections.
+// Sweep drops the state of removed endpoints and closes unused connections.
 func (g *Gate) Sweep() { g.targets.Sweep() }
 
 // EachUsedEndpoint calls visit for every endpoint that this process has used.
 func (g *Gate) EachUsedEndpoint(visit func(*view.Endpoint)) { g.targets.Each(visit) }
 
-// SubsetEndpoints returns the endpoints that this process uses normally, nil while it uses
-// all of every pool.
-func (g *Gate) SubsetEndpoints() []string { return g.subsets.interest(g.View(), g.Table()) }
+// SubsetEndpoints returns the ids of the endpoints in this process's subsets, or nil while
+// it uses every pool as a whole.
+func (g *Gate) SubsetEndpoints() []string { return g.subsets.endpointIDs(g.View(), g.Table()) }
 
-// Conns returns the connections to an endpoint.
+// Conns returns the group of connections to an endpoint.
 func (g *Gate) Conns(e *view.Endpoint) *conn.Group { return g.targets.Of(e).Conns }
 
-func (g *Gate) extraBounds() extra.Bounds {
+func (g *Gate) budgetBounds() extra.Bounds {
 	bounds := g.bounds.Load()
 	return extra.Bounds{Share: bounds.ExtraShare, Base: bounds.ExtraSpare, Window: bounds.ExtraWindow}
 }
 
-// PieceRetryBudget returns the budget for pieces that are sent once more to the
-// stage engines of pools that this process owns. The owners of a pool's shards
-// share it, and for some moments the owner before one of them.
-func (g *Gate) PieceRetryBudget() *extra.Budget { return g.pieceExtras }
+// PieceRetryBudget returns the budget for repeated pieces at the stage engines of pools
+// that this process owns. The owners of a pool's shards share it; when a shard changes its
+// owner, the previous owner briefly uses it too.
+func (g *Gate) PieceRetryBudget() *extra.Budget { return g.pieceRetryBudget }
 
-// UnsentPrefixes returns what peers have not been told yet of prompts that were sent.
+// UnsentPrefixes returns the prompt prefixes used here that peers have not been sent yet.
 func (g *Gate) UnsentPrefixes() []wire.PrefixUse { return g.prefixes.Untold() }
 
-// PendingArrivals returns what requests under way will ask stage engines for.
-func (g *Gate) PendingArrivals() []inflow.Load { return g.inflow.Loads(g.Clock.Now()) }
+// PendingArrivals returns the pieces that open requests will send to stage engines.
+func (g *Gate) PendingArrivals() []inflow.Load { return g.arrivals.Loads(g.Clock.Now()) }
 
-// AddPeerPrefixes remembers what a peer sent.
+// AddPeerPrefixes records the prompt prefixes that a peer reported.
 func (g *Gate) AddPeerPrefixes(uses []wire.PrefixUse) { g.prefixes.Take(uses, g.View().Find) }
 
-// mostConns is this process's part of the connections that an endpoint accepts
-// from everybody; an eighth is left for processes that start just now.
-func (g *Gate) mostConns(name string) int {
+// maxConns returns this process's share of the connections that an endpoint of the pool
+// accepts in total. An eighth is reserved for processes that are just starting.
+func (g *Gate) maxConns(name string) int {
 	routes := g.Table()
 	if routes == nil {
 		return 1
@@ -164,14 +164,15 @@
 	return max(pool.MaxConns*7/8/max(g.mesh.Count(), 1), 2)
 }
 
-// Attach sets the processes that pools are shared with, and the host of the
-// pools that this process owns.
+// Attach sets the mesh of peer processes and the host of the pools that this process owns.
 func (g *Gate) Attach(m *mesh.Mesh, h *host.Host) { g.mesh, g.host = m, h }
 
-// Handler serves callers: every method and path, since routes decide.
+// Handler serves callers. It accepts every method and path, because the routes are
+// configured at run time.
 func (g *Gate) Handler() http.Handler { return http.HandlerFunc(g.serve) }
 
-// ReadyHandler tells the platform whether this process takes callers.
+// ReadyHandler serves the readiness check of the platform: 200 if the process accepts
+// callers, else 503.
 func (g *Gate) ReadyHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(g.Spelling.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -184,56 +185,56 @@
 	return router
 }
 
-// Ready reports whether this process can serve: it knows routes and endpoints
-// and no planned stop has begun. It stays ready while the store is away,
-// because what it knows goes on being right.
+// Ready reports whether this process can serve: routes and endpoints are loaded and no
+// planned stop has begun. It stays true while the store is unreachable, because the loaded
+// data remains valid.
 func (g *Gate) Ready() bool {
 	return !g.leaving.Load() && g.Table() != nil && g.View().Complete()
 }
 
-// StartDrain begins a planned stop: the process is not ready any more, and asks
-// callers to open new connections, which lead elsewhere.
+// StartDrain begins a planned stop. The process reports that it is not ready and asks
+// callers to close their connections, so that they reconnect to another process.
 func (g *Gate) StartDrain() { g.leaving.Store(true) }
 
-// RefuseNew has requests refused that come from now on.
+// RefuseNew makes the gate refuse every request that arrives from now on.
 func (g *Gate) RefuseNew() { g.refusing.Store(true) }
 
-// OpenRequests returns the number of requests that are not finished.
-func (g *Gate) OpenRequests() int64 { return g.count.Load() }
+// OpenRequests returns the number of requests that have not ended.
+func (g *Gate) OpenRequests() int64 { return g.openCount.Load() }
 
-// Wait returns once no request is open, or cuts those that are left when the
-// context ends; it returns how many were cut.
+// Wait returns once no request is open. When the context ends first, it cancels the
+// remaining requests and returns their number.
 func (g *Gate) Wait(ctx context.Context) int64 {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.open.Wait()
+		g.openGroup.Wait()
 	}()
 	select {
 	case <-done:
 		return 0
 	case <-ctx.Done():
 	}
-	left := g.count.Load()
-	g.cutAll()
-	ended, forget := g.Clock.After(cutTime)
-	defer forget()
+	remaining := g.openCount.Load()
+	g.cancelRequests()
+	timedOut, stopTimer := g.Clock.After(cancelTimeout)
+	defer stopTimer()
 	select {
 	case <-done:
-	case <-ended:
+	case <-timedOut:
 	}
-	return left
+	return remaining
 }
 
-// cutTime is how long requests that were cut may take to end: one whose body does
-// not arrive ends only with its connection.
-const cutTime = 150 * clock.Millis(1)
+// cancelTimeout bounds the wait for cancelled requests to end: a request whose body is
+// still arriving ends only when its connection closes.
+const cancelTimeout = 150 * clock.Millis(1)
 
 func (g *Gate) serve(w http.ResponseWriter, r *http.Request) {
-	g.open.Add(1)
-	g.count.Add(1)
-	defer g.open.Done()
-	defer g.count.Add(-1)
+	g.openGroup.Add(1)
+	g.openCount.Add(1)
+	defer g.openGroup.Done()
+	defer g.openCount.Add(-1)
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -249,30 +250,30 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), (req.deadline + answerMargin - began).Duration())
 	defer cancel()
-	stop := context.AfterFunc(g.cut, cancel)
+	stop := context.AfterFunc(g.requestsContext, cancel)
 	defer stop()
 	g.run(ctx, w, req)
 }
 
 const (
-	// startWait is how long a request waits for a process that is just reading
-	// what it needs: longer than that takes on a host with an eighth of a processor
-	// and a slow link.
-	startWait = 600 * clock.Millis(1)
-	startLook = 20 * clock.Millis(1)
+	// maxStartWait bounds how long a request waits while the process loads its
+	// configuration. Loading takes less than this even on a host with an eighth of a
+	// processor and a slow link.
+	maxStartWait = 600 * clock.Millis(1)
+	startPoll    = 20 * clock.Millis(1)
 )
 
-// awaitReady waits a little while the process starts. One that does not reach
-// the store refuses at once.
+// awaitReady waits up to maxStartWait while the process starts. If the process can't reach
+// the store, it returns at once and the request is refused.
 func (g *Gate) awaitReady(ctx context.Context) {
-	until := g.Clock.Now() + startWait
+	until := g.Clock.Now() + maxStartWait
 	for !g.Ready() && !g.leaving.Load() && g.Starting() && g.Clock.Now() < until {
-		if g.Clock.Sleep(ctx, startLook) != nil {
-			return // the caller left; what follows notices it, too
+		if g.Clock.Sleep(ctx, startPoll) != nil {
+			return // the caller closed the connection; later steps detect that too
 		}
 	}
 }
 
-// answerMargin is how long after the deadline the answer of an endpoint may
-// still arrive that stopped at it: its own failure says more than one of ours.
+// answerMargin is added to the deadline for an endpoint's answer: an endpoint that stops at
+// the deadline sends a failure of its own, which is more precise than a refusal made here.
 const answerMargin = 60 * clock.Millis(1)
--- a/internal/serve/gate/meter.go
+++ b/internal/serve/gate/meter.go
@@ -10,24 +10,24 @@
 
 // Meter holds the metrics of a gate.
 type Meter struct {
-	ends    *prometheus.CounterVec
-	refused *prometheus.CounterVec
-	took    *prometheus.HistogramVec
-	first   *prometheus.HistogramVec
-	stages  *prometheus.HistogramVec
-	retries *prometheus.CounterVec
-	returns *prometheus.CounterVec
-	dials   prometheus.Counter
+	requests   *prometheus.CounterVec
+	refused    *prometheus.CounterVec
+	duration   *prometheus.HistogramVec
+	firstEvent *prometheus.HistogramVec
+	stages     *prometheus.HistogramVec
+	retries    *prometheus.CounterVec
+	returns    *prometheus.CounterVec
+	dials      prometheus.Counter
 
 	crashes     *prometheus.CounterVec
 	quarantines prometheus.Counter
 }
 
-// spans are the bounds of latency histograms, in seconds: around the
-// objectives of 0.15 to 2.7 s that callers have.
-var spans = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1.1, 1.5, 2, 2.7, 4, 6, 10, 20}
+// latencyBuckets are the upper bounds of latency histograms, in seconds, around the
+// objectives of 0.15 to 2.7 s that routes have.
+var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1.1, 1.5, 2, 2.7, 4, 6, 10, 20}
 
-// NewMeter registers the metrics.
+// NewMeter creates and registers the metrics.
 func NewMeter(r prometheus.Registerer) *Meter {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		vec := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
@@ -35,21 +35,21 @@
 		return vec
 	}
 	histogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
-		vec := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: spans}, labels)
+		vec := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: latencyBuckets}, labels)
 		r.MustRegister(vec)
 		return vec
 	}
 	m := &Meter{
-		ends:    counter("jujubescale_routed_requests_total", "Requests of routed services by route and status.", "route", "status"),
-		refused: counter("jujubescale_routed_refusals_total", "Requests of routed services that got no endpoint's answer, by reason.", "reason"),
-		retries: counter("jujubescale_routed_retries_total", "Requests sent to another endpoint, by pool and reason.", "pool", "reason"),
-		returns: counter("jujubescale_routed_returns_total", "Callers that came back as they were told, by route.", "route"),
-		took:    histogram("jujubescale_routed_request_seconds", "Time from a request's head to the end of its answer, by route.", "route"),
-		first:   histogram("jujubescale_routed_first_event_seconds", "Time from a request's head to the first event of its answer, by route.", "route"),
-		stages:  histogram("jujubescale_routed_stages_seconds", "Time that the stages before a request took, by route.", "route"),
-		crashes: counter("jujubescale_routed_crashes_total", "Requests that broke off at an endpoint that crashed, by pool.", "pool"),
+		requests:   counter("jujubescale_routed_requests_total", "Requests of routed services by route and status.", "route", "status"),
+		refused:    counter("jujubescale_routed_refusals_total", "Requests of routed services without a complete answer of an endpoint, by reason.", "reason"),
+		retries:    counter("jujubescale_routed_retries_total", "Requests sent to another endpoint, by pool and reason.", "pool", "reason"),
+		returns:    counter("jujubescale_routed_returns_total", "Requests sent again after a refusal with a retry time, by route.", "route"),
+		duration:   histogram("jujubescale_routed_request_seconds", "Time from a request's head to the end of its answer, by route.", "route"),
+		firstEvent: histogram("jujubescale_routed_first_event_seconds", "Time from a request's head to the first event of its answer, by route.", "route"),
+		stages:     histogram("jujubescale_routed_stages_seconds", "Time of the stages that precede a request, by route.", "route"),
+		crashes:    counter("jujubescale_routed_crashes_total", "Requests that an endpoint was running when it crashed, by pool.", "pool"),
 		quarantines: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "jujubescale_routed_quarantines_total", Help: "Requests that reach no endpoint any more because several crashed under them.",
+			Name: "jujubescale_routed_quarantines_total", Help: "Requests quarantined because several endpoints crashed while running them.",
 		}),
 		dials: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "jujubescale_endpoint_connections_total", Help: "New connections to endpoints.",
@@ -61,9 +61,9 @@
 
 func seconds(span clock.Millis) float64 { return float64(span) / float64(clock.Second) }
 
-func (m *Meter) ended(route, reason string, status int, took clock.Millis) {
-	m.ends.WithLabelValues(route, strconv.Itoa(status)).Inc()
-	m.took.WithLabelValues(route).Observe(seconds(took))
+func (m *Meter) requestEnded(route, reason string, status int, took clock.Millis) {
+	m.requests.WithLabelValues(route, strconv.Itoa(status)).Inc()
+	m.duration.WithLabelValues(route).Observe(seconds(took))
 	if reason != "" {
 		m.refused.WithLabelValues(reason).Inc()
 	}
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -16,9 +16,10 @@
 	"github.com/jujubescale/jujubescale/internal/serve/target"
 )
 
-// copyHead gives the caller the endpoint's headers.
-func copyHead(w http.ResponseWriter, reply *conn.Reply) {
-	drop := named(reply.Header)
+// copyHeaders copies the endpoint's headers to the caller's answer, without hop-by-hop
+// headers.
+func copyHeaders(w http.ResponseWriter, reply *conn.Reply) {
+	drop := connectionHeaders(reply.Header)
 	header := w.Header()
 	for name, values := range reply.Header {
 		if !hopHeaders[name] && !drop[name] {
@@ -26,101 +27,104 @@
 		}
 	}
 	if _, found := header["Content-Type"]; !found {
-		header["Content-Type"] = nil // or the server would guess one
+		header["Content-Type"] = nil // net/http would otherwise guess one
 	}
 }
 
-// passWhole reads an answer to its end and then passes it on. An answer that
-// breaks off has reached nobody, so the request may go elsewhere if it may be
-// repeated, and its caller hears of a failure and not of half an answer.
-func (g *Gate) passWhole(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *load, marks spell.Marks, began clock.Millis) result {
+// passComplete reads an answer to its end and then passes it on. If the answer breaks off,
+// the caller has received nothing: the request can go to another endpoint if it may be
+// repeated, and otherwise the caller gets a failure instead of a partial answer.
+func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, marks spell.Marks, began clock.Millis) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlainBytes+1))
 	if err != nil {
 		t.Failed(g.Clock.Now())
-		l.trial.Broke()
+		l.rolloutAttempt.Broke()
 		g.Log.Info("answer broke off", "request", req.Request, "endpoint", t.ID, "bytes", len(body), logs.KeyError, err)
-		return result{end: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
+		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
 	}
-	wrong := reply.Status >= http.StatusInternalServerError
-	t.Answered(g.Clock.Since(began), wrong)
-	l.trial.Answered(wrong || (!marks.Sealed && len(body) <= maxPlainBytes))
-	if req.begun {
-		return g.notTheRest(req, t, reply.Status)
+	serverError := reply.Status >= http.StatusInternalServerError
+	t.Answered(g.Clock.Since(began), serverError)
+	l.rolloutAttempt.Answered(serverError || (!marks.Sealed && len(body) <= maxPlainBytes))
+	if req.headSent {
+		return g.resumeFailure(req, t, reply.Status)
 	}
-	if wrong && g.another(req, result{end: failed}) {
-		return g.elsewhere(req, t, reply.Status)
+	if serverError && g.takeRetry(req, attemptResult{outcome: failed}) {
+		return g.failureWithRetry(req, t, reply.Status)
 	}
 	if len(body) > maxPlainBytes {
 		return g.passLong(w, req, reply, body)
 	}
-	if !marks.Sealed && !wrong {
-		return result{end: broken, err: fault.Refuse(fault.AnswerBroken, "the answer bears no seal")}
+	if !marks.Sealed && !serverError {
+		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the answer has no seal")}
 	}
-	copyHead(w, reply)
+	copyHeaders(w, reply)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	req.status = reply.Status
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(body) // a caller that has left needs no answer
-	return result{end: answered}
+	_, _ = w.Write(body) // an error means that the caller has disconnected
+	return attemptResult{outcome: answered}
 }
 
-// elsewhere notes that another endpoint is tried after a failure.
-func (g *Gate) elsewhere(req *request, t *target.Target, status int) result {
+// failureWithRetry logs a failure and returns a result for which another attempt is already
+// granted.
+func (g *Gate) failureWithRetry(req *request, t *target.Target, status int) attemptResult {
 	g.Log.Info("endpoint answered a failure", "request", req.Request, "endpoint", t.ID, "status", status)
-	return result{end: failed, granted: true, err: fault.Refuse(fault.EndpointFailed, "status "+strconv.Itoa(status))}
+	return attemptResult{outcome: failed, retryGranted: true, err: fault.Refuse(fault.EndpointFailed, "status "+strconv.Itoa(status))}
 }
 
-// notTheRest judges an answer that can't go on with a stream that the caller has a
-// part of: no byte of it may follow that part, nor may the stream end as if whole.
-func (g *Gate) notTheRest(req *request, t *target.Target, status int) result {
+// resumeFailure returns the result of an attempt that can't resume a stream of which the
+// caller already has a part. No byte of its answer may follow that part, and the stream
+// must not end as if it were complete.
+func (g *Gate) resumeFailure(req *request, t *target.Target, status int) attemptResult {
 	g.Log.Info("endpoint doesn't go on with the stream", "request", req.Request, "endpoint", t.ID, "status", status,
-		"events", req.events, "lastEvent", req.LastEvent)
-	return result{end: failed, err: fault.Refuse(fault.AnswerBroken, "status "+strconv.Itoa(status)+" instead of the rest")}
+		"events", req.eventCount, "lastEvent", req.LastEvent)
+	return attemptResult{outcome: failed, err: fault.Refuse(fault.AnswerBroken, "status "+strconv.Itoa(status)+" instead of the rest of the stream")}
 }
 
-// passLong passes on an answer that is too long to be kept.
-func (g *Gate) passLong(w http.ResponseWriter, req *request, reply *conn.Reply, body []byte) result {
-	copyHead(w, reply)
+// passLong passes on an answer that is too long to be buffered; body is the part read so
+// far.
+func (g *Gate) passLong(w http.ResponseWriter, req *request, reply *conn.Reply, body []byte) attemptResult {
+	copyHeaders(w, reply)
 	if reply.Length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
-	req.status, req.begun = reply.Status, true
+	req.status, req.headSent = reply.Status, true
 	w.WriteHeader(reply.Status)
 	_, err := w.Write(body)
 	if err == nil {
 		_, err = io.Copy(w, reply.Body)
 	}
 	if err != nil || !reply.Whole() {
-		return result{end: broken, err: fault.Refuse(fault.AnswerBroken, "a long answer broke off")}
+		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the connection failed before the end of a long answer")}
 	}
-	return result{end: answered}
+	return attemptResult{outcome: answered}
 }
 
-// passEvents passes a stream on event by event. The head of the first engine
-// stands for the whole answer, also when another engine goes on with it.
-func (g *Gate) passEvents(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *load, s *stall) result {
+// passEvents passes a stream on event by event. The caller gets the head of the first
+// engine's answer, also if another engine resumes the stream.
+func (g *Gate) passEvents(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, timer *stallTimer) attemptResult {
 	flush := http.NewResponseController(w)
 	events := event.New(reply.Body)
-	own := &pauses{began: g.Clock.Now()}
+	gaps := &eventGaps{began: g.Clock.Now()}
 	for {
 		next, err := events.Next()
 		if err != nil {
-			return g.endEvents(w, req, t, reply, l, err)
+			return g.handleStreamEnd(w, req, t, reply, l, err)
 		}
-		s.heard()
-		own.count(l.trial, g.Clock.Now())
-		if req.events == 0 {
-			req.first = g.Clock.Since(req.began)
-			g.learn(l, req.pool.Name)
-			g.meter.first.WithLabelValues(req.route.Name).Observe(seconds(req.first))
+		timer.reset()
+		gaps.addEvent(l.rolloutAttempt, g.Clock.Now())
+		if req.eventCount == 0 {
+			req.firstEventTime = g.Clock.Since(req.began)
+			g.learnReadRate(l, req.pool.Name)
+			g.meter.firstEvent.WithLabelValues(req.route.Name).Observe(seconds(req.firstEventTime))
 		}
-		if l.prefill > 0 || req.events == 0 {
-			l.read()
-			g.inputsRead(req)
+		if l.prefill > 0 || req.eventCount == 0 {
+			l.markPromptRead()
+			g.releaseInputs(req)
 		}
-		if !req.begun {
-			copyHead(w, reply)
-			req.status, req.begun = reply.Status, true
+		if !req.headSent {
+			copyHeaders(w, reply)
+			req.status, req.headSent = reply.Status, true
 			w.WriteHeader(reply.Status)
 		}
 		_, err = w.Write(next.Raw)
@@ -128,59 +132,59 @@
 			err = flush.Flush()
 		}
 		if err != nil {
-			return result{end: answered, err: fault.Refuse(fault.Cancelled, "the caller left")}
+			return attemptResult{outcome: answered, err: fault.Refuse(fault.Cancelled, "the caller closed the connection")}
 		}
-		req.events++
+		req.eventCount++
 		if next.ID != "" {
 			req.LastEvent = next.ID
 		}
 	}
 }
 
-// pauses measures the pauses between the events of one endpoint's stream.
-type pauses struct {
+// eventGaps measures the time between the events of one endpoint's stream.
+type eventGaps struct {
 	began  clock.Millis
 	events int
 }
 
-// pausesAfter is the number of events after which a stream's pauses are counted.
-const pausesAfter = 4
+// gapSampleEvents is the number of events after which the mean gap of a stream is recorded.
+const gapSampleEvents = 4
 
-// count notes an event. The first tells that the endpoint has answered, some more
-// how fast it goes on.
-func (p *pauses) count(trial *deploy.Attempt, now clock.Millis) {
-	switch p.events++; p.events {
+// addEvent counts an event. The first event records that the endpoint has answered, the one
+// numbered gapSampleEvents the mean gap since the first.
+func (e *eventGaps) addEvent(attempt *deploy.Attempt, now clock.Millis) {
+	switch e.events++; e.events {
 	case 1:
-		trial.Answered(false)
-		p.began = now
-	case pausesAfter:
-		trial.Pauses(float64(now-p.began) / (pausesAfter - 1))
+		attempt.Answered(false)
+		e.began = now
+	case gapSampleEvents:
+		attempt.Pauses(float64(now-e.began) / (gapSampleEvents - 1))
 	}
 }
 
-// inputsRead gives back what the engine has read: with its first event it needs
-// no inputs any more, and stage engines have little memory.
-func (g *Gate) inputsRead(req *request) {
+// releaseInputs releases the results that the engine has read: after its first event it
+// needs no inputs, and stage engines have little memory.
+func (g *Gate) releaseInputs(req *request) {
 	if req.run != nil {
-		g.giveBack(req, req.run.ReleaseAll())
+		g.releaseResults(req, req.run.ReleaseAll())
 	}
 }
 
-// endEvents judges the end of a stream.
-func (g *Gate) endEvents(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *load, err error) result {
+// handleStreamEnd returns the result of a stream that has ended or broken off.
+func (g *Gate) handleStreamEnd(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, err error) attemptResult {
 	if errors.Is(err, io.EOF) && reply.Whole() {
 		t.Answered(0, false)
-		l.trial.Answered(false)
-		if !req.begun {
-			copyHead(w, reply)
+		l.rolloutAttempt.Answered(false)
+		if !req.headSent {
+			copyHeaders(w, reply)
 			req.status = reply.Status
 			w.WriteHeader(reply.Status)
 		}
-		return result{end: answered}
+		return attemptResult{outcome: answered}
 	}
 	t.Failed(g.Clock.Now())
-	l.trial.Broke()
-	g.Log.Info("stream broke off", "request", req.Request, "endpoint", t.ID, "events", req.events,
+	l.rolloutAttempt.Broke()
+	g.Log.Info("stream broke off", "request", req.Request, "endpoint", t.ID, "events", req.eventCount,
 		"lastEvent", req.LastEvent, logs.KeyError, err)
-	return result{end: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
+	return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
 }
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -10,96 +10,97 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// stageEnd is the end of one stage, or the news that it has read its inputs.
-type stageEnd struct {
-	stage   int
-	began   clock.Millis
-	fetched bool
+// stageEvent reports that a stage has ended or, if inputsRead is set, that it has read its
+// inputs.
+type stageEvent struct {
+	stage      int
+	began      clock.Millis
+	inputsRead bool
 	// pool is the shard whose owner made the pieces.
 	pool string
 	made *wire.Made
 	err  error
 }
 
-// progress brings the stages of one request to their end.
+// progress runs the stages of one request.
 type progress struct {
 	g   *Gate
 	req *request
-	// ends holds what happened: each stage may run twice, and tells of its inputs
-	// and of its end.
-	ends     chan stageEnd
-	running  int
-	restarts int
-	// failed is why no further stage is begun.
-	failed error
-	// inflow holds the pending arrivals of each stage, nil for none.
-	inflow []*inflow.Work
-	// delayed tells which stages have been put off.
-	delayed []bool
-	// look is when a stage that was put off is looked at again, 0 for none.
-	look clock.Millis
+	// stageEvents has room for all events, so that senders never block: each stage may run
+	// twice, with two events for each run.
+	stageEvents chan stageEvent
+	running     int
+	restarts    int
+	// failure is the error after which no further stage starts.
+	failure error
+	// arrivals holds the pending arrivals of each stage, nil for none.
+	arrivals []*inflow.Work
+	// postponed marks the stages that were postponed at least once.
+	postponed []bool
+	// nextCheck is when the postponed stages are considered again, 0 for none.
+	nextCheck clock.Millis
 }
 
 func newProgress(g *Gate, req *request) *progress {
 	stages := len(req.route.Stages)
-	return &progress{g: g, req: req, ends: make(chan stageEnd, 4*stages), inflow: make([]*inflow.Work, stages), delayed: make([]bool, stages)}
+	return &progress{g: g, req: req, stageEvents: make(chan stageEvent, 4*stages), arrivals: make([]*inflow.Work, stages), postponed: make([]bool, stages)}
 }
 
-// announce enters the stages that will run later, so that all processes count
-// them when they admit others.
-func (p *progress) announce() {
-	for stage := range p.inflow {
-		if p.inflow[stage] != nil || !p.req.run.Waiting(stage) || len(p.req.route.Stages[stage].After) == 0 {
+// addPendingArrivals registers the pieces of stages that will run later, so that all
+// processes take them into account when they admit requests.
+func (p *progress) addPendingArrivals() {
+	for stage := range p.arrivals {
+		if p.arrivals[stage] != nil || !p.req.run.Waiting(stage) || len(p.req.route.Stages[stage].After) == 0 {
 			continue
 		}
-		p.inflow[stage] = &inflow.Work{
+		p.arrivals[stage] = &inflow.Work{
 			Pool: p.req.route.Stages[stage].Pool, Pieces: p.req.run.Pieces(stage),
-			Rank: p.req.objective - p.g.after(p.req, stage) + penalty(p.req),
+			Rank: p.req.neededBy - p.g.minTimeAfter(p.req, stage) + penalty(p.req),
 		}
-		p.g.inflow.Add(p.inflow[stage])
+		p.g.arrivals.Add(p.arrivals[stage])
 	}
 }
 
-// arrived takes a stage out of the work to come.
-func (p *progress) arrived(stage int) {
-	if p.inflow[stage] != nil {
-		p.g.inflow.Remove(p.inflow[stage])
-		p.inflow[stage] = nil
+// removePendingArrivals removes the pieces of a stage from the pending arrivals.
+func (p *progress) removePendingArrivals(stage int) {
+	if p.arrivals[stage] != nil {
+		p.g.arrivals.Remove(p.arrivals[stage])
+		p.arrivals[stage] = nil
 	}
 }
 
-// run returns once no stage runs and none is left to begin.
+// run runs the stages and returns once none runs and none is left to start.
 func (p *progress) run(ctx context.Context) error {
-	p.announce()
+	p.addPendingArrivals()
 	defer func() {
-		for stage := range p.inflow {
-			p.arrived(stage)
+		for stage := range p.arrivals {
+			p.removePendingArrivals(stage)
 		}
 	}()
 	for {
-		if p.failed == nil {
-			p.failed = p.g.goesOn(p.req)
+		if p.failure == nil {
+			p.failure = p.g.checkDeadline(p.req)
 		}
-		if p.failed == nil {
-			p.begin(ctx)
+		if p.failure == nil {
+			p.startReady(ctx)
 		}
 		if p.running == 0 {
-			return p.failed
+			return p.failure
 		}
-		p.await()
+		p.awaitEvent()
 	}
 }
 
-// begin begins the stages that can run, but for those that are put off. One
-// that nothing else runs beside is never put off.
-func (p *progress) begin(ctx context.Context) {
-	p.look = 0
+// startReady starts the stages that can run, except those that are better postponed. If no
+// other stage runs, it starts one in any case.
+func (p *progress) startReady(ctx context.Context) {
+	p.nextCheck = 0
 	ready := p.req.run.Ready()
-	r := p.g.reachOf(p.req)
+	r := p.g.reachRequest(p.req)
 	for _, stage := range ready {
-		wait := r.StageDelay(stage, p.g.queue)
+		wait := r.StageDelay(stage, p.g.poolQueue)
 		if wait > 0 && (p.running > 0 || len(ready) > 1) {
-			p.putOff(stage, wait)
+			p.postpone(stage, wait)
 			continue
 		}
 		p.start(ctx, stage)
@@ -109,19 +110,19 @@
 	}
 }
 
-// putOff has a stage looked at again after a while. The first time is logged.
-func (p *progress) putOff(stage int, wait clock.Millis) {
-	p.look = soonest(p.look, p.g.Clock.Now()+wait)
-	if p.delayed[stage] {
+// postpone schedules another check of a stage. It logs the first postponement.
+func (p *progress) postpone(stage int, wait clock.Millis) {
+	p.nextCheck = earlier(p.nextCheck, p.g.Clock.Now()+wait)
+	if p.postponed[stage] {
 		return
 	}
-	p.delayed[stage] = true
+	p.postponed[stage] = true
 	p.g.Log.Info("stage put off", "request", p.req.Request, "stage", stage, "pool", p.req.route.Stages[stage].Pool,
 		"waitMs", int64(wait), "resultBytes", p.req.route.Stages[stage].ResultBytes, "pieces", p.req.run.Pieces(stage))
 }
 
-// soonest returns the earlier of two instants, of which 0 is none.
-func soonest(a, b clock.Millis) clock.Millis {
+// earlier returns the earlier of two instants, where 0 means none.
+func earlier(a, b clock.Millis) clock.Millis {
 	if a == 0 {
 		return b
 	}
@@ -130,50 +131,50 @@
 
 func (p *progress) start(ctx context.Context, stage int) {
 	p.req.run.Begin(stage)
-	p.arrived(stage)
+	p.removePendingArrivals(stage)
 	p.running++
-	ask := p.g.ask(p.req, stage)
+	pieces := p.g.piecesRequest(p.req, stage)
 	began := p.g.Clock.Now()
 	go func() {
-		fetched := func() { p.ends <- stageEnd{stage: ask.Stage, fetched: true} }
-		made, err := p.g.make(ctx, p.req, ask, fetched)
-		p.ends <- stageEnd{stage: ask.Stage, began: began, pool: ask.Pool, made: made, err: err}
+		inputsRead := func() { p.stageEvents <- stageEvent{stage: pieces.Stage, inputsRead: true} }
+		made, err := p.g.makePieces(ctx, p.req, pieces, inputsRead)
+		p.stageEvents <- stageEvent{stage: pieces.Stage, began: began, pool: pieces.Pool, made: made, err: err}
 	}()
 }
 
-// await takes the next thing that happens, or returns when a stage that was put
-// off is to be looked at again.
-func (p *progress) await() {
-	var again <-chan struct{}
-	if p.look > 0 {
-		expired, forget := p.g.Clock.After(max(p.look-p.g.Clock.Now(), 1))
-		defer forget()
-		again = expired
+// awaitEvent handles the next event, or returns when postponed stages are to be considered
+// again.
+func (p *progress) awaitEvent() {
+	var checkDue <-chan struct{}
+	if p.nextCheck > 0 {
+		due, stopTimer := p.g.Clock.After(max(p.nextCheck-p.g.Clock.Now(), 1))
+		defer stopTimer()
+		checkDue = due
 	}
 	select {
-	case end := <-p.ends:
-		p.take(end)
-	case <-again:
+	case event := <-p.stageEvents:
+		p.handle(event)
+	case <-checkDue:
 	}
 }
 
-func (p *progress) take(end stageEnd) {
+func (p *progress) handle(event stageEvent) {
 	run := p.req.run
-	if end.fetched {
-		run.MarkFetched(end.stage)
-		p.g.give(p.req, run.Evictable(), wire.Unused{Spare: true})
+	if event.inputsRead {
+		run.MarkFetched(event.stage)
+		p.g.sendUnused(p.req, run.Evictable(), wire.Unused{Spare: true})
 		return
 	}
 	p.running--
-	p.req.spans = append(p.req.spans, span{stage: end.stage, from: end.began - p.req.began, took: p.g.Clock.Since(end.began), failed: end.err != nil})
+	p.req.spans = append(p.req.spans, span{stage: event.stage, start: event.began - p.req.began, duration: p.g.Clock.Since(event.began), failed: event.err != nil})
 	switch {
-	case end.err == nil:
-		p.finish(end)
-	case isInputGone(end.err) && p.restarts < maxRestarts && p.failed == nil:
+	case event.err == nil:
+		p.recordResults(event)
+	case isInputGone(event.err) && p.restarts < maxStageRestarts && p.failure == nil:
 		p.restarts++
-		p.g.giveBack(p.req, run.ResetStage(end.stage))
+		p.g.releaseResults(p.req, run.ResetStage(event.stage))
 	default:
-		p.failed = errors.Join(p.failed, end.err)
+		p.failure = errors.Join(p.failure, event.err)
 	}
 }
 
@@ -182,16 +183,17 @@
 	return errors.As(err, &refused) && refused.Reason == fault.InputGone
 }
 
-// finish notes where the results of a stage lie.
-func (p *progress) finish(end stageEnd) {
-	stage := p.req.route.Stages[end.stage]
-	for i, reference := range end.made.References {
-		at := madeAt{pool: end.pool, bytes: stage.ResultBytes}
-		if i < len(end.made.Zones) && i < len(end.made.Endpoints) {
-			at.zone, at.endpoint = end.made.Zones[i], end.made.Endpoints[i]
+// recordResults stores the locations of a stage's results and releases those that are no
+// longer needed.
+func (p *progress) recordResults(event stageEvent) {
+	stage := p.req.route.Stages[event.stage]
+	for i, reference := range event.made.References {
+		location := resultLocation{pool: event.pool, bytes: stage.ResultBytes}
+		if i < len(event.made.Zones) && i < len(event.made.Endpoints) {
+			location.zone, location.endpoint = event.made.Zones[i], event.made.Endpoints[i]
 		}
-		p.req.made[reference] = at
+		p.req.results[reference] = location
 	}
-	p.req.run.Finish(end.stage, end.made.References)
-	p.g.giveBack(p.req, p.req.run.ReleaseConsumed())
+	p.req.run.Finish(event.stage, event.made.References)
+	p.g.releaseResults(p.req, p.req.run.ReleaseConsumed())
 }
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -11,68 +11,69 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// generationTime is what a generation takes to its first event besides reading
-// its prompt and what waits before it: some steps of the engine, and fetching
-// inputs.
-const generationTime = 60 * clock.Millis(1)
+// minGenerationTime is the time of a generation to its first event without queueing and
+// without reading its prompt: some steps of the engine and the fetch of the inputs.
+const minGenerationTime = 60 * clock.Millis(1)
 
-// lateBehind is how far a request that begins late is put behind others: it is
-// late by less than this and has no other penalty than requests in time have.
-const lateBehind = 2 * batch.LatePenalty
+// latePenalty is the penalty that ranks a request admitted late behind those in time. It
+// exceeds the lateness of any such request, whose other penalties are the same as those of
+// requests in time.
+const latePenalty = 2 * batch.LatePenalty
 
-// begins refuses a request that would probably miss its objective, before any
-// engine has worked for it.
-func (g *Gate) begins(req *request) error {
-	r := g.reachOf(req)
-	remaining := r.Remaining(g.queue)
+// admit returns a refusal if the request would probably miss its objective, before any
+// engine has worked for it. A request sent again after a refusal may be admitted late.
+func (g *Gate) admit(req *request) error {
+	r := g.reachRequest(req)
+	remaining := r.Remaining(g.poolQueue)
 	req.estimate = clock.Millis(remaining)
 	now := g.Clock.Now()
-	record := g.routes.of(req.route.Name)
-	r.Correction = record.correction.Value(now)
-	r.ReservedShare = reach.ReservedShare(req.route.Priority, record.admitted.Share(now), g.admitted.Share(now))
-	begins := r.Admissible(remaining)
-	record.admitted.Count(begins, now)
-	g.admitted.Count(begins, now)
-	if begins {
+	stats := g.routeStats.get(req.route.Name)
+	r.Correction = stats.correction.Value(now)
+	r.ReservedShare = reach.ReservedShare(req.route.Priority, stats.admitted.Share(now), g.admitted.Share(now))
+	inTime := r.Admissible(remaining)
+	stats.admitted.Count(inTime, now)
+	g.admitted.Count(inTime, now)
+	if inTime {
 		return nil
 	}
-	if req.returned {
-		r.Penalty += lateBehind
-		if r.AdmissibleLate(r.Remaining(g.queue)) {
-			req.behind = true
+	if req.afterRefusal {
+		r.Penalty += latePenalty
+		if r.AdmissibleLate(r.Remaining(g.poolQueue)) {
+			req.admittedLate = true
 			g.Log.Info("request begun late", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
 				"slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
 			return nil
 		}
 	}
-	req.binding = r.Bottleneck(g.queue)
+	req.bottleneck = r.Bottleneck(g.poolQueue)
 	g.Log.Info("request not begun", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
-		"correctionMs", int64(r.Correction), "yield", r.ReservedShare, "pool", req.binding, "slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
+		"correctionMs", int64(r.Correction), "yield", r.ReservedShare, "pool", req.bottleneck, "slackMs", int64(r.Slack), "timeLeftMs", int64(r.Left))
 	return &fault.RefusalError{
-		Reason: fault.Overloaded, Ran: fault.NotRun, RetryAfter: spread(max(r.Excess(remaining), comeBackLoad)),
+		Reason: fault.Overloaded, Ran: fault.NotRun, RetryAfter: jitter(max(r.Excess(remaining), retryAfterOverload)),
 		Detail: "the stages' queues are too long",
 	}
 }
 
-// goesOn gives up a request that will not have its answer within its deadline.
-func (g *Gate) goesOn(req *request) error {
-	r := g.reachOf(req)
-	remaining := r.Remaining(g.queue)
+// checkDeadline returns a refusal if the request will not have its answer within its
+// deadline.
+func (g *Gate) checkDeadline(req *request) error {
+	r := g.reachRequest(req)
+	remaining := r.Remaining(g.poolQueue)
 	if r.MeetsDeadline(remaining) {
 		return nil
 	}
 	g.Log.Info("request given up", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
 		"timeLeftMs", int64(r.Left))
 	return &fault.RefusalError{
-		Reason: fault.WontMakeIt, Ran: fault.NotRun, RetryAfter: spread(comeBackFull), Detail: "no time left for the stages",
+		Reason: fault.WontMakeIt, Ran: fault.NotRun, RetryAfter: jitter(retryAfterFull), Detail: "not enough time left for the stages",
 	}
 }
 
-func (g *Gate) reachOf(req *request) *reach.Request {
+func (g *Gate) reachRequest(req *request) *reach.Request {
 	now := g.Clock.Now()
 	r := &reach.Request{
 		Stages: req.route.Stages, Pieces: req.Pieces, Done: make([]bool, len(req.route.Stages)),
-		Slack: req.objective - now, Left: req.deadline - now, Penalty: penalty(req), Returned: req.returned, Generation: float64(req.generation),
+		Slack: req.neededBy - now, Left: req.deadline - now, Penalty: penalty(req), Returned: req.afterRefusal, Generation: float64(req.generationEstimate),
 	}
 	for i := range r.Done {
 		r.Done[i] = !req.run.Waiting(i)
@@ -80,72 +81,72 @@
 	return r
 }
 
-// penalty puts a request behind others: by its organisation's priority, which
-// takes precedence, and among requests of organisations of one priority by its
-// route's.
+// penalty returns the time by which a request is ranked behind others. The priority of the
+// organisation takes precedence; among organisations of one priority the priority of the
+// route decides.
 func penalty(req *request) clock.Millis {
-	behind := clock.Millis(0)
-	if req.behind {
-		behind = lateBehind
+	base := clock.Millis(0)
+	if req.admittedLate {
+		base = latePenalty
 	}
-	return behind + clock.Millis(max(req.priority, 0))*organisationPenalty + clock.Millis(max(req.route.Priority, 0))*routePenalty
+	return base + clock.Millis(max(req.priority, 0))*organisationPenalty + clock.Millis(max(req.route.Priority, 0))*routePenalty
 }
 
-// queue returns what is known of the queue of a pool, over all its shards; nil if
-// it makes no pieces.
-func (g *Gate) queue(name string) *reach.Queue {
+// poolQueue returns the state of a pool's queue over all its shards, or nil if the pool
+// makes no pieces.
+func (g *Gate) poolQueue(name string) *reach.Queue {
 	batching := g.Table().Batching(name)
 	if batching == nil {
 		return nil
 	}
-	var parts []*reach.Queue
-	for _, part := range g.View().Shards(name) {
-		q, _ := g.shardQueue(&part, batching)
-		parts = append(parts, q)
+	var shards []*reach.Queue
+	for _, shard := range g.View().Shards(name) {
+		q, _ := g.shardQueue(&shard, batching)
+		shards = append(shards, q)
 	}
-	q := reach.Merge(parts)
+	q := reach.Merge(shards)
 	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.Room
-	q.PendingArrivals = inflow.AddClasses(g.inflow.PoolPieces(name, g.Clock.Now()), g.mesh.Inflow(name))
+	q.PendingArrivals = inflow.AddClasses(g.arrivals.PoolPieces(name, g.Clock.Now()), g.mesh.Inflow(name))
 	return q
 }
 
-// shardQueue returns what is known of the queue of a shard: from this process if
-// it owns the shard, else from what the owner reported last.
-func (g *Gate) shardQueue(part *view.Shard, batching *table.Batching) (q *reach.Queue, known bool) {
-	load, late, known := g.load(part)
+// shardQueue returns the state of a shard's queue: from this process if it owns the shard,
+// else from the owner's last report. If there is no report yet, known is false.
+func (g *Gate) shardQueue(shard *view.Shard, batching *table.Batching) (q *reach.Queue, known bool) {
+	load, staleness, known := g.shardLoad(shard)
 	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.Room}
 	if known {
 		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.Fill, load.Waiting
-		q.Staleness = float64(late)
+		q.Staleness = float64(staleness)
 		return q, true
 	}
-	// Nobody has told of it yet: as far as is known, nothing waits.
-	q.Engines = max(len(part.Endpoints), 1)
+	// Without a report the queue is taken to be empty.
+	q.Engines = max(len(shard.Endpoints), 1)
 	q.Free = q.Engines
 	return q, false
 }
 
-func (g *Gate) load(part *view.Shard) (load wire.PoolLoad, late clock.Millis, known bool) {
-	if g.ownerOf(part.Name) == g.mesh.Self() {
-		load, known = g.host.Load(part.Name)
+func (g *Gate) shardLoad(shard *view.Shard) (load wire.PoolLoad, staleness clock.Millis, known bool) {
+	if g.ownerOf(shard.Name) == g.mesh.Self() {
+		load, known = g.host.Load(shard.Name)
 		return load, 0, known
 	}
-	return g.mesh.Pool(part.Name)
+	return g.mesh.Pool(shard.Name)
 }
 
-// ownerOf returns the process that owns a shard, or a pool that is not divided.
+// ownerOf returns the process that owns a shard, or a pool that is not divided into shards.
 func (g *Gate) ownerOf(name string) string {
 	zone := ""
-	if part := g.View().Shard(name); part != nil {
-		zone = part.Zone
+	if shard := g.View().Shard(name); shard != nil {
+		zone = shard.Zone
 	}
 	return g.mesh.OwnerIn(name, zone)
 }
 
-// after is what the stages behind one, and the request itself, take at least
-// when nothing waits.
-func (g *Gate) after(req *request, stage int) clock.Millis {
-	r := g.reachOf(req)
+// minTimeAfter returns the time that the stages after the given one, and the request
+// itself, take if nothing is queued.
+func (g *Gate) minTimeAfter(req *request, stage int) clock.Millis {
+	r := g.reachRequest(req)
 	for i := range r.Done {
 		r.Done[i] = !req.run.DependsOn(i, stage)
 	}
--- a/internal/serve/gate/record.go
+++ b/internal/serve/gate/record.go
@@ -6,22 +6,23 @@
 	"github.com/jujubescale/jujubescale/internal/flow/reach"
 )
 
-// byName holds one record for each name, made when it is first asked for. It is
-// safe for use by several goroutines.
-type byName[T any] struct{ known sync.Map }
+// byName holds one record for each name, created on first use. It is safe for concurrent
+// use.
+type byName[T any] struct{ records sync.Map }
 
-// of returns the record of a name.
-func (b *byName[T]) of(name string) *T {
-	if known, found := b.known.Load(name); found {
-		return known.(*T)
+// get returns the record of a name.
+func (b *byName[T]) get(name string) *T {
+	if record, found := b.records.Load(name); found {
+		return record.(*T)
 	}
-	known, _ := b.known.LoadOrStore(name, new(T))
-	return known.(*T)
+	record, _ := b.records.LoadOrStore(name, new(T))
+	return record.(*T)
 }
 
-// routeRecord is what this process has seen of a route's requests.
-type routeRecord struct {
-	// correction is what estimates were off by, admitted which part was begun in time.
+// routeStats holds statistics of a route's requests in this process.
+type routeStats struct {
+	// correction is the error of past estimates, admitted the share of requests that were
+	// admitted in time.
 	correction reach.Correction
 	admitted   reach.Admissions
 }
--- a/internal/serve/gate/run.go
+++ b/internal/serve/gate/run.go
@@ -11,70 +11,73 @@
 )
 
 const (
-	// maxUnsent is how many endpoints are tried that could not be reached.
-	maxUnsent = 4
-	// waitShare is the part of a request's objective for which it waits for an
-	// endpoint that is only held back by its pace; waiting longer costs the
-	// caller more than coming back.
-	waitShare = 0.125
+	// maxUnreachable bounds the number of unreachable endpoints that are tried for one
+	// request.
+	maxUnreachable = 4
+	// paceWaitShare is the share of a request's objective for which it waits for an
+	// endpoint whose rate limit holds it back. A longer wait would cost the caller more
+	// than a retry.
+	paceWaitShare = 0.125
 )
 
-// end says how one attempt at an endpoint ended.
-type end int
+// outcome is the way in which an attempt at an endpoint ended.
+type outcome int
 
 const (
-	// answered: the caller has its whole answer.
-	answered end = iota
+	// answered: the caller has the complete answer, or has disconnected while receiving it.
+	answered outcome = iota
 	// unsent: nothing reached the endpoint.
 	unsent
-	// notRun: the endpoint refused the request and never runs it.
+	// notRun: the endpoint refused the request and will never run it.
 	notRun
-	// inputsGone: as notRun, because a result that it reads no longer exists.
+	// inputsGone: like notRun, because an input no longer exists.
 	inputsGone
-	// broken: the endpoint may have run the request, and no whole answer came.
+	// broken: the endpoint may have run the request, but sent no complete answer.
 	broken
-	// failed: the endpoint's own failure, which can be passed on or, where the
-	// request may be repeated, tried elsewhere.
+	// failed: the endpoint answered with a failure. It is passed on or, if the request may
+	// be repeated, another endpoint is tried.
 	failed
 )
 
-// run brings a request to its end.
+// run runs the stages and the attempts of a request and ends it.
 func (g *Gate) run(ctx context.Context, w http.ResponseWriter, req *request) {
 	err := g.runStages(ctx, req)
 	if err == nil {
-		err = g.attempts(ctx, w, req)
+		err = g.runAttempts(ctx, w, req)
 	}
 	if req.run != nil {
-		g.giveBack(req, req.run.References())
+		g.releaseResults(req, req.run.References())
 	}
 	if err == nil {
-		g.ended(req, nil)
+		g.recordEnd(req, nil)
 		return
 	}
 	g.refuse(w, req, g.refusal(ctx, req, err))
 }
 
-// refusal says why a request gets no answer, and whether it may have run.
+// refusal returns the refusal for a request that failed with err. It states the reason and
+// whether the request may have run.
 func (g *Gate) refusal(ctx context.Context, req *request, err error) *fault.RefusalError {
 	refused := asRefusal(err, fault.EndpointFailed)
 	switch {
-	case g.cut.Err() != nil:
-		refused = fault.Refuse(fault.Leaving, "the planned stop ended")
+	case g.requestsContext.Err() != nil:
+		refused = fault.Refuse(fault.Leaving, "the request was still open at the end of the planned stop")
 	case errors.Is(ctx.Err(), context.Canceled):
-		refused = fault.Refuse(fault.Cancelled, "the caller left")
+		refused = fault.Refuse(fault.Cancelled, "the caller closed the connection")
 	case ctx.Err() != nil:
-		refused = fault.Refuse(fault.WontMakeIt, "no time left")
+		refused = fault.Refuse(fault.WontMakeIt, "the request's deadline passed")
 	}
 	if req.mayHaveRun {
-		return mayHaveRun(refused)
+		return ambiguousRefusal(refused)
 	}
 	refused.Ran = fault.NotRun
 	return refused
 }
 
-// mayHaveRun turns a refusal into one that promises nothing: a status that
-// stands for "not run" would make the caller send a booking again.
-func mayHaveRun(refused *fault.RefusalError) *fault.RefusalError {
+// ambiguousRefusal returns a refusal that leaves open whether the request ran. A status
+// that means "not run" would make the caller repeat a request that must run once, such as a
+// booking.
+func ambiguousRefusal(refused *fault.RefusalError) *fault.RefusalError {
 	reason := refused.Reason
 	switch reason {
 	case fault.Cancelled, fault.AnswerBroken, fault.EndpointFailed:
@@ -86,74 +89,75 @@
 	return &fault.RefusalError{Reason: reason, Ran: fault.MayHaveRun, Detail: refused.Detail}
 }
 
-// attempts sends the request to one endpoint after the other until one
-// answers or no other may be tried.
-func (g *Gate) attempts(ctx context.Context, w http.ResponseWriter, req *request) error {
+// runAttempts sends the request to one endpoint after the other until one answers or no
+// other may be tried.
+func (g *Gate) runAttempts(ctx context.Context, w http.ResponseWriter, req *request) error {
 	for {
-		chosen, err := g.await(ctx, req)
+		chosen, err := g.awaitEndpoint(ctx, req)
 		if err != nil {
 			return err
 		}
-		if req.sent == 0 {
-			g.extras.Earn(req.pool.Name)
-			req.held = g.Clock.Since(req.began)
+		if req.sentCount == 0 {
+			g.retryBudget.Earn(req.pool.Name)
+			req.timeToSend = g.Clock.Since(req.began)
 		}
-		if refused := g.refuseAttempt(req); refused != nil {
+		if refused := g.refuseQuarantinedAttempt(req); refused != nil {
 			return refused
 		}
 		result := g.attempt(ctx, w, req, chosen)
-		if result.end == answered || ctx.Err() != nil {
+		if result.outcome == answered || ctx.Err() != nil {
 			return result.err
 		}
-		if err := g.next(ctx, req, result); err != nil {
+		if err := g.prepareRetry(ctx, req, result); err != nil {
 			return err
 		}
 	}
 }
 
-// next prepares another attempt, or returns why there is none.
-func (g *Gate) next(ctx context.Context, req *request, result result) error {
-	if result.end == unsent {
-		req.missed++
-		if req.missed >= maxUnsent {
+// prepareRetry prepares the next attempt, or returns the error for the caller if there is
+// none.
+func (g *Gate) prepareRetry(ctx context.Context, req *request, result attemptResult) error {
+	if result.outcome == unsent {
+		req.unreachable++
+		if req.unreachable >= maxUnreachable {
 			return fault.Refuse(fault.NoEndpoint, "no endpoint could be reached")
 		}
 		return nil
 	}
-	if !result.granted && !g.another(req, result) {
+	if !result.retryGranted && !g.takeRetry(req, result) {
 		return result.err
 	}
-	g.meter.retries.WithLabelValues(req.pool.Name, result.name()).Inc()
-	if result.end != inputsGone && (req.run == nil || !req.run.ResultsMissing()) {
+	g.meter.retries.WithLabelValues(req.pool.Name, result.label()).Inc()
+	if result.outcome != inputsGone && (req.run == nil || !req.run.ResultsMissing()) {
 		return nil
 	}
-	req.restarts++
-	if req.restarts > maxRestarts {
+	req.stageRestarts++
+	if req.stageRestarts > maxStageRestarts {
 		return result.err
 	}
-	g.giveBack(req, req.run.Restart())
+	g.releaseResults(req, req.run.Restart())
 	return g.runStages(ctx, req)
 }
 
-// another reports whether the request may be sent to one more endpoint, and
-// spends the budget for that.
-func (g *Gate) another(req *request, result result) bool {
-	repeats := req.route.Idempotent() || result.end == notRun || result.end == inputsGone
-	if req.begun && (req.route.Kind != table.Stream || !req.route.Resumable) {
+// takeRetry reports whether the request may be sent to one more endpoint, and takes that
+// attempt from the retry budget.
+func (g *Gate) takeRetry(req *request, result attemptResult) bool {
+	repeatable := req.route.Idempotent() || result.outcome == notRun || result.outcome == inputsGone
+	if req.headSent && (req.route.Kind != table.Stream || !req.route.Resumable) {
 		return false
 	}
-	return repeats && req.sent < max(req.route.Attempts, 1) && g.extras.Take(req.pool.Name)
+	return repeatable && req.sentCount < max(req.route.Attempts, 1) && g.retryBudget.Take(req.pool.Name)
 }
 
-// await chooses an endpoint; if all are held back by their pace it waits a
-// little for one.
-func (g *Gate) await(ctx context.Context, req *request) (choice, error) {
-	patience := g.Clock.Now() + clock.Millis(waitShare*float64(req.route.Objective))
+// awaitEndpoint chooses an endpoint. If the rate limits of all endpoints hold the request
+// back, it waits for one, up to paceWaitShare of the objective.
+func (g *Gate) awaitEndpoint(ctx context.Context, req *request) (choice, error) {
+	waitUntil := g.Clock.Now() + clock.Millis(paceWaitShare*float64(req.route.Objective))
 	for {
 		chosen := g.choose(req)
 		if chosen.target != nil {
 			now := g.Clock.Now()
-			wait := chosen.target.Start(g.paceOf(req, chosen.target.Endpoint, now), now)
+			wait := chosen.target.Start(g.startLimit(req, chosen.target.Endpoint, now), now)
 			if wait == 0 {
 				return chosen, nil
 			}
@@ -161,9 +165,9 @@
 		}
 		switch {
 		case chosen.wait == 0:
-			return choice{}, &fault.RefusalError{Reason: fault.NoEndpoint, Ran: fault.NotRun, RetryAfter: spread(comeBackNone)}
-		case g.Clock.Now()+chosen.wait > patience:
-			return choice{}, &fault.RefusalError{Reason: fault.ColdStart, Ran: fault.NotRun, RetryAfter: spread(max(chosen.wait, comeBackCold))}
+			return choice{}, &fault.RefusalError{Reason: fault.NoEndpoint, Ran: fault.NotRun, RetryAfter: jitter(retryAfterNoEndpoint)}
+		case g.Clock.Now()+chosen.wait > waitUntil:
+			return choice{}, &fault.RefusalError{Reason: fault.ColdStart, Ran: fault.NotRun, RetryAfter: jitter(max(chosen.wait, retryAfterCold))}
 		}
 		if err := g.Clock.Sleep(ctx, chosen.wait); err != nil {
 			return choice{}, err
@@ -171,30 +175,30 @@
 	}
 }
 
-// Times to come back after refusals: an endpoint's entry appears within a
-// second or so of its start, and a cold one takes another request soon.
+// Retry times of refusals: an endpoint's entry appears within about a second of its start,
+// and a cold endpoint soon accepts another request.
 const (
-	comeBackNone = 600 * clock.Millis(1)
-	comeBackCold = 250 * clock.Millis(1)
-	comeBackFull = 200 * clock.Millis(1)
-	// comeBackLoad leaves peers the time to hear of the refusal.
-	comeBackLoad = 350 * clock.Millis(1)
+	retryAfterNoEndpoint = 600 * clock.Millis(1)
+	retryAfterCold       = 250 * clock.Millis(1)
+	retryAfterFull       = 200 * clock.Millis(1)
+	// retryAfterOverload leaves time for the refusal to reach the peers.
+	retryAfterOverload = 350 * clock.Millis(1)
 )
 
-// result is the end of one attempt, and the error for the caller if no other
-// follows.
-type result struct {
-	end end
-	err error
-	// cause is why nothing reached the endpoint.
+// attemptResult is the outcome of one attempt, and the error for the caller if no other
+// attempt follows.
+type attemptResult struct {
+	outcome outcome
+	err     error
+	// cause is the error that kept the request from reaching the endpoint.
 	cause error
-	// granted says that the budget for another attempt has been spent already.
-	granted bool
+	// retryGranted is set if the retry budget for another attempt has already been taken.
+	retryGranted bool
 }
 
-// name returns the end as a label.
-func (r result) name() string {
-	switch r.end {
+// label returns the outcome as a metric label.
+func (r attemptResult) label() string {
+	switch r.outcome {
 	case notRun:
 		return "notRun"
 	case inputsGone:
--- a/internal/serve/gate/span_test.go
+++ b/internal/serve/gate/span_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSpansAreSpelled(t *testing.T) {
-	assert.Equal(t, spansText(nil), "")
-	spans := []span{{stage: 0, took: 266}, {stage: 1, from: 268, took: 412, failed: true}}
-	assert.Equal(t, spansText(spans), "0@0+266 1@268+412!")
+func TestFormatSpans(t *testing.T) {
+	assert.Equal(t, formatSpans(nil), "")
+	spans := []span{{stage: 0, duration: 266}, {stage: 1, start: 268, duration: 412, failed: true}}
+	assert.Equal(t, formatSpans(spans), "0@0+266 1@268+412!")
 }
--- a/internal/serve/gate/subset.go
+++ b/internal/serve/gate/subset.go
@@ -9,36 +9,37 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// subsets holds the subset of each pool, for one snapshot of the endpoints.
+// subsets holds this process's subset of each pool for the current snapshot of the
+// endpoints.
 type subsets struct {
 	process, zone string
 	processes     func() int
-	now           atomic.Pointer[poolSubsets]
+	current       atomic.Pointer[poolSubsets]
 }
 
 type poolSubsets struct {
-	of *view.Snapshot
-	// ids are the endpoints of all subsets, nil while every pool is used as a whole.
+	snapshot *view.Snapshot
+	// ids are the endpoints of all subsets; nil while every pool is used as a whole.
 	ids    atomic.Pointer[[]string]
-	byPool sync.Map // subsetOf to []int
+	byPool sync.Map // subsetKey to []int
 }
 
-// subsetOf names the endpoints of one version of a pool.
-type subsetOf struct{ pool, version string }
+// subsetKey identifies the endpoints of one version of a pool.
+type subsetKey struct{ pool, version string }
 
-// Of returns the positions of those of a pool's endpoints, which are all of one
-// version, that this process normally uses.
-func (s *subsets) Of(endpoints *view.Snapshot, pool string, members []*view.Endpoint) []int {
-	key := subsetOf{pool: pool}
+// positions returns the indexes, within members, of the endpoints in this process's subset.
+// All members are of one pool and version.
+func (s *subsets) positions(endpoints *view.Snapshot, pool string, members []*view.Endpoint) []int {
+	key := subsetKey{pool: pool}
 	if len(members) > 0 {
 		key.version = members[0].Version
 	}
-	known := s.now.Load()
-	if known == nil || known.of != endpoints {
-		known = &poolSubsets{of: endpoints}
-		s.now.Store(known)
+	current := s.current.Load()
+	if current == nil || current.snapshot != endpoints {
+		current = &poolSubsets{snapshot: endpoints}
+		s.current.Store(current)
 	}
-	if chosen, found := known.byPool.Load(key); found {
+	if chosen, found := current.byPool.Load(key); found {
 		return chosen.([]int)
 	}
 	all := make([]subset.Endpoint, 0, len(members))
@@ -46,18 +47,18 @@
 		all = append(all, subset.Endpoint{ID: e.ID, Zone: e.Zone})
 	}
 	chosen := subset.Of(s.process, s.zone, s.processes(), all)
-	known.byPool.Store(key, chosen)
+	current.byPool.Store(key, chosen)
 	return chosen
 }
 
-// interest returns the endpoints of the subsets of all pools that take requests, nil
-// while each of them is used as a whole.
-func (s *subsets) interest(endpoints *view.Snapshot, routes *table.Table) []string {
+// endpointIDs returns the ids of the subset's endpoints over all pools that take requests,
+// or nil while each pool is used as a whole.
+func (s *subsets) endpointIDs(endpoints *view.Snapshot, routes *table.Table) []string {
 	if endpoints == nil || routes == nil {
 		return nil
 	}
-	if known := s.now.Load(); known != nil && known.of == endpoints {
-		if ids := known.ids.Load(); ids != nil {
+	if current := s.current.Load(); current != nil && current.snapshot == endpoints {
+		if ids := current.ids.Load(); ids != nil {
 			return *ids
 		}
 	}
@@ -68,17 +69,17 @@
 			continue
 		}
 		members := endpoints.Pool(pool.Name)
-		chosen := s.Of(endpoints, pool.Name, members)
+		chosen := s.positions(endpoints, pool.Name, members)
 		divided = divided || len(chosen) < len(members)
-		for _, at := range chosen {
-			ids = append(ids, members[at].ID)
+		for _, position := range chosen {
+			ids = append(ids, members[position].ID)
 		}
 	}
 	if !divided {
 		ids = nil
 	}
-	if known := s.now.Load(); known != nil && known.of == endpoints {
-		known.ids.Store(&ids)
+	if current := s.current.Load(); current != nil && current.snapshot == endpoints {
+		current.ids.Store(&ids)
 	}
 	return ids
 }
