--- a/internal/flow/graph/graph.go
+++ b/internal/flow/graph/graph.go
@@ -150,10 +150,10 @@
 // MarkFetched notes that all pieces of a stage have read their inputs.
 func (r *Run) MarkFetched(stage int) { r.fetched[stage] = r.states[stage] == running }
 
-// Evictable returns, once, the references that every stage which reads them has
+// Reclaimable returns, once, the references that every stage which reads them has
 // read, although it is not done yet. They are needed again only if such a stage
 // fails: where memory is short, it is better used for something else.
-func (r *Run) Evictable() []string {
+func (r *Run) Reclaimable() []string {
 	var spare []string
 	for i := range r.stages {
 		if r.read[i] && !r.spared[i] && r.states[i] == done && r.readersFetched(i) {
--- a/internal/flow/graph/graph_test.go
+++ b/internal/flow/graph/graph_test.go
@@ -79,10 +79,10 @@
 	start(run)
 	run.Finish(1, []string{"b"})
 	start(run)
-	assert.Equal(t, len(run.Evictable()), 0)
+	assert.Equal(t, len(run.Reclaimable()), 0)
 	run.MarkFetched(2)
-	assert.DeepEqual(t, run.Evictable(), []string{"b"})
-	assert.Equal(t, len(run.Evictable()), 0)
+	assert.DeepEqual(t, run.Reclaimable(), []string{"b"})
+	assert.Equal(t, len(run.Reclaimable()), 0)
 	// They are still there if the stage fails, unless their memory was used.
 	assert.DeepEqual(t, run.Inputs(2), []string{"b"})
 	run.Finish(2, []string{"c"})
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -161,7 +161,7 @@
 	run := p.req.run
 	if end.fetched {
 		run.MarkFetched(end.stage)
-		p.g.give(p.req, run.Evictable(), wire.Unused{Spare: true})
+		p.g.give(p.req, run.Reclaimable(), wire.Unused{Spare: true})
 		return
 	}
 	p.running--
