--- a/internal/flow/batch/batch.go
+++ b/internal/flow/batch/batch.go
@@ -1,10 +1,10 @@
 // Package batch decides which pieces of work go to a stage engine in one call.
 //
-// A call to a stage engine costs a fixed time whatever it holds, so that pieces
-// of many requests are gathered into one. The owner of a pool keeps one queue
-// for all of the pool's engines and closes a batch when an engine's place
-// becomes free, never by a timer: under light load a piece leaves at once,
-// under heavy load batches fill by themselves.
+// A call to a stage engine has a fixed cost that does not depend on the number
+// of pieces, so pieces of many requests are sent in one call. The owner of a
+// pool keeps one queue for all of the pool's engines. It closes a batch when an
+// engine becomes free, never on a timer: under light load a piece is sent at
+// once, and under heavy load batches grow because pieces queue up.
 package batch
 
 import (
@@ -15,57 +15,59 @@
 	"github.com/jujubescale/jujubescale/internal/conf/table"
 )
 
-// Group is the pieces of one stage of one request. They share inputs.
+// Group is the set of pieces of one stage of one request. All pieces read the
+// same inputs.
 type Group struct {
-	// ID names the group in logs and tests of its owner.
+	// ID identifies the group in tests and logs of the owner.
 	ID      uint64
 	Request string
 	Stage   int
 	Key     string
 	Inputs  []string
-	// Count of pieces.
+	// Count is the number of pieces.
 	Count int
-	// Rank orders groups: the lowest goes first. It is the instant by which the
-	// result is wanted, put off for requests that are worth less.
+	// Rank orders groups; the lowest is sent first. It is NeededBy plus a penalty
+	// for requests of lower priority.
 	Rank clock.Millis
-	// NeededBy is the instant by which the result must be there for the request to
-	// meet its objective. Groups that can't be ready by then go behind all others.
+	// NeededBy is the instant by which the result is needed for the request to
+	// meet its objective. Groups that can't finish by then are sent after the
+	// others.
 	NeededBy clock.Millis
-	// Deadline is the instant after which the result is of no use.
+	// Deadline is the instant after which the result has no use.
 	Deadline clock.Millis
 	// ResultBytes is the memory that one result takes at the engine.
 	ResultBytes int64
-	// Zone that most inputs lie in, or where the results are wanted; may be empty.
+	// Zone is the availability zone that holds most of the inputs, or the one
+	// where the results are needed. It may be empty.
 	Zone string
-	// HoldUntil is the instant until which the group rather waits for an engine
-	// of its zone than going to another one. It does so while little waits, or,
-	// if Firm is set, also when much does.
+	// HoldUntil is the instant until which the group waits for an engine in its
+	// zone. Without HoldUnderLoad it waits only while few pieces are queued.
 	HoldUntil     clock.Millis
 	HoldUnderLoad bool
-	// Owner is the job that the group belongs to; the queue doesn't look at it.
+	// Owner is the job that the group belongs to. The queue does not read it.
 	Owner any
 
-	next      int   // first piece that was never taken
-	back      []int // pieces that were given back
-	backSince clock.Millis
-	behind    bool // put behind the others, because it is late
-	dropped   bool
+	next          int   // first piece that was never sent
+	requeued      []int // pieces that can be sent again
+	requeuedSince clock.Millis
+	deferred      bool // LatePenalty was added to Rank
+	dropped       bool
 }
 
-// Queued returns the number of pieces that are not with an engine.
+// Queued returns the number of pieces that are not in a call to an engine.
 func (g *Group) Queued() int {
 	if g.dropped {
 		return 0
 	}
-	return g.Count - g.next + len(g.back)
+	return g.Count - g.next + len(g.requeued)
 }
 
-// take returns the next piece, false if those that are left were sent before
-// and may not be sent again yet.
-func (g *Group) take(again func() bool) (int, bool) {
-	if last := len(g.back) - 1; last >= 0 && again() {
-		piece := g.back[last]
-		g.back = g.back[:last]
+// nextPiece takes the next piece from the group. It returns false if only
+// requeued pieces are left and the retry budget does not allow another one.
+func (g *Group) nextPiece(allowRetry func() bool) (int, bool) {
+	if last := len(g.requeued) - 1; last >= 0 && allowRetry() {
+		piece := g.requeued[last]
+		g.requeued = g.requeued[:last]
 		return piece, true
 	}
 	if g.next == g.Count {
@@ -81,61 +83,63 @@
 	Piece int
 }
 
-// Bounds are what one engine of the pool bears.
+// Bounds describes the calls that one engine of a pool accepts.
 type Bounds struct {
-	// Pieces is the largest number in one call.
+	// Pieces is the maximum number of pieces in one call.
 	Pieces int
-	// CallTime and PieceTime make up the duration of a call, in milliseconds.
+	// CallTime is the fixed duration of a call, in milliseconds, and PieceTime
+	// the time that each piece adds.
 	CallTime  float64
 	PieceTime float64
 }
 
-// BoundsOf returns the bounds that the configuration sets for a pool's calls.
+// BoundsOf returns the bounds that a pool's configuration sets.
 func BoundsOf(pool *table.Batching) Bounds {
 	return Bounds{Pieces: pool.Pieces, CallTime: float64(pool.CallTime), PieceTime: pool.PieceTime}
 }
 
-// Duration returns how long a call of so many pieces takes, in milliseconds.
+// Duration returns how long a call with the given number of pieces takes, in
+// milliseconds.
 func (b Bounds) Duration(pieces int) float64 {
 	return b.CallTime + b.PieceTime*float64(pieces)
 }
 
-// Queue holds the groups of one pool that wait. It is not safe for use by
-// several goroutines at once.
+// Queue holds the queued groups of one pool. It is not safe for concurrent use.
 type Queue struct {
-	groups []*Group // in the order of rank
+	groups []*Group // sorted by rank
 	pieces int
 }
 
-// Pieces returns the number of pieces that wait.
+// Pieces returns the number of queued pieces.
 func (q *Queue) Pieces() int { return q.pieces }
 
-// ResultBytes returns the bytes of results that the first pieces would make, as many
-// as are given.
+// ResultBytes returns the size of the results of the first pieces in the queue,
+// up to the given number of pieces.
 func (q *Queue) ResultBytes(pieces int) int64 {
-	var wanted int64
+	var bytes int64
 	for _, g := range q.groups {
 		if pieces <= 0 {
 			break
 		}
 		count := min(g.Queued(), pieces)
-		wanted += int64(count) * g.ResultBytes
+		bytes += int64(count) * g.ResultBytes
 		pieces -= count
 	}
-	return wanted
+	return bytes
 }
 
-// Add puts a group in its place.
+// Add inserts a group by its rank.
 func (q *Queue) Add(g *Group) {
 	at, _ := slices.BinarySearchFunc(q.groups, g, func(a, b *Group) int { return cmp.Compare(a.Rank, b.Rank) })
 	for at < len(q.groups) && q.groups[at].Rank == g.Rank {
-		at++ // behind those of the same rank that came before
+		at++ // first in, first out within a rank
 	}
 	q.groups = slices.Insert(q.groups, at, g)
 	q.pieces += g.Queued()
 }
 
-// Drop takes out what still waits of a group, because its request ended.
+// Drop removes a group from the queue. Pieces of it that are requeued later are
+// ignored.
 func (q *Queue) Drop(g *Group) {
 	if g.dropped {
 		return
@@ -147,53 +151,53 @@
 	g.dropped = true
 }
 
-// Requeue gives a piece back that an engine did not make.
+// Requeue returns a piece to the queue after a call that did not produce its
+// result. The piece is sent again when the retry budget allows it.
 func (q *Queue) Requeue(item Item, now clock.Millis) {
 	g := item.Group
 	if g.dropped {
 		return
 	}
-	if len(g.back) == 0 {
-		g.backSince = now
+	if len(g.requeued) == 0 {
+		g.requeuedSince = now
 	}
 	if g.Queued() == 0 {
-		g.back = append(g.back, item.Piece)
+		g.requeued = append(g.requeued, item.Piece)
 		q.Add(g)
 		return
 	}
-	g.back = append(g.back, item.Piece)
+	g.requeued = append(g.requeued, item.Piece)
 	q.pieces++
 }
 
-// Each calls visit for each group that waits, in order.
+// Each calls visit for each queued group, in order of rank.
 func (q *Queue) Each(visit func(*Group)) {
 	for _, g := range q.groups {
 		visit(g)
 	}
 }
 
-// LatePenalty is how far groups are put behind that will be late, in
-// milliseconds: further than objectives differ. An answer beyond its objective
-// is worth little to its caller, however late it is.
+// LatePenalty is added to the rank of groups that will miss their objective, in
+// milliseconds. It is larger than the differences between objectives, because
+// an answer after its objective is worth little, however late it is.
 const LatePenalty = 3 * clock.Second
 
-// DeferLate puts groups behind the others that can't be ready when they are wanted,
-// even if a call with them began now. Once more work waits than engines do,
-// those first in rank are the ones that are late already; served first, they
-// make each one behind them late in turn, and nobody gets an answer in time. It
-// returns the groups that yield now.
+// DeferLate adds LatePenalty to the rank of groups that would miss NeededBy even
+// if a call with them started now, and returns those groups. In an overload the
+// groups that are first in rank are already late; if they were sent first, every
+// group after them would be late too.
 func (q *Queue) DeferLate(bounds Bounds, now clock.Millis) []*Group {
 	var late []*Group
-	ready := now + clock.Millis(bounds.Duration(min(q.pieces, bounds.Pieces)))
+	resultAt := now + clock.Millis(bounds.Duration(min(q.pieces, bounds.Pieces)))
 	q.groups = slices.DeleteFunc(q.groups, func(g *Group) bool {
-		if g.behind || g.NeededBy >= ready {
+		if g.deferred || g.NeededBy >= resultAt {
 			return false
 		}
 		late = append(late, g)
 		return true
 	})
 	for _, g := range late {
-		g.behind = true
+		g.deferred = true
 		g.Rank += LatePenalty
 		q.pieces -= g.Queued()
 		q.Add(g)
@@ -201,18 +205,18 @@
 	return late
 }
 
-// backMost is how long a piece that was given back waits until it may be sent
-// again: about two calls. The budget for that comes back with ordinary work;
-// where it doesn't, many pieces fail, and the caller is told while there is
-// time to come back.
-const backMost = 600 * clock.Millis(1)
+// maxRequeuedTime is how long a requeued piece waits for the retry budget, about
+// the duration of two calls. The budget is refilled by first attempts. If it
+// stays empty, many pieces fail, and the request fails early enough for its
+// caller to try again.
+const maxRequeuedTime = 600 * clock.Millis(1)
 
-// DropStuck takes out the groups with pieces that were given back and could not be
-// sent again for too long.
+// DropStuck removes and returns the groups with requeued pieces that the retry
+// budget did not allow to be sent again within maxRequeuedTime.
 func (q *Queue) DropStuck(now clock.Millis) []*Group {
 	var stuck []*Group
 	for _, g := range q.groups {
-		if len(g.back) > 0 && now-g.backSince > backMost {
+		if len(g.requeued) > 0 && now-g.requeuedSince > maxRequeuedTime {
 			stuck = append(stuck, g)
 		}
 	}
@@ -222,14 +226,14 @@
 	return stuck
 }
 
-// DropTooLate takes out the groups that could not be finished in time even if a call
-// began now, so that no engine works for nobody.
+// DropTooLate removes and returns the groups that would miss their deadline even
+// if a call with one of their pieces started now.
 func (q *Queue) DropTooLate(bounds Bounds, now clock.Millis) []*Group {
-	soonest := now + clock.Millis(bounds.Duration(1))
+	earliestEnd := now + clock.Millis(bounds.Duration(1))
 	var late []*Group
 	for i := 0; i < len(q.groups); {
 		g := q.groups[i]
-		if g.Deadline >= soonest {
+		if g.Deadline >= earliestEnd {
 			i++
 			continue
 		}
@@ -239,90 +243,93 @@
 	return late
 }
 
-// smallShare is how much smaller than that of the first group the results of
-// others must be to pass it while it waits for room: small ones don't take
-// what it waits for.
-const smallShare = 16
+// smallRatio is how many times smaller than the largest blocked result a result
+// must be to be sent before it. Results of that size hardly delay the moment at
+// which the blocked one fits into memory.
+const smallRatio = 16
 
-// filling is a call that is being put together.
-type filling struct {
+// batchBuilder collects the pieces of one call.
+type batchBuilder struct {
 	items []Item
-	// room is the bytes of results that still fit.
-	room int64
-	// most is the even share of this call, bound what the engine takes at most.
-	most  int
-	bound int
-	// blocked is the size of the largest result that found no room.
-	blocked int64
-	again   func() bool
+	// freeBytes is the memory left at the engine.
+	freeBytes int64
+	// share is this call's equal share of the queued pieces, limit the maximum
+	// number of pieces in one call.
+	share int
+	limit int
+	// blocked is the size of the largest result that did not fit.
+	blocked    int64
+	allowRetry func() bool
 }
 
-// Slot is an engine that could take a call now.
+// Slot is an engine that can accept a call.
 type Slot struct {
 	Zone string
-	// FreeBytes is the bytes of results that it still holds.
+	// FreeBytes is the memory that the engine has left for results.
 	FreeBytes int64
-	// FreeEngines is how many engines in all could take a call now.
+	// FreeEngines is the number of engines, this one included, that can accept a
+	// call.
 	FreeEngines int
-	// AllowRetryFunc reports whether a piece that was sent before may be sent once
-	// more, and spends that. Until it may, the piece waits: failing its request
-	// for want of a repeat costs more than the wait.
+	// AllowRetryFunc takes one retry from the budget and reports whether there
+	// was one. Without one, a requeued piece stays queued: the delay costs less
+	// than a failed request.
 	AllowRetryFunc func() bool
 }
 
-// crowdedShare is the part of a full call that waits when an engine should not
-// stand idle any more.
-const crowdedShare = 2
+// busyDivisor divides the maximum batch size. With more pieces queued than the
+// quotient, groups without HoldUnderLoad no longer wait for their zone while an
+// engine is idle.
+const busyDivisor = 2
 
-// NextBatch returns the pieces for one call to an engine. Waiting pieces are divided
-// among the free engines, because a smaller call is faster and the engines
-// would stand idle otherwise. Groups that want another availability zone are
-// left for an engine there as long as they may wait: results that cross zones
-// are paid for by the byte.
+// NextBatch takes the pieces for one call to an engine from the queue. The
+// queued pieces are divided among the free engines, because a smaller call is
+// faster and the other engines would be idle. Groups whose zone is another
+// availability zone stay queued until HoldUntil, because traffic between zones
+// is charged by the byte.
 func (q *Queue) NextBatch(bounds Bounds, slot Slot, now clock.Millis) []Item {
-	f := filling{room: slot.FreeBytes, most: bounds.Pieces, bound: bounds.Pieces, again: slot.AllowRetryFunc}
+	call := batchBuilder{freeBytes: slot.FreeBytes, share: bounds.Pieces, limit: bounds.Pieces, allowRetry: slot.AllowRetryFunc}
 	if slot.FreeEngines > 1 {
-		f.most = min(f.most, (q.pieces+slot.FreeEngines-1)/slot.FreeEngines)
+		call.share = min(call.share, (q.pieces+slot.FreeEngines-1)/slot.FreeEngines)
 	}
-	crowded := q.pieces > bounds.Pieces/crowdedShare
-	for at := 0; at < len(q.groups) && len(f.items) < f.most; {
+	busy := q.pieces > bounds.Pieces/busyDivisor
+	for at := 0; at < len(q.groups) && len(call.items) < call.share; {
 		g := q.groups[at]
-		if g.Zone != "" && g.Zone != slot.Zone && now < g.HoldUntil && (g.HoldUnderLoad || !crowded) {
+		if g.Zone != "" && g.Zone != slot.Zone && now < g.HoldUntil && (g.HoldUnderLoad || !busy) {
 			at++
 			continue
 		}
-		q.pieces -= f.takeFrom(g)
+		q.pieces -= call.addGroup(g)
 		if g.Queued() == 0 {
 			q.groups = slices.Delete(q.groups, at, at+1)
 			continue
 		}
 		at++
 	}
-	return f.items
+	return call.items
 }
 
-// takeFrom takes pieces of one group while they fit and returns how many. A
-// group that has begun is finished beyond the even share, up to the engine's
-// bound: its request waits for all of its pieces.
-func (f *filling) takeFrom(g *Group) int {
-	if f.blocked > 0 && g.ResultBytes*smallShare > f.blocked {
+// addGroup adds pieces of one group to the call and returns how many. If all
+// pieces of the group fit within the limit of the call, they are added even
+// beyond the equal share, because the request needs all of them.
+func (f *batchBuilder) addGroup(g *Group) int {
+	if f.blocked > 0 && g.ResultBytes*smallRatio > f.blocked {
 		return 0
 	}
-	limit := f.most
-	if whole := len(f.items) + g.Queued(); whole <= f.bound {
-		limit = whole
+	limit := f.share
+	if allPieces := len(f.items) + g.Queued(); allPieces <= f.limit {
+		limit = allPieces
 	}
 	taken := 0
 	for g.Queued() > 0 && len(f.items) < limit {
-		if g.ResultBytes > f.room {
+		if g.ResultBytes > f.freeBytes {
 			f.blocked = max(f.blocked, g.ResultBytes)
 			break
 		}
-		piece, ok := g.take(f.again)
+		piece, ok := g.nextPiece(f.allowRetry)
 		if !ok {
 			break
 		}
-		f.room -= g.ResultBytes
+		f.freeBytes -= g.ResultBytes
 		f.items = append(f.items, Item{Group: g, Piece: piece})
 		taken++
 	}
