--- a/internal/flow/claim/book.go
+++ b/internal/flow/claim/book.go
@@ -19,44 +19,46 @@
 )
 
 const (
-	// Prefix of the names of claims in the platform.
+	// Prefix is the first part of the object name of each claim.
 	Prefix = "claims/"
-	// Retention is how long a claim stands; a key may be used anew after that.
+	// Retention is how long a claim is stored. Afterwards its key can be used
+	// again.
 	Retention = 24 * clock.Hour
-	// MaxAnswerBytes is the largest answer that is kept for replay, in bytes.
+	// MaxAnswerBytes is the size of the largest answer that is stored for replay.
 	MaxAnswerBytes = 4 << 10
 
-	// grace is added to a holder's deadline before it counts as dead: clocks of
-	// hosts differ.
-	grace = 5 * clock.Second
-	// defaultRate bounds the claims of one entry a second: each is two writes,
-	// and all processes share the platform's several hundred.
-	defaultRate = 50
+	// clockSkew is added to the deadline of a call before its holder counts as
+	// dead, because the clocks of hosts differ.
+	clockSkew = 5 * clock.Second
+	// defaultClaimsPerSecond limits the claims of one entry. Each claim takes two
+	// writes, and all processes share the several hundred writes a second that
+	// the platform allows.
+	defaultClaimsPerSecond = 50
 
-	finishTries = 5
-	finishPause = 200 * clock.Millis(1)
+	writeAttempts = 5
+	writeBackoff  = 200 * clock.Millis(1)
 )
 
-// Call says what is to be claimed.
+// Call is a call with an idempotency key.
 type Call struct {
 	Organisation string
 	Service      string
 	Key          string
-	// Fingerprint of method, path and body.
+	// Fingerprint is a hash of method, path and body.
 	Fingerprint uint64
 	Request     string
-	// TimeLeft is the time left to the call.
+	// TimeLeft is the time until the deadline of the call.
 	TimeLeft clock.Millis
 }
 
-// Hold is a claim that this process holds.
+// Hold is a claim that this process created and has to finish.
 type Hold struct {
 	name    string
 	version uint64
 	record  Record
 }
 
-// Outcome of a call under a claim.
+// Outcome is how a call with a claim ended.
 type Outcome struct {
 	State       State
 	Status      int
@@ -65,50 +67,53 @@
 	Answer      []byte
 }
 
-// Registry claims keys through the platform.
+// Registry creates, finishes and deletes claims in the platform's store.
 type Registry struct {
-	store *store.Store
-	clock *clock.Clock
-	wall  func() time.Time
-	limit *rate.Limiter
-	calls func() float64
+	store         *store.Store
+	clock         *clock.Clock
+	wallClock     func() time.Time
+	limiter       *rate.Limiter
+	platformCalls func() float64
 
 	pending sync.WaitGroup
 }
 
-// Option changes a Book while it is built.
+// Option configures a Registry.
 type Option func(*Registry)
 
 // WithClock sets the clock.
-func WithClock(c *clock.Clock) Option { return func(b *Registry) { b.clock = c } }
+func WithClock(c *clock.Clock) Option { return func(r *Registry) { r.clock = c } }
 
-// WithWallClock sets the wall clock, which only cleaning and messages depend on.
-func WithWallClock(wall func() time.Time) Option { return func(b *Registry) { b.wall = wall } }
+// WithWallClock sets the wall clock. It determines only when a claim is deleted and
+// whether a refusal reports a key in use or an unknown outcome.
+func WithWallClock(wall func() time.Time) Option { return func(r *Registry) { r.wallClock = wall } }
 
-// WithRate sets the claims a second.
+// WithRate sets the maximum number of claims a second.
 func WithRate(perSecond float64) Option {
-	return func(b *Registry) { b.limit = rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1) }
+	return func(r *Registry) { r.limiter = rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1) }
 }
 
-// callsPerClaim is what a keyed call costs at the platform: its claim and its
-// outcome are a conditional write each, and some have to be read back.
+// callsPerClaim is the mean number of platform calls for one claim: a conditional
+// write each for the claim and its outcome, and a read if a write gets no answer.
 const callsPerClaim = 2.5
 
-// WithPlatformCalls bounds the claims by the calls a second that the process
-// may make to the platform at the time.
-func WithPlatformCalls(calls func() float64) Option { return func(b *Registry) { b.calls = calls } }
+// WithPlatformCalls limits the claims by the number of platform calls a second
+// that the process may currently make. It overrides WithRate.
+func WithPlatformCalls(calls func() float64) Option {
+	return func(r *Registry) { r.platformCalls = calls }
+}
 
-// New returns a book over the platform's store.
+// New returns a registry that keeps its claims in s.
 func New(s *store.Store, opts ...Option) *Registry {
-	b := &Registry{store: s, clock: clock.New(), wall: time.Now, limit: rate.NewLimiter(defaultRate, defaultRate)}
+	r := &Registry{store: s, clock: clock.New(), wallClock: time.Now, limiter: rate.NewLimiter(defaultClaimsPerSecond, defaultClaimsPerSecond)}
 	for _, opt := range opts {
-		opt(b)
+		opt(r)
 	}
-	return b
+	return r
 }
 
-// Name returns the object's name of a claim. Keys may hold what callers do not
-// want to see stored, so only their hash is.
+// Name returns the object name of a claim. It contains only a hash of the key,
+// because keys may contain confidential data of callers.
 func Name(organisation, service, key string) string {
 	hash := sha256.New()
 	for _, part := range []string{organisation, service, key} {
@@ -118,119 +123,122 @@
 	return Prefix + sum[:2] + "/" + sum
 }
 
-// Claim claims a key. It returns a hold, or the record of a call that is done
-// and whose answer is kept, or a RefusalError.
-func (b *Registry) Claim(ctx context.Context, want Call) (*Hold, *Record, error) {
-	if !b.allow() {
+// Claim creates the claim for a call. It returns a hold if the call is to run, a
+// record if the stored answer is to be replayed, or a fault.RefusalError.
+func (r *Registry) Claim(ctx context.Context, call Call) (*Hold, *Record, error) {
+	if !r.allow() {
 		return nil, nil, &fault.RefusalError{
 			Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, RetryAfter: clock.Second,
-			Detail: "more keyed calls a second than the platform bears",
+			Detail: "rate limit of calls with an idempotency key exceeded",
 		}
 	}
-	nowMs := b.wall().UnixMilli()
-	mine := Record{
-		Nonce: strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36), Fingerprint: want.Fingerprint,
-		State: Started, Request: want.Request, AtMs: nowMs, UntilMs: nowMs + int64(want.TimeLeft+grace),
+	nowMs := r.wallClock().UnixMilli()
+	initial := Record{
+		Nonce: strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36), Fingerprint: call.Fingerprint,
+		State: Started, Request: call.Request, AtMs: nowMs, UntilMs: nowMs + int64(call.TimeLeft+clockSkew),
 	}
-	name := Name(want.Organisation, want.Service, want.Key)
-	claimer := NewClaimer(mine, nowMs)
+	name := Name(call.Organisation, call.Service, call.Key)
+	claimer := NewClaimer(initial, nowMs)
 	step := claimer.Begin()
 	for {
 		switch step.Action {
 		case Run:
-			return &Hold{name: name, version: step.Version, record: mine}, nil, nil
+			return &Hold{name: name, version: step.Version, record: initial}, nil, nil
 		case Replay:
 			return nil, &step.Current, nil
 		case Refuse:
 			if step.ClaimMayRemain {
-				b.soon(ctx, func(ctx context.Context) { b.withdraw(ctx, name, mine) })
+				r.runAsync(ctx, func(ctx context.Context) { r.withdraw(ctx, name, initial) })
 			}
-			return nil, nil, &fault.RefusalError{Reason: step.Reason, Ran: step.Ran, Detail: detailOf(step.Reason)}
+			return nil, nil, &fault.RefusalError{Reason: step.Reason, Ran: step.Ran, Detail: refusalDetail(step.Reason)}
 		default:
-			step = claimer.Next(b.try(ctx, name, step, mine))
+			step = claimer.Next(r.execute(ctx, name, step, initial))
 		}
 	}
 }
 
-// allow takes one claim from the budget. A claim that is begun without the
-// calls to write its outcome would leave the key in the dark for good.
-func (b *Registry) allow() bool {
-	if b.calls != nil {
-		claims := b.calls() / callsPerClaim
-		b.limit.SetLimit(rate.Limit(claims))
-		b.limit.SetBurst(int(claims) + 1)
+// allow reports whether the rate limit permits another claim. A claim whose
+// outcome can't be written for want of platform calls would leave the outcome of
+// its key unknown for good.
+func (r *Registry) allow() bool {
+	if r.platformCalls != nil {
+		claims := r.platformCalls() / callsPerClaim
+		r.limiter.SetLimit(rate.Limit(claims))
+		r.limiter.SetBurst(int(claims) + 1)
 	}
-	return b.limit.Allow()
+	return r.limiter.Allow()
 }
 
-func detailOf(reason fault.Reason) string {
+func refusalDetail(reason fault.Reason) string {
 	switch reason {
 	case fault.BadRequest:
 		return "the idempotency key was used with another call"
 	case fault.KeyUnavailable:
-		return "the platform can't be asked whether this key has run"
+		return "the platform is unavailable, so it is unknown whether a call with this key has run"
 	default:
 		return ""
 	}
 }
 
-// try carries out one step at the platform.
-func (b *Registry) try(ctx context.Context, name string, step Step, record Record) (Event, uint64, Record) {
+// execute runs one step against the platform's store.
+func (r *Registry) execute(ctx context.Context, name string, step Step, record Record) (Event, uint64, Record) {
 	if step.Action == Lookup {
-		object, err := b.store.Get(ctx, name)
+		object, err := r.store.Get(ctx, name)
 		if err != nil {
 			return Unavailable, 0, Record{}
 		}
-		return found(Read, object)
+		return eventOf(Read, object)
 	}
 	value, err := json.Marshal(record)
 	if err != nil {
 		return Unavailable, 0, Record{}
 	}
-	object, err := b.store.Put(ctx, name, step.Version, value)
+	object, err := r.store.Put(ctx, name, step.Version, value)
 	var conflict *store.ConflictError
 	var unavailable *store.UnavailableError
 	switch {
 	case err == nil:
 		return Wrote, object.Version, Record{}
 	case errors.As(err, &conflict):
-		return found(Conflict, conflict.Current)
+		return eventOf(Conflict, conflict.Current)
 	case errors.As(err, &unavailable):
 		return Unavailable, 0, Record{}
 	default:
-		// Any other error proves nothing about the write.
+		// After any other error the write may have taken effect.
 		return Indeterminate, 0, Record{}
 	}
 }
 
-func found(event Event, object store.Object) (Event, uint64, Record) {
+// eventOf returns the arguments of Claimer.Next for an object that was read.
+func eventOf(event Event, object store.Object) (Event, uint64, Record) {
 	if object.Version == 0 {
 		return event, 0, Record{}
 	}
 	record, err := Decode(object.Value)
 	if err != nil {
-		// An object that is no claim: treat it as a call that may have run.
+		// The object is not a valid claim; treat its call as one that may have run.
 		return event, object.Version, Record{State: Unknown}
 	}
 	return event, object.Version, record
 }
 
-// soon runs work that no caller waits for. Wait waits for its end.
-func (b *Registry) soon(ctx context.Context, work func(context.Context)) {
-	b.pending.Add(1)
+// runAsync runs work in a goroutine that Wait waits for. The work is not cancelled
+// with ctx.
+func (r *Registry) runAsync(ctx context.Context, work func(context.Context)) {
+	r.pending.Add(1)
 	go func() {
-		defer b.pending.Done()
+		defer r.pending.Done()
 		work(context.WithoutCancel(ctx))
 	}()
 }
 
-// Wait waits until all outcomes are written or given up, so that a planned
-// stop leaves no key without its outcome, or until the context ends.
-func (b *Registry) Wait(ctx context.Context) {
+// Wait waits until all outcomes are written or have failed, or until ctx ends. A
+// planned stop calls it so that no key is left without its outcome.
+func (r *Registry) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.pending.Wait()
+		r.pending.Wait()
 	}()
 	select {
 	case <-done:
@@ -238,19 +246,19 @@
 	}
 }
 
-// FinishAsync writes the outcome of a call without holding up its answer, and
-// calls failed if it could not be written: the claim then stays as it is, and
-// the key never runs again.
-func (b *Registry) FinishAsync(ctx context.Context, hold *Hold, outcome Outcome, failed func(error)) {
-	b.soon(ctx, func(ctx context.Context) {
-		if err := b.Finish(ctx, hold, outcome); err != nil {
+// FinishAsync writes the outcome of a call in the background, so that the answer
+// is not delayed. It calls failed if the outcome could not be written; the claim
+// then keeps its state, and no call with the key runs again.
+func (r *Registry) FinishAsync(ctx context.Context, hold *Hold, outcome Outcome, failed func(error)) {
+	r.runAsync(ctx, func(ctx context.Context) {
+		if err := r.Finish(ctx, hold, outcome); err != nil {
 			failed(err)
 		}
 	})
 }
 
-// Finish writes the outcome of a call. It is tried a few times.
-func (b *Registry) Finish(ctx context.Context, hold *Hold, outcome Outcome) error {
+// Finish writes the outcome of a call, with up to writeAttempts attempts.
+func (r *Registry) Finish(ctx context.Context, hold *Hold, outcome Outcome) error {
 	record := hold.record
 	record.State = outcome.State
 	record.Status = outcome.Status
@@ -260,45 +268,47 @@
 		record.Answer = outcome.Answer
 		record.AnswerKept = true
 	}
-	return b.settle(ctx, hold.name, hold.version, record)
+	return r.writeUntilKnown(ctx, hold.name, hold.version, record)
 }
 
-// settle repeats one conditional write until its effect is known. Repeating is
-// safe: the condition lets at most one of the writes take effect.
-func (b *Registry) settle(ctx context.Context, name string, version uint64, record Record) error {
-	pause := finishPause
+// writeUntilKnown repeats a conditional write until it is known whether it took
+// effect, at most writeAttempts times. The condition ensures that at most one of
+// the writes takes effect.
+func (r *Registry) writeUntilKnown(ctx context.Context, name string, version uint64, record Record) error {
+	backoff := writeBackoff
 	var err error
-	for range finishTries {
-		event, _, current := b.try(ctx, name, Step{Action: Write, Version: version}, record)
+	for range writeAttempts {
+		event, _, current := r.execute(ctx, name, Step{Action: Write, Version: version}, record)
 		if event == Wrote || (event == Conflict && current.Nonce == record.Nonce && current.State == record.State) {
 			return nil
 		}
 		if event == Conflict {
 			return &store.ConflictError{Name: name, Want: version}
 		}
-		err = &store.UnknownError{Name: name, Cause: errors.New("outcome of the claim not written")}
-		if b.clock.Sleep(ctx, pause) != nil {
+		err = &store.UnknownError{Name: name, Cause: errors.New("write of the claim was not confirmed")}
+		if r.clock.Sleep(ctx, backoff) != nil {
 			return err
 		}
-		pause *= 2
+		backoff *= 2
 	}
 	return err
 }
 
-// withdraw marks a claim of ours that may stand although the call did not run,
-// so that the caller's next try need not end as unknown.
-func (b *Registry) withdraw(ctx context.Context, name string, record Record) {
-	for range finishTries {
-		object, err := b.store.Get(ctx, name)
+// withdraw marks a claim of a call that did not run, in case the claim was stored
+// although its write was not confirmed. Otherwise the next call with the key
+// would be refused with an unknown outcome.
+func (r *Registry) withdraw(ctx context.Context, name string, record Record) {
+	for range writeAttempts {
+		object, err := r.store.Get(ctx, name)
 		if err == nil {
-			_, version, current := found(Read, object)
+			_, version, current := eventOf(Read, object)
 			if version != 0 && current.Nonce == record.Nonce {
 				record.State = NotRun
-				_ = b.settle(ctx, name, version, record)
+				_ = r.writeUntilKnown(ctx, name, version, record)
 			}
 			return
 		}
-		if b.clock.Sleep(ctx, clock.Second) != nil {
+		if r.clock.Sleep(ctx, clock.Second) != nil {
 			return
 		}
 	}
--- a/internal/flow/claim/book_test.go
+++ b/internal/flow/claim/book_test.go
@@ -14,26 +14,26 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// memory is a store of one process with the faults of the platform.
-type memory struct {
+// fakeStore is an in-memory store with the faults of the platform.
+type fakeStore struct {
 	objects map[string]store.Object
-	// loseAnswers makes that many writes take effect without an answer.
+	// loseAnswers is the number of writes that take effect but get no answer.
 	loseAnswers int
 	down        bool
 }
 
-func (m *memory) store() *store.Store {
+func (m *fakeStore) store() *store.Store {
 	return &store.Store{GetFunc: m.get, PutFunc: m.put, DeleteFunc: m.remove, ListFunc: m.list}
 }
 
-func (m *memory) get(_ context.Context, name string) (store.Object, error) {
+func (m *fakeStore) get(_ context.Context, name string) (store.Object, error) {
 	if m.down {
 		return store.Object{}, &store.UnavailableError{Name: name}
 	}
 	return m.objects[name], nil
 }
 
-func (m *memory) put(_ context.Context, name string, want uint64, value []byte) (store.Object, error) {
+func (m *fakeStore) put(_ context.Context, name string, want uint64, value []byte) (store.Object, error) {
 	if m.down {
 		return store.Object{}, &store.UnavailableError{Name: name}
 	}
@@ -48,7 +48,7 @@
 	return m.objects[name], nil
 }
 
-func (m *memory) remove(_ context.Context, name string, want uint64) error {
+func (m *fakeStore) remove(_ context.Context, name string, want uint64) error {
 	if m.objects[name].Version != want {
 		return &store.ConflictError{Name: name, Want: want}
 	}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (m *memory) list(context.Context, string) ([]store.Object, error) {
+func (m *fakeStore) list(context.Context, string) ([]store.Object, error) {
 	var listed []store.Object
 	for _, object := range m.objects {
 		listed = append(listed, object)
@@ -64,9 +64,9 @@
 	return listed, nil
 }
 
-func newMemory() *memory { return &memory{objects: map[string]store.Object{}} }
+func newFakeStore() *fakeStore { return &fakeStore{objects: map[string]store.Object{}} }
 
-func want(request string) claim.Call {
+func callFrom(request string) claim.Call {
 	return claim.Call{Organisation: "o", Service: "s", Key: "k", Fingerprint: 1, Request: request, TimeLeft: 1000}
 }
 
@@ -78,81 +78,82 @@
 	return ""
 }
 
-// The caller repeats its key through another entry: while the first call runs,
-// after it was answered, and after its entry died.
-func TestSameKeyThroughAnotherEntry(t *testing.T) {
+// Guards against a call that runs twice because its caller repeats the key at
+// another entry: while the first call runs, after its entry crashed, and after it
+// was answered.
+func TestSameKeyThroughAnotherEntryIsNotRunAgain(t *testing.T) {
 	ctx := context.Background()
-	m := newMemory()
+	m := newFakeStore()
 	wall := time.UnixMilli(1_000_000)
-	read := func() time.Time { return wall }
-	one := claim.New(m.store(), claim.WithWallClock(read))
-	two := claim.New(m.store(), claim.WithWallClock(read))
-	hold, _, err := one.Claim(ctx, want("r1"))
+	wallClock := func() time.Time { return wall }
+	first := claim.New(m.store(), claim.WithWallClock(wallClock))
+	second := claim.New(m.store(), claim.WithWallClock(wallClock))
+	hold, _, err := first.Claim(ctx, callFrom("r1"))
 	assert.NilError(t, err)
-	_, _, err = two.Claim(ctx, want("r2"))
+	_, _, err = second.Claim(ctx, callFrom("r2"))
 	assert.Equal(t, reasonOf(err), fault.KeyInUse)
 	wall = wall.Add(time.Hour)
-	_, _, err = two.Claim(ctx, want("r2"))
+	_, _, err = second.Claim(ctx, callFrom("r2"))
 	assert.Equal(t, reasonOf(err), fault.OutcomeUnknown)
-	assert.NilError(t, one.Finish(ctx, hold, claim.Outcome{State: claim.Done, Status: 201, Answer: []byte("booked")}))
-	_, kept, err := two.Claim(ctx, want("r3"))
+	assert.NilError(t, first.Finish(ctx, hold, claim.Outcome{State: claim.Done, Status: 201, Answer: []byte("booked")}))
+	_, kept, err := second.Claim(ctx, callFrom("r3"))
 	assert.NilError(t, err)
 	assert.Equal(t, string(kept.Answer), "booked")
-	other := want("r4")
+	other := callFrom("r4")
 	other.Fingerprint = 2
-	_, _, err = two.Claim(ctx, other)
+	_, _, err = second.Claim(ctx, other)
 	assert.Equal(t, reasonOf(err), fault.BadRequest)
 }
 
-// The platform took the claim but its answer was lost. The entry must find out
-// that the claim is its own, or the caller's first try is refused for nothing.
-func TestLostAnswerOfOwnClaim(t *testing.T) {
-	m := newMemory()
+// Guards against an entry that refuses a first call because the claim was stored
+// but the platform's answer was lost. The entry must recognise its own claim.
+func TestClaimIsHeldAfterLostAnswer(t *testing.T) {
+	m := newFakeStore()
 	m.loseAnswers = 1
-	hold, _, err := claim.New(m.store()).Claim(context.Background(), want("r1"))
+	hold, _, err := claim.New(m.store()).Claim(context.Background(), callFrom("r1"))
 	assert.NilError(t, err)
 	assert.Assert(t, hold != nil)
 }
 
-// While the platform is down nobody can tell whether a key has run, so keyed
-// calls are refused, and "not run" is not said.
-func TestPlatformDown(t *testing.T) {
-	m := newMemory()
+// Guards against a refusal that reports NotRun while the platform is down: an
+// earlier call with the key may have run at another entry.
+func TestKeyedCallIsRefusedWithoutPlatform(t *testing.T) {
+	m := newFakeStore()
 	m.down = true
-	_, _, err := claim.New(m.store()).Claim(context.Background(), want("r1"))
+	_, _, err := claim.New(m.store()).Claim(context.Background(), callFrom("r1"))
 	var refused *fault.RefusalError
 	assert.Assert(t, errors.As(err, &refused))
 	assert.Equal(t, refused.Reason, fault.KeyUnavailable)
 	assert.Equal(t, refused.Ran, fault.MayHaveRun)
 }
 
-func TestCallProvedNotRunIsTakenOver(t *testing.T) {
+func TestKeyOfCallThatDidNotRunCanBeClaimed(t *testing.T) {
 	ctx := context.Background()
-	m := newMemory()
-	book := claim.New(m.store())
-	hold, _, err := book.Claim(ctx, want("r1"))
+	m := newFakeStore()
+	registry := claim.New(m.store())
+	hold, _, err := registry.Claim(ctx, callFrom("r1"))
 	assert.NilError(t, err)
 	m.loseAnswers = 1
-	assert.NilError(t, book.Finish(ctx, hold, claim.Outcome{State: claim.NotRun}))
-	hold, _, err = book.Claim(ctx, want("r2"))
+	assert.NilError(t, registry.Finish(ctx, hold, claim.Outcome{State: claim.NotRun}))
+	hold, _, err = registry.Claim(ctx, callFrom("r2"))
 	assert.NilError(t, err)
 	assert.Assert(t, hold != nil)
 }
 
 func TestSweepDeletesOnlyOldClaims(t *testing.T) {
 	ctx := context.Background()
-	m := newMemory()
+	m := newFakeStore()
 	wall := time.UnixMilli(0)
-	still := clock.New(clock.WithAfter(func(clock.Millis) (<-chan struct{}, func()) {
+	instant := clock.New(clock.WithAfter(func(clock.Millis) (<-chan struct{}, func()) {
 		due := make(chan struct{})
 		close(due)
 		return due, func() {}
 	}))
-	book := claim.New(m.store(), claim.WithWallClock(func() time.Time { return wall }), claim.WithClock(still))
-	_, _, err := book.Claim(ctx, want("r1"))
+	registry := claim.New(m.store(), claim.WithWallClock(func() time.Time { return wall }), claim.WithClock(instant))
+	_, _, err := registry.Claim(ctx, callFrom("r1"))
 	assert.NilError(t, err)
 	wall = wall.Add(claim.Retention.Duration() - time.Second)
-	assert.Equal(t, book.SweepPrefix(ctx, 0), 0)
+	assert.Equal(t, registry.SweepPrefix(ctx, 0), 0)
 	wall = wall.Add(2 * time.Second)
-	assert.Equal(t, book.SweepPrefix(ctx, 0), 1)
+	assert.Equal(t, registry.SweepPrefix(ctx, 0), 1)
 }
--- a/internal/flow/claim/claim.go
+++ b/internal/flow/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim makes calls that carry an idempotency key run at most once,
-// through whichever entry they come and also after an entry died. A claim is
-// an object in the platform, created only if it does not exist before the
-// call runs; nothing else is agreed on.
+// Package claim ensures that calls with the same idempotency key run at most
+// once, even if they arrive at different entries or an entry crashes. A claim is
+// an object in the platform's store. An entry creates it, if it does not exist,
+// before it runs the call; entries need no other coordination.
 package claim
 
 import (
@@ -10,153 +10,162 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// State is what is known of the call that a claim stands for.
+// State is what is known about the call of a claim.
 type State string
 
 // States of a claim.
 const (
-	// Started: its holder may be running the call.
+	// Started means that the holder may be running the call.
 	Started State = "started"
-	// NotRun: the call was proved not to have run; the claim may be taken over.
+	// NotRun means that the call did not run; another call can take the claim over.
 	NotRun State = "notRun"
-	// Done: the call ran and was answered.
+	// Done means that the call ran and was answered.
 	Done State = "done"
-	// Unknown: the call may have run, and nobody will find out here.
+	// Unknown means that the call may have run and that this can't be found out.
 	Unknown State = "unknown"
 )
 
-// Record is a claim as it stands in the platform.
+// Record is the stored form of a claim.
 type Record struct {
-	// Nonce names the holder's one try to claim: after an unknown answer it
-	// tells whether the write took effect.
+	// Nonce identifies one attempt to create the claim. It shows whether a write
+	// that got no answer took effect.
 	Nonce string `json:"nonce"`
-	// Fingerprint of the call: a key belongs to one call, not to two.
+	// Fingerprint of the call. A key is valid for one call only.
 	Fingerprint uint64 `json:"fingerprint"`
 	State       State  `json:"state"`
-	// Request that holds the claim.
+	// Request is the ID of the request that created the claim.
 	Request string `json:"request"`
-	// UntilMs is when its holder gives up, by its wall clock.
+	// UntilMs is the time at which the holder counts as dead, by its own wall
+	// clock.
 	UntilMs int64 `json:"untilMs"`
-	// AtMs is when the claim was made, by its holder's wall clock, for cleaning.
+	// AtMs is the time at which the claim was created, by its holder's wall clock.
+	// Sweep deletes claims by it.
 	AtMs int64 `json:"atMs"`
-	// Status, ContentType, Digest and, if small, Answer of a call that is done.
+	// Status, ContentType and Digest describe the answer of a call that is done.
+	// Answer is its body, unless it is longer than MaxAnswerBytes.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"contentType,omitempty"`
 	Digest      uint64 `json:"digest,omitempty"`
 	Answer      []byte `json:"answer,omitempty"`
-	// AnswerKept tells that Answer is there.
+	// AnswerKept is true if Answer is set; an answer may be empty.
 	AnswerKept bool `json:"whole,omitempty"`
 }
 
-// Decode reads a record.
+// Decode parses a stored record.
 func Decode(value []byte) (Record, error) {
 	var r Record
 	err := json.Unmarshal(value, &r)
 	return r, err
 }
 
-// Event is what the platform answered to the last step.
+// Event is the result of a step.
 type Event uint8
 
-// Events.
+// Results of steps.
 const (
-	// Wrote: the conditional write took effect; Version is set.
+	// Wrote means that the conditional write took effect. It comes with a version.
 	Wrote Event = iota
-	// Conflict: the condition did not hold; Current and Version are set.
+	// Conflict means that the condition of the write did not hold. It comes with
+	// the current record and version.
 	Conflict
-	// Read: the object was read; Current and Version are set, 0 for none.
+	// Read means that the object was read. It comes with the current record and
+	// version; version 0 means that the object does not exist.
 	Read
-	// Indeterminate: a write may or may not have taken effect, now or later.
+	// Indeterminate means that the write may have taken effect or may still do so.
 	Indeterminate
-	// Unavailable: the platform can't be used; the step had no effect.
+	// Unavailable means that the platform could not be used. The step had no
+	// effect.
 	Unavailable
 )
 
-// Action is what to do next.
+// Action is the kind of a step.
 type Action uint8
 
-// Things to do next.
+// Actions.
 const (
-	// Write the record if the object is at Version.
+	// Write writes the record if the object is at Version.
 	Write Action = iota
 	// Lookup reads the object.
 	Lookup
-	// Run the call: the claim is held at Version.
+	// Run starts the call: the claim is held at Version.
 	Run
-	// Replay the kept answer of Current.
+	// Replay sends the stored answer in Current.
 	Replay
-	// Refuse with Reason and Ran. Ran speaks of the key, not of this try.
+	// Refuse refuses the call with Reason and Ran. Ran is about all calls with the
+	// key, not only this one.
 	Refuse
 )
 
-// Step is what to do next.
+// Step is what the caller of a Claimer has to do next.
 type Step struct {
 	Action  Action
 	Version uint64
 	Current Record
 	Reason  fault.Reason
 	Ran     fault.Ran
-	// ClaimMayRemain tells that a claim of ours may stand in the platform although
-	// the call won't run.
+	// ClaimMayRemain is true if this attempt's claim may be stored although the
+	// call won't run.
 	ClaimMayRemain bool
 }
 
-// maxSteps bounds the calls to the platform for one claim.
+// maxSteps limits the calls to the platform for one claim.
 const maxSteps = 6
 
-// Claimer is the protocol of one try to claim. It is a value: a copy goes its
-// own way, so that a test can follow every interleaving.
+// Claimer is the state machine of one attempt to claim a key. It is a plain value,
+// so that a test can copy it and explore every interleaving.
 type Claimer struct {
-	mine    Record
-	nowMs   int64
-	want    uint64
-	unclear bool
-	steps   int
+	record        Record
+	nowMs         int64
+	expected      uint64
+	indeterminate bool
+	steps         int
 }
 
-// NewClaimer returns the protocol for a record at a wall-clock instant.
-func NewClaimer(mine Record, nowMs int64) Claimer { return Claimer{mine: mine, nowMs: nowMs} }
+// NewClaimer returns a claimer that tries to store record. nowMs is the wall-clock
+// time in milliseconds.
+func NewClaimer(record Record, nowMs int64) Claimer { return Claimer{record: record, nowMs: nowMs} }
 
-// Begin returns the first step: create the object if there is none.
+// Begin returns the first step: create the object if it does not exist.
 func (c *Claimer) Begin() Step { return Step{Action: Write, Version: 0} }
 
 // Next returns the step after an event.
 //
-// A write whose answer was lost is followed by a read that looks for the own
-// nonce. If the object has not changed, the same write is sent again: it
-// carries the same condition and nonce, so at most one of the two takes effect.
+// After a write without an answer, the next step reads the object to look for the
+// nonce of this attempt. If the object has not changed, the same write is sent
+// again. Both writes have the same condition and nonce, so that at most one of
+// them takes effect.
 func (c *Claimer) Next(event Event, version uint64, current Record) Step {
 	c.steps++
 	if c.steps >= maxSteps && event != Wrote {
-		return c.unavailable()
+		return c.refuseUnavailable()
 	}
 	switch event {
 	case Wrote:
 		return Step{Action: Run, Version: version}
 	case Conflict:
-		return c.judge(version, current)
+		return c.decide(version, current)
 	case Read:
-		if version == c.want {
-			return Step{Action: Write, Version: c.want}
+		if version == c.expected {
+			return Step{Action: Write, Version: c.expected}
 		}
-		return c.judge(version, current)
+		return c.decide(version, current)
 	case Indeterminate:
-		c.unclear = true
+		c.indeterminate = true
 		return Step{Action: Lookup}
 	default:
-		return c.unavailable()
+		return c.refuseUnavailable()
 	}
 }
 
-// judge decides on a claim that stands.
-func (c *Claimer) judge(version uint64, current Record) Step {
+// decide returns the step for the stored claim.
+func (c *Claimer) decide(version uint64, current Record) Step {
 	switch {
 	case version == 0:
-		// It was there and is gone: cleaned away in between.
+		// The object existed and was deleted by a sweep since.
 		return c.write(0)
-	case current.Nonce == c.mine.Nonce:
+	case current.Nonce == c.record.Nonce:
 		return Step{Action: Run, Version: version}
-	case current.Fingerprint != c.mine.Fingerprint:
+	case current.Fingerprint != c.record.Fingerprint:
 		return Step{Action: Refuse, Reason: fault.BadRequest, Ran: fault.MayHaveRun}
 	case current.State == NotRun:
 		return c.write(version)
@@ -167,21 +176,21 @@
 	case current.State == Started && c.nowMs <= current.UntilMs:
 		return Step{Action: Refuse, Reason: fault.KeyInUse, Ran: fault.MayHaveRun}
 	default:
-		// Its holder died or lost the answer. The call may have run, so it
-		// never runs again under this key, however long ago it was.
+		// The holder crashed or got no answer. The call may have run, so no call
+		// with this key runs again, however old the claim is.
 		return Step{Action: Refuse, Reason: fault.OutcomeUnknown, Ran: fault.MayHaveRun}
 	}
 }
 
 func (c *Claimer) write(version uint64) Step {
-	c.want = version
+	c.expected = version
 	return Step{Action: Write, Version: version}
 }
 
-// unavailable refuses: without the platform nobody can tell whether the key
-// ran through another entry. This try has not run, but an earlier one under
-// the same key may have, and a caller who read "not run" might take a new key
-// and book twice. So it is not said.
-func (c *Claimer) unavailable() Step {
-	return Step{Action: Refuse, Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, ClaimMayRemain: c.unclear}
+// refuseUnavailable returns a refusal. Without the platform it is unknown whether
+// another entry has run a call with the key. This call has not run, but Ran is
+// MayHaveRun because an earlier call with the key may have: after NotRun a caller
+// might use a new key, and the work would be done twice.
+func (c *Claimer) refuseUnavailable() Step {
+	return Step{Action: Refuse, Reason: fault.KeyUnavailable, Ran: fault.MayHaveRun, ClaimMayRemain: c.indeterminate}
 }
--- a/internal/flow/claim/model_test.go
+++ b/internal/flow/claim/model_test.go
@@ -9,16 +9,16 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// The model follows every interleaving of two tries to claim one key, with the
-// platform's faults at each step: a write whose answer is lost and which took
-// effect, took none, or takes effect later; a stale read; a platform that is
-// down; and a holder that dies before or after the call ran. A user would
-// notice a fault here as a reel booked twice.
+// The model explores every interleaving of two attempts to claim one key, with
+// faults at each step: a write without an answer that took effect, took none, or
+// takes effect later; a stale read; a platform that is down; and a holder that
+// crashes before or after the call ran. Guards against a call that runs twice,
+// for example an order that is booked twice.
 
 const (
-	modelTries  = 2
-	modelFaults = 2
-	modelNowMs  = 100
+	modelAttempts = 2
+	modelFaults   = 2
+	modelNowMs    = 100
 )
 
 type phase uint8
@@ -26,7 +26,7 @@
 const (
 	claiming phase = iota
 	finishing
-	over
+	ended
 )
 
 type object struct {
@@ -40,22 +40,22 @@
 	object
 }
 
-type try struct {
+type attempt struct {
 	phase   phase
 	claimer Claimer
 	step    Step
 	outcome State
 }
 
-// world is one state of the model. It is a value but for its slices, which are
-// only ever replaced.
+// world is one state of the model. It can be copied, because its slices are
+// replaced and never changed in place.
 type world struct {
-	stored  object
-	history []object
-	late    []pendingWrite
-	tries   [modelTries]try
-	faults  int
-	runs    int
+	stored   object
+	history  []object
+	delayed  []pendingWrite
+	attempts [modelAttempts]attempt
+	faults   int
+	runs     int
 }
 
 type explorer struct {
@@ -70,24 +70,24 @@
 	}
 	e.seen[key] = true
 	assert.Assert(e.t, w.runs <= 1, "ran twice: %s", key)
-	for i := range w.late {
+	for i := range w.delayed {
 		next := w
-		next.late = append(append([]pendingWrite{}, w.late[:i]...), w.late[i+1:]...)
-		next.apply(w.late[i])
+		next.delayed = append(append([]pendingWrite{}, w.delayed[:i]...), w.delayed[i+1:]...)
+		next.apply(w.delayed[i])
 		e.visit(next)
 	}
-	for i := range w.tries {
-		switch w.tries[i].phase {
+	for i := range w.attempts {
+		switch w.attempts[i].phase {
 		case claiming:
 			e.claimStep(w, i)
 		case finishing:
 			e.finishStep(w, i)
-		case over:
+		case ended:
 		}
 	}
 }
 
-// apply carries out a conditional write and reports whether it took effect.
+// apply executes a conditional write and reports whether it took effect.
 func (w *world) apply(p pendingWrite) bool {
 	if p.want != w.stored.version {
 		return false
@@ -99,16 +99,16 @@
 }
 
 func (w world) after(i int, event Event, seen object) world {
-	t := &w.tries[i]
+	t := &w.attempts[i]
 	t.step = t.claimer.Next(event, seen.version, Record{Nonce: seen.nonce, State: seen.state, UntilMs: modelNowMs})
 	return w
 }
 
 func (e *explorer) claimStep(w world, i int) {
-	t := w.tries[i]
+	t := w.attempts[i]
 	switch t.step.Action {
 	case Write:
-		e.write(w, i, pendingWrite{want: t.step.Version, object: object{nonce: t.claimer.mine.Nonce, state: Started}})
+		e.write(w, i, pendingWrite{want: t.step.Version, object: object{nonce: t.claimer.record.Nonce, state: Started}})
 	case Lookup:
 		e.visit(w.after(i, Read, w.stored))
 		if w.faults < modelFaults {
@@ -122,17 +122,17 @@
 		e.run(w, i)
 	case Refuse, Replay:
 		assert.Assert(e.t, t.step.Ran != fault.NotRun || w.runs == 0)
-		w.tries[i].phase = over
+		w.attempts[i].phase = ended
 		e.visit(w)
 	}
 }
 
 func (e *explorer) write(w world, i int, p pendingWrite) {
-	clean := w
-	if clean.apply(p) {
-		e.visit(clean.after(i, Wrote, clean.stored))
+	noFault := w
+	if noFault.apply(p) {
+		e.visit(noFault.after(i, Wrote, noFault.stored))
 	} else {
-		e.visit(clean.after(i, Conflict, clean.stored))
+		e.visit(noFault.after(i, Conflict, noFault.stored))
 	}
 	if w.faults >= modelFaults {
 		return
@@ -141,39 +141,39 @@
 	e.visit(w.after(i, Unavailable, object{}))
 	e.visit(w.after(i, Indeterminate, object{}))
 	later := w
-	later.late = append(append([]pendingWrite{}, w.late...), p)
+	later.delayed = append(append([]pendingWrite{}, w.delayed...), p)
 	e.visit(later.after(i, Indeterminate, object{}))
-	now := w
-	now.apply(p)
-	e.visit(now.after(i, Indeterminate, object{}))
+	applied := w
+	applied.apply(p)
+	e.visit(applied.after(i, Indeterminate, object{}))
 }
 
 func (e *explorer) run(w world, i int) {
-	dead := w
-	dead.tries[i].phase = over
-	e.visit(dead)
-	dead.runs++
-	e.visit(dead)
-	w.tries[i].phase = finishing
-	proved := w
-	proved.tries[i].outcome = NotRun
-	assert.Equal(e.t, w.runs, 0, "said not run, but it ran")
-	e.visit(proved)
+	crashed := w
+	crashed.attempts[i].phase = ended
+	e.visit(crashed)
+	crashed.runs++
+	e.visit(crashed)
+	w.attempts[i].phase = finishing
+	notRun := w
+	notRun.attempts[i].outcome = NotRun
+	assert.Equal(e.t, w.runs, 0, "outcome NotRun, but the call ran")
+	e.visit(notRun)
 	w.runs++
 	for _, outcome := range []State{Done, Unknown} {
-		w.tries[i].outcome = outcome
+		w.attempts[i].outcome = outcome
 		e.visit(w)
 	}
 }
 
 func (e *explorer) finishStep(w world, i int) {
-	t := w.tries[i]
-	w.tries[i].phase = over
-	p := pendingWrite{want: t.step.Version, object: object{nonce: t.claimer.mine.Nonce, state: t.outcome}}
-	none := w
-	e.visit(none)
+	t := w.attempts[i]
+	w.attempts[i].phase = ended
+	p := pendingWrite{want: t.step.Version, object: object{nonce: t.claimer.record.Nonce, state: t.outcome}}
+	lost := w
+	e.visit(lost)
 	later := w
-	later.late = append(append([]pendingWrite{}, w.late...), p)
+	later.delayed = append(append([]pendingWrite{}, w.delayed...), p)
 	e.visit(later)
 	w.apply(p)
 	e.visit(w)
@@ -181,9 +181,9 @@
 
 func TestEveryInterleavingRunsAtMostOnce(t *testing.T) {
 	var start world
-	for i := range start.tries {
+	for i := range start.attempts {
 		claimer := NewClaimer(Record{Nonce: fmt.Sprintf("n%d", i), State: Started}, modelNowMs)
-		start.tries[i] = try{claimer: claimer, step: claimer.Begin()}
+		start.attempts[i] = attempt{claimer: claimer, step: claimer.Begin()}
 	}
 	e := &explorer{t: t, seen: map[string]bool{}}
 	e.visit(start)
