--- a/internal/flow/graph/graph.go
+++ b/internal/flow/graph/graph.go
@@ -1,7 +1,7 @@
-// Package graph follows one request through its stages. Stages form a graph:
-// each may read the results of earlier ones, and each has as many pieces as
-// the request says. Results stay where they were made; only references to
-// them are passed on.
+// Package graph tracks the progress of one request through its stages. The
+// stages form an acyclic graph: each may read the results of other stages, and
+// the request sets the number of pieces of each. Results stay at the engine that
+// computed them; only references to them are passed on.
 package graph
 
 import (
@@ -10,11 +10,12 @@
 	"github.com/jujubescale/jujubescale/internal/conf/table"
 )
 
-// maxPieces bounds the pieces of one stage, against a request that would fill
-// the queues of everybody.
+// maxPieces limits the pieces of one stage, so that one request can't fill the
+// queues that all requests share.
 const maxPieces = 4096
 
-// ShapeError says that a request's pieces don't fit its route's stages.
+// ShapeError reports that a request's numbers of pieces don't fit the stages of
+// its route, or that the stages don't form an acyclic graph.
 type ShapeError struct {
 	Stages int
 	Pieces []int
@@ -28,36 +29,36 @@
 type state uint8
 
 const (
-	waiting state = iota
+	pending state = iota
 	running
 	done
 )
 
-// Run is the progress of one request. It is not safe for use by several
-// goroutines at once.
+// Run is the progress of one request. It is not safe for concurrent use.
 type Run struct {
-	stages  []table.Stage
-	pieces  []int
-	states  []state
-	results [][]string
-	read    []bool // whether a later stage reads the results of a stage
-	fetched []bool // whether a stage has read its inputs
-	spared  []bool // whether the results of a stage were returned by Spare
+	stages        []table.Stage
+	pieces        []int
+	states        []state
+	results       [][]string
+	hasReaders    []bool // whether another stage reads the results of a stage
+	inputsFetched []bool // whether a stage has read its inputs
+	reclaimed     []bool // whether Reclaimable has returned the results of a stage
 }
 
-// New returns the run of a request with so many pieces for each stage; 0 leaves
-// a stage out.
+// New returns the run of a request. pieces holds the number of pieces of each
+// stage; a stage with 0 pieces is skipped. It returns a *ShapeError if pieces and
+// stages don't fit.
 func New(stages []table.Stage, pieces []int) (*Run, error) {
 	if len(pieces) != len(stages) {
 		return nil, &ShapeError{Stages: len(stages), Pieces: pieces}
 	}
 	r := &Run{
 		stages: stages, pieces: pieces,
-		states:  make([]state, len(stages)),
-		results: make([][]string, len(stages)),
-		read:    make([]bool, len(stages)),
-		fetched: make([]bool, len(stages)),
-		spared:  make([]bool, len(stages)),
+		states:        make([]state, len(stages)),
+		results:       make([][]string, len(stages)),
+		hasReaders:    make([]bool, len(stages)),
+		inputsFetched: make([]bool, len(stages)),
+		reclaimed:     make([]bool, len(stages)),
 	}
 	for i, stage := range stages {
 		if pieces[i] < 0 || pieces[i] > maxPieces {
@@ -70,40 +71,40 @@
 			if before < 0 || before >= len(stages) || before == i {
 				return nil, &ShapeError{Stages: len(stages), Pieces: pieces}
 			}
-			r.read[before] = true
+			r.hasReaders[before] = true
 		}
 	}
 	for i := range stages {
-		if r.leadsTo(i, i, len(stages)) {
+		if r.dependsWithin(i, i, len(stages)) {
 			return nil, &ShapeError{Stages: len(stages), Pieces: pieces}
 		}
 	}
 	return r, nil
 }
 
-// leadsTo reports whether a stage reads another one's results, directly or by
-// others, within so many steps.
-func (r *Run) leadsTo(stage, other, steps int) bool {
+// dependsWithin reports whether a stage depends on another one through at most the
+// given number of steps.
+func (r *Run) dependsWithin(stage, other, steps int) bool {
 	if steps == 0 {
 		return false
 	}
 	for _, before := range r.stages[stage].After {
-		if before == other || r.leadsTo(before, other, steps-1) {
+		if before == other || r.dependsWithin(before, other, steps-1) {
 			return true
 		}
 	}
 	return false
 }
 
-// DependsOn reports whether a stage reads another one's results, directly or by
-// others.
-func (r *Run) DependsOn(stage, other int) bool { return r.leadsTo(stage, other, len(r.stages)) }
+// DependsOn reports whether a stage reads another one's results, directly or
+// through other stages.
+func (r *Run) DependsOn(stage, other int) bool { return r.dependsWithin(stage, other, len(r.stages)) }
 
-// Ready returns the stages that can run now and were not begun.
+// Ready returns the stages that have not started and whose inputs are complete.
 func (r *Run) Ready() []int {
 	var ready []int
 	for i := range r.stages {
-		if r.states[i] == waiting && r.inputsDone(i) {
+		if r.states[i] == pending && r.inputsDone(i) {
 			ready = append(ready, i)
 		}
 	}
@@ -122,8 +123,8 @@
 	return true
 }
 
-// Waiting reports whether a stage has not been started.
-func (r *Run) Waiting(stage int) bool { return r.states[stage] == waiting }
+// Waiting reports whether a stage has not started.
+func (r *Run) Waiting(stage int) bool { return r.states[stage] == pending }
 
 // Pieces returns the number of pieces of a stage.
 func (r *Run) Pieces(stage int) int { return r.pieces[stage] }
@@ -131,8 +132,8 @@
 // Results returns the references to a stage's results.
 func (r *Run) Results(stage int) []string { return r.results[stage] }
 
-// Inputs returns the references that a stage reads: those of all pieces of all
-// stages before it, in order.
+// Inputs returns the references that a stage reads: those of all pieces of the
+// stages directly before it, in order.
 func (r *Run) Inputs(stage int) []string {
 	var inputs []string
 	for _, before := range r.stages[stage].After {
@@ -141,33 +142,35 @@
 	return inputs
 }
 
-// Finish takes the references to a stage's results, one for each piece.
+// Finish marks a stage as done and stores the references to its results, one for
+// each piece.
 func (r *Run) Finish(stage int, results []string) {
 	r.results[stage] = results
 	r.states[stage] = done
 }
 
-// MarkFetched notes that all pieces of a stage have read their inputs.
-func (r *Run) MarkFetched(stage int) { r.fetched[stage] = r.states[stage] == running }
+// MarkFetched records that all pieces of a running stage have read their inputs.
+func (r *Run) MarkFetched(stage int) { r.inputsFetched[stage] = r.states[stage] == running }
 
-// Reclaimable returns, once, the references that every stage which reads them has
-// read, although it is not done yet. They are needed again only if such a stage
-// fails: where memory is short, it is better used for something else.
+// Reclaimable returns the references to results that all later stages have read,
+// although not all of these stages are done. Such a result is needed again only if
+// one of them fails, so an engine that is short of memory can drop it. Each
+// reference is returned once.
 func (r *Run) Reclaimable() []string {
-	var spare []string
+	var reclaimable []string
 	for i := range r.stages {
-		if r.read[i] && !r.spared[i] && r.states[i] == done && r.readersFetched(i) {
-			r.spared[i] = true
-			spare = append(spare, r.results[i]...)
+		if r.hasReaders[i] && !r.reclaimed[i] && r.states[i] == done && r.readersFetched(i) {
+			r.reclaimed[i] = true
+			reclaimable = append(reclaimable, r.results[i]...)
 		}
 	}
-	return spare
+	return reclaimable
 }
 
 func (r *Run) readersFetched(stage int) bool {
 	for i := range r.stages {
 		for _, before := range r.stages[i].After {
-			if before == stage && r.states[i] != done && !r.fetched[i] {
+			if before == stage && r.states[i] != done && !r.inputsFetched[i] {
 				return false
 			}
 		}
@@ -175,11 +178,12 @@
 	return true
 }
 
-// ResetStage puts a stage, and all that it reads, back to the start, because a
-// result is gone. It returns the references that are not used any more.
+// ResetStage marks a stage, and all stages that it depends on, as not started,
+// because one of its inputs was lost. It returns the references that are no longer
+// used.
 func (r *Run) ResetStage(stage int) []string {
-	r.states[stage] = waiting
-	r.fetched[stage], r.spared[stage] = false, false
+	r.states[stage] = pending
+	r.inputsFetched[stage], r.reclaimed[stage] = false, false
 	var unused []string
 	for _, before := range r.stages[stage].After {
 		if r.pieces[before] == 0 {
@@ -192,15 +196,15 @@
 	return unused
 }
 
-// Restart puts every stage back to the start and returns the references that
-// are not used any more.
+// Restart marks every stage as not started and returns the references that are no
+// longer used.
 func (r *Run) Restart() []string {
 	unused := r.References()
 	for i := range r.stages {
 		r.results[i] = nil
-		r.fetched[i], r.spared[i] = false, false
+		r.inputsFetched[i], r.reclaimed[i] = false, false
 		if r.pieces[i] > 0 {
-			r.states[i] = waiting
+			r.states[i] = pending
 		}
 	}
 	return unused
@@ -217,29 +221,28 @@
 }
 
 // FinalResults returns the references that the request itself reads: those of the
-// stages that no other stage follows.
+// stages that no other stage reads.
 func (r *Run) FinalResults() []string {
-	var inputs []string
+	var results []string
 	for i := range r.stages {
-		if !r.read[i] {
-			inputs = append(inputs, r.results[i]...)
+		if !r.hasReaders[i] {
+			results = append(results, r.results[i]...)
 		}
 	}
-	return inputs
+	return results
 }
 
-// ReleaseConsumed returns the references that no stage still has to read and that the
-// request itself doesn't read either, and forgets them: their memory can be
-// given back early.
+// ReleaseConsumed removes and returns the references that neither a stage nor the
+// request itself will read again, so that their memory can be freed early.
 func (r *Run) ReleaseConsumed() []string {
-	var spent []string
+	var consumed []string
 	for i := range r.stages {
-		if r.read[i] && r.states[i] == done && r.readersDone(i) {
-			spent = append(spent, r.results[i]...)
+		if r.hasReaders[i] && r.states[i] == done && r.readersDone(i) {
+			consumed = append(consumed, r.results[i]...)
 			r.results[i] = nil
 		}
 	}
-	return spent
+	return consumed
 }
 
 func (r *Run) readersDone(stage int) bool {
@@ -253,25 +256,26 @@
 	return true
 }
 
-// ReleaseAll forgets all references, because everything was read, and returns
-// them. The run stays done; Empty tells that it has nothing to show for it.
+// ReleaseAll removes and returns all references, after everything was read. The
+// run stays done, and ResultsMissing reports that its results are gone.
 func (r *Run) ReleaseAll() []string {
 	released := r.References()
 	clear(r.results)
 	return released
 }
 
-// ResultsMissing reports whether the request reads results that are no longer held.
+// ResultsMissing reports whether results that the request reads are not held, for
+// example after ReleaseAll.
 func (r *Run) ResultsMissing() bool {
 	for i := range r.stages {
-		if !r.read[i] && r.pieces[i] > 0 && len(r.results[i]) == 0 {
+		if !r.hasReaders[i] && r.pieces[i] > 0 && len(r.results[i]) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// References returns every reference that is still held.
+// References returns all references that are still held.
 func (r *Run) References() []string {
 	var all []string
 	for _, results := range r.results {
