--- a/internal/flow/crash/crash.go
+++ b/internal/flow/crash/crash.go
@@ -1,13 +1,14 @@
-// Package crash counts the endpoints that crashed while they worked on a request,
-// and tells which requests are to reach no endpoint any more.
+// Package crash counts the endpoints that crashed while they ran a request, and
+// decides which requests are quarantined, that is, sent to no endpoint.
 //
-// It answers requests that crash each endpoint that runs them. Their callers
-// repeat them, with another id each time and at any process, so that limits on the
-// attempts of one request do not stop them. A request is known by what it asks for
-// and by its organisation. It is quarantined after three crashes, of three
-// endpoints, without an answer in between: others that were running at the same
-// endpoints are soon answered elsewhere. Where endpoints stopped for another reason
-// under requests that all callers send alike, one trial shows it.
+// It protects against requests that crash each endpoint that runs them. Callers
+// repeat such a request with a new ID each time and at any process, so that a
+// limit on the attempts of one request does not stop it. A request is therefore
+// identified by its organisation and its content. It is quarantined after crashes
+// of three endpoints without an answer in between. Other requests that ran at the
+// same endpoints are not quarantined, because they are soon answered elsewhere.
+// If the endpoints stopped for another reason while they ran requests with the
+// same content, a single trial shows that the request is harmless.
 package crash
 
 import (
@@ -20,65 +21,71 @@
 )
 
 const (
-	// maxCrashes is the number of crashed endpoints from which on a request is
-	// quarantined, writeFrom that from which on they are written to the store: a
-	// process that starts has to know of them.
-	maxCrashes = 3
-	writeFrom  = maxCrashes - 1
-	// QuarantineTime is how long a quarantine lasts after the last crash, remember how long
-	// crashes count: one more after the quarantine begins it anew.
+	// quarantineCrashes is the number of crashed endpoints at which a request is
+	// quarantined. From storeCrashes on, the crashes are also written to the store,
+	// so that a process that starts later can read them.
+	quarantineCrashes = 3
+	storeCrashes      = quarantineCrashes - 1
+	// QuarantineTime is how long a quarantine lasts after the last crash.
 	QuarantineTime = 15 * clock.Minute
-	remember       = 4 * QuarantineTime
-	// trialAfter is how long after the last crash one request is let through.
-	trialAfter = 4 * clock.Second
-	// maxRecords bounds the requests whose crashes are counted, maxEndpoints the
-	// endpoints of one, and maxUnsent the reports that wait to be sent to peers.
+	// recordTime is how long crashes are counted. One more crash within it starts
+	// the quarantine again.
+	recordTime = 4 * QuarantineTime
+	// trialDelay is the time from the last crash until a trial is allowed.
+	trialDelay = 4 * clock.Second
+	// maxRecords limits the requests whose crashes are counted, maxEndpoints the
+	// endpoints counted for one request, and maxUnsent the queue of reports for
+	// peers.
 	maxRecords   = 4096
-	maxEndpoints = maxCrashes + 1
+	maxEndpoints = quarantineCrashes + 1
 	maxUnsent    = 1024
 )
 
-// Report is what a process learned of a request: that it crashed an endpoint, or,
-// if Cleared is set, that it was answered.
+// Report reports that a request crashed an endpoint or, if Cleared is set, that it
+// was answered.
 type Report struct {
 	Key Key
-	// Endpoint names one start of one endpoint.
+	// Endpoint identifies one run of an endpoint, from its start to its crash.
 	Endpoint string
 	Cleared  bool
 }
 
-// Stored is what the platform's store holds of a request.
+// Stored is the entry for a request in the platform's store.
 type Stored struct {
 	Key Key
-	// Endpoints that crashed, the last of them Age milliseconds ago.
+	// Endpoints are the endpoints that crashed, and Age the time since the last
+	// crash, in milliseconds.
 	Endpoints []string
 	Age       clock.Millis
 }
 
-// record is a request under which endpoints crashed.
+// record holds the crashes of endpoints that ran a request.
 type record struct {
 	endpoints []string
-	last      clock.Millis
-	// written is how many of the endpoints were written to the store, and listed says
-	// that the store holds the request.
+	lastCrash clock.Millis
+	// written is the number of endpoints that were written to the store. stored is
+	// true if the store was seen to hold the request.
 	written int
-	listed  bool
-	// cleared says that the request was answered and is to be taken out of the store.
+	stored  bool
+	// cleared is true if the request was answered but the store may still hold its
+	// entry.
 	cleared bool
-	// witnessed says that this process has counted the crashes itself, and tried that
-	// it has let a trial through.
-	witnessed, tried bool
+	// reported is true if this process or a peer reported a crash while this
+	// process ran, so that the crashes are not known from the store alone.
+	// trialTaken is true if this process has started the trial.
+	reported, trialTaken bool
 }
 
-// left returns how much longer the request is quarantined, 0 if it is not.
-func (r *record) left(now clock.Millis) clock.Millis {
-	if r.cleared || len(r.endpoints) < maxCrashes {
+// quarantineLeft returns how much longer the request is quarantined, in
+// milliseconds, or 0.
+func (r *record) quarantineLeft(now clock.Millis) clock.Millis {
+	if r.cleared || len(r.endpoints) < quarantineCrashes {
 		return 0
 	}
-	return max(r.last+QuarantineTime-now, 0)
+	return max(r.lastCrash+QuarantineTime-now, 0)
 }
 
-// Tracker holds what is known of requests. It is safe for use by several goroutines.
+// Tracker holds the crashes of all requests. It is safe for concurrent use.
 type Tracker struct {
 	// size is the number of records.
 	size atomic.Int64
@@ -89,196 +96,204 @@
 	dropped int
 }
 
-// New returns an empty book.
+// New returns an empty tracker.
 func New() *Tracker { return &Tracker{records: make(map[Key]*record)} }
 
-// Empty reports whether nothing is known of any request, so that keys need not be
-// computed.
-func (b *Tracker) Empty() bool { return b.size.Load() == 0 }
+// Empty reports whether there are no records, in which case callers need not
+// compute keys.
+func (t *Tracker) Empty() bool { return t.size.Load() == 0 }
 
-// RecordCrash notes that an endpoint crashed while it worked on a request of this
-// process. It returns the number of crashes, and whether the request is quarantined
-// from now on.
-func (b *Tracker) RecordCrash(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	b.send(Report{Key: key, Endpoint: endpoint})
-	return b.add(key, endpoint, now)
+// RecordCrash records that an endpoint crashed while it ran a request of this
+// process. It returns the number of crashed endpoints and whether this crash
+// started a quarantine.
+func (t *Tracker) RecordCrash(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.publishSize()
+	t.addUnsent(Report{Key: key, Endpoint: endpoint})
+	return t.add(key, endpoint, now)
 }
 
-// RecordAnswer notes that a request of this process was answered: it is not the one
-// that crashes endpoints. It reports whether anything was known of it.
-func (b *Tracker) RecordAnswer(key Key) bool {
-	b.mu.RLock()
-	known := b.records[key]
-	b.mu.RUnlock()
+// RecordAnswer removes the crashes of a request of this process that was answered,
+// because it is not the cause of the crashes. It reports whether there were any.
+func (t *Tracker) RecordAnswer(key Key) bool {
+	t.mu.RLock()
+	known := t.records[key]
+	t.mu.RUnlock()
 	if known == nil {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	b.clear(key)
-	b.send(Report{Key: key, Cleared: true})
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.publishSize()
+	t.clear(key)
+	t.addUnsent(Report{Key: key, Cleared: true})
 	return true
 }
 
-// AddReports takes reports of peers and returns the requests that are quarantined from
-// now on.
-func (b *Tracker) AddReports(reports []Report, now clock.Millis) []Key {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
+// AddReports merges reports of peers and returns the requests for which they start
+// a quarantine.
+func (t *Tracker) AddReports(reports []Report, now clock.Millis) []Key {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.publishSize()
 	var began []Key
 	for _, report := range reports {
 		if report.Cleared {
-			b.clear(report.Key)
+			t.clear(report.Key)
 			continue
 		}
-		if _, begins := b.add(report.Key, report.Endpoint, now); begins {
+		if _, begins := t.add(report.Key, report.Endpoint, now); begins {
 			began = append(began, report.Key)
 		}
 	}
 	return began
 }
 
-// TakeUnsent returns the reports that peers have not been sent yet, and how many were
-// dropped because too many waited.
-func (b *Tracker) TakeUnsent() (reports []Report, dropped int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	reports, dropped = b.unsent, b.dropped
-	b.unsent, b.dropped = nil, 0
+// TakeUnsent returns the reports to be sent to peers, and the number of reports
+// that were dropped because there were more than maxUnsent. It empties the queue.
+func (t *Tracker) TakeUnsent() (reports []Report, dropped int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	reports, dropped = t.unsent, t.dropped
+	t.unsent, t.dropped = nil, 0
 	return reports, dropped
 }
 
-// QuarantineLeft returns how much longer a request is quarantined; 0 if it is not.
-func (b *Tracker) QuarantineLeft(key Key, now clock.Millis) clock.Millis {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	if r := b.records[key]; r != nil {
-		return r.left(now)
+// QuarantineLeft returns how much longer a request is quarantined, in
+// milliseconds, or 0.
+func (t *Tracker) QuarantineLeft(key Key, now clock.Millis) clock.Millis {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	if r := t.records[key]; r != nil {
+		return r.quarantineLeft(now)
 	}
 	return 0
 }
 
-// TrialDue reports whether a quarantined request may be let through once, by the one
-// process that is to do so: endpoints may have stopped for another reason. A process
-// that knows the crashes from the store alone lets none through, so that restarts add
-// no trials.
-func (b *Tracker) TrialDue(key Key, now clock.Millis) bool {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	r := b.records[key]
-	return r != nil && !r.tried && r.witnessed && r.left(now) > 0 && now-r.last >= trialAfter
+// TrialDue reports whether a quarantined request may be sent to an endpoint once as
+// a trial, since the endpoints may have stopped for another reason. It is false in
+// a process that knows the crashes only from the store, so that restarts do not
+// cause more trials. The caller has to ensure that a single process runs the
+// trial.
+func (t *Tracker) TrialDue(key Key, now clock.Millis) bool {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	r := t.records[key]
+	return r != nil && !r.trialTaken && r.reported && r.quarantineLeft(now) > 0 && now-r.lastCrash >= trialDelay
 }
 
-// TakeTrial spends the trial that is due, and reports whether it was.
-func (b *Tracker) TakeTrial(key Key, now clock.Millis) bool {
-	if !b.TrialDue(key, now) {
+// TakeTrial marks the trial of a request as used. It returns false if no trial is
+// due.
+func (t *Tracker) TakeTrial(key Key, now clock.Millis) bool {
+	if !t.TrialDue(key, now) {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[key]
-	if r == nil || r.tried {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[key]
+	if r == nil || r.trialTaken {
 		return false
 	}
-	r.tried = true
+	r.trialTaken = true
 	return true
 }
 
-// ReturnTrial takes back a trial that reached no endpoint.
-func (b *Tracker) ReturnTrial(key Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.records[key]; r != nil {
-		r.tried = false
+// ReturnTrial allows the trial of a request again, after one that reached no
+// endpoint.
+func (t *Tracker) ReturnTrial(key Key) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[key]; r != nil {
+		r.trialTaken = false
 	}
 }
 
-// Unwritten returns what is to be written to the store.
-func (b *Tracker) Unwritten(now clock.Millis) []Stored {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
+// Unwritten returns the entries to be written to the store.
+func (t *Tracker) Unwritten(now clock.Millis) []Stored {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
 	var unwritten []Stored
-	for key, r := range b.records {
-		if !r.cleared && len(r.endpoints) >= writeFrom && len(r.endpoints) > r.written && now-r.last < remember {
-			unwritten = append(unwritten, Stored{Key: key, Age: now - r.last, Endpoints: slices.Clone(r.endpoints)})
+	for key, r := range t.records {
+		if !r.cleared && len(r.endpoints) >= storeCrashes && len(r.endpoints) > r.written && now-r.lastCrash < recordTime {
+			unwritten = append(unwritten, Stored{Key: key, Age: now - r.lastCrash, Endpoints: slices.Clone(r.endpoints)})
 		}
 	}
 	return unwritten
 }
 
-// MarkWritten notes that so many endpoints of a request stand in the store.
-func (b *Tracker) MarkWritten(key Key, endpoints int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.records[key]; r != nil {
+// MarkWritten records how many endpoints of a request were written to the store.
+func (t *Tracker) MarkWritten(key Key, endpoints int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[key]; r != nil {
 		r.written = max(r.written, endpoints)
 	}
 }
 
-// Expire forgets what is too old. It returns the requests that are to be taken out of
-// the store: they are too old or were answered.
-func (b *Tracker) Expire(now clock.Millis) []Key {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	var over []Key
-	for key, r := range b.records {
-		old := now-r.last >= remember
+// Expire deletes records that are too old or were answered. It returns the requests
+// whose entries the caller has to delete from the store; their records remain until
+// SetStored reports the entries as gone.
+func (t *Tracker) Expire(now clock.Millis) []Key {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.publishSize()
+	var expired []Key
+	for key, r := range t.records {
+		tooOld := now-r.lastCrash >= recordTime
 		switch {
-		case r.listed && (r.cleared || old):
-			over = append(over, key)
-		case r.cleared || old:
-			delete(b.records, key)
+		case r.stored && (r.cleared || tooOld):
+			expired = append(expired, key)
+		case r.cleared || tooOld:
+			delete(t.records, key)
 		}
 	}
-	return over
+	return expired
 }
 
-// SetStored takes all that the store holds. What stood there before and does no longer
-// was lifted.
-func (b *Tracker) SetStored(listed []Stored, now clock.Millis) (began, lifted []Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	stands := make(map[Key]bool, len(listed))
-	for _, entry := range listed {
-		stands[entry.Key] = true
-		if b.take(entry, now) {
+// SetStored merges the complete list of entries in the store. It returns the requests
+// whose quarantine begins, and those whose entry was deleted from the store, which
+// lifts their quarantine.
+func (t *Tracker) SetStored(entries []Stored, now clock.Millis) (began, lifted []Key) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.publishSize()
+	present := make(map[Key]bool, len(entries))
+	for _, entry := range entries {
+		present[entry.Key] = true
+		if t.merge(entry, now) {
 			began = append(began, entry.Key)
 		}
 	}
-	for key, r := range b.records {
-		if r.listed && !stands[key] {
-			delete(b.records, key)
+	for key, r := range t.records {
+		if r.stored && !present[key] {
+			delete(t.records, key)
 			lifted = append(lifted, key)
 		}
 	}
 	return began, lifted
 }
 
-// take merges what the store holds of a request, and reports whether it is quarantined
-// from now on; the caller holds the lock.
-func (b *Tracker) take(entry Stored, now clock.Millis) (begins bool) {
-	r := b.records[entry.Key]
+// merge adds an entry of the store to the request's record and reports whether that
+// starts a quarantine. The caller holds the lock.
+func (t *Tracker) merge(entry Stored, now clock.Millis) (begins bool) {
+	r := t.records[entry.Key]
 	if r == nil {
-		b.makeRoom()
+		t.makeRoom()
 		r = &record{}
-		b.records[entry.Key] = r
+		t.records[entry.Key] = r
 	}
-	before := r.left(now)
+	before := r.quarantineLeft(now)
 	for _, endpoint := range entry.Endpoints {
 		r.addEndpoint(endpoint)
 	}
-	r.last = max(r.last, now-max(entry.Age, 0))
-	r.listed, r.written = true, max(r.written, len(entry.Endpoints))
-	return before == 0 && r.left(now) > 0
+	r.lastCrash = max(r.lastCrash, now-max(entry.Age, 0))
+	r.stored, r.written = true, max(r.written, len(entry.Endpoints))
+	return before == 0 && r.quarantineLeft(now) > 0
 }
 
+// addEndpoint adds an endpoint, up to maxEndpoints, and reports whether the record
+// did not contain it.
 func (r *record) addEndpoint(endpoint string) bool {
 	if slices.Contains(r.endpoints, endpoint) {
 		return false
@@ -289,57 +304,59 @@
 	return true
 }
 
-// add counts a crash; the caller holds the lock.
-func (b *Tracker) add(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
-	r := b.records[key]
+// add counts a crash, unless it is already known. The caller holds the lock.
+func (t *Tracker) add(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+	r := t.records[key]
 	if r == nil || r.cleared {
-		listed := r != nil && r.listed
-		b.makeRoom()
-		r = &record{listed: listed}
-		b.records[key] = r
+		stored := r != nil && r.stored
+		t.makeRoom()
+		r = &record{stored: stored}
+		t.records[key] = r
 	}
-	before := r.left(now)
+	before := r.quarantineLeft(now)
 	if r.addEndpoint(endpoint) {
-		r.last, r.witnessed = now, true
+		r.lastCrash, r.reported = now, true
 	}
-	return len(r.endpoints), before == 0 && r.left(now) > 0
+	return len(r.endpoints), before == 0 && r.quarantineLeft(now) > 0
 }
 
-// clear forgets the crashes of a request, at once or once the store has; the caller
-// holds the lock.
-func (b *Tracker) clear(key Key) {
-	r := b.records[key]
+// clear deletes the record of a request. If the store may hold an entry for it, the
+// record is only marked as cleared until that entry is deleted. The caller holds
+// the lock.
+func (t *Tracker) clear(key Key) {
+	r := t.records[key]
 	switch {
 	case r == nil:
-	case r.listed || r.written > 0:
+	case r.stored || r.written > 0:
 		r.cleared = true
 	default:
-		delete(b.records, key)
+		delete(t.records, key)
 	}
 }
 
-// makeRoom drops a quarter of the records, those of which nothing was heard for
-// longest, when there are too many; the caller holds the lock.
-func (b *Tracker) makeRoom() {
-	if len(b.records) < maxRecords {
+// makeRoom deletes the quarter of the records with the oldest last crash if there
+// are maxRecords. The caller holds the lock.
+func (t *Tracker) makeRoom() {
+	if len(t.records) < maxRecords {
 		return
 	}
-	times := make([]clock.Millis, 0, len(b.records))
-	for _, r := range b.records {
-		times = append(times, r.last)
+	times := make([]clock.Millis, 0, len(t.records))
+	for _, r := range t.records {
+		times = append(times, r.lastCrash)
 	}
 	slices.Sort(times)
 	oldest := times[len(times)/4]
-	maps.DeleteFunc(b.records, func(_ Key, r *record) bool { return r.last <= oldest })
+	maps.DeleteFunc(t.records, func(_ Key, r *record) bool { return r.lastCrash <= oldest })
 }
 
-func (b *Tracker) send(report Report) {
-	if len(b.unsent) >= maxUnsent {
-		b.dropped++
+func (t *Tracker) addUnsent(report Report) {
+	if len(t.unsent) >= maxUnsent {
+		t.dropped++
 		return
 	}
-	b.unsent = append(b.unsent, report)
+	t.unsent = append(t.unsent, report)
 }
 
-// count publishes the size; the caller holds the lock.
-func (b *Tracker) count() { b.size.Store(int64(len(b.records))) }
+// publishSize updates size, which is read without the lock. The caller holds the
+// lock.
+func (t *Tracker) publishSize() { t.size.Store(int64(len(t.records))) }
--- a/internal/flow/crash/crash_test.go
+++ b/internal/flow/crash/crash_test.go
@@ -14,15 +14,15 @@
 	return crash.KeyOf("baker", "POST", "a.example", "/drafts/", []byte(body))
 }
 
-// crashed notes crashes of endpoints e0, e1 and so on.
-func crashed(b *crash.Tracker, k crash.Key, endpoints int, now clock.Millis) (begins bool) {
+// crashed records crashes of endpoints e0, e1 and so on.
+func crashed(tracker *crash.Tracker, k crash.Key, endpoints int, now clock.Millis) (begins bool) {
 	for i := range endpoints {
-		_, begins = b.RecordCrash(k, fmt.Sprint("e", i), now)
+		_, begins = tracker.RecordCrash(k, fmt.Sprint("e", i), now)
 	}
 	return begins
 }
 
-func TestKeyTellsRequestsApart(t *testing.T) {
+func TestKeyIdentifiesRequest(t *testing.T) {
 	keys := map[crash.Key]bool{
 		crash.KeyOf("baker", "POST", "a.example", "/a/", []byte("x")):  true,
 		crash.KeyOf("miller", "POST", "a.example", "/a/", []byte("x")): true,
@@ -42,137 +42,142 @@
 	}
 }
 
-// Guards against a request that is sent on and on although it crashes each endpoint.
+// Guards against a request that is sent again and again although it crashes each
+// endpoint.
 func TestThirdCrashQuarantines(t *testing.T) {
-	b := crash.New()
-	assert.Assert(t, b.Empty())
+	tracker := crash.New()
+	assert.Assert(t, tracker.Empty())
 	for i := range 2 {
-		crashes, begins := b.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
+		crashes, begins := tracker.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
 		assert.Equal(t, crashes, i+1)
 		assert.Assert(t, !begins)
-		assert.Equal(t, b.QuarantineLeft(key("x"), 10), clock.Millis(0))
+		assert.Equal(t, tracker.QuarantineLeft(key("x"), 10), clock.Millis(0))
 	}
-	_, begins := b.RecordCrash(key("x"), "e2", 10)
+	_, begins := tracker.RecordCrash(key("x"), "e2", 10)
 	assert.Assert(t, begins)
-	assert.Equal(t, b.QuarantineLeft(key("x"), 20), crash.QuarantineTime-10)
-	assert.Equal(t, b.QuarantineLeft(key("y"), 20), clock.Millis(0))
-	_, begins = b.RecordCrash(key("x"), "e3", 30)
-	assert.Assert(t, !begins, "it begins once")
+	assert.Equal(t, tracker.QuarantineLeft(key("x"), 20), crash.QuarantineTime-10)
+	assert.Equal(t, tracker.QuarantineLeft(key("y"), 20), clock.Millis(0))
+	_, begins = tracker.RecordCrash(key("x"), "e3", 30)
+	assert.Assert(t, !begins, "a quarantine starts once")
 }
 
-// Guards against a request that is let through again and again because its callers go
-// on after the end of its quarantine.
-func TestOneCrashMoreBeginsTheQuarantineAnew(t *testing.T) {
-	b := crash.New()
+// Guards against a request that crashes three endpoints after each quarantine
+// because its callers keep repeating it.
+func TestFurtherCrashExtendsTheQuarantine(t *testing.T) {
+	tracker := crash.New()
 	sent := 0
 	for now := clock.Millis(1); now < clock.Hour; now += clock.Second {
-		b.Expire(now)
-		if b.QuarantineLeft(key("x"), now) > 0 {
+		tracker.Expire(now)
+		if tracker.QuarantineLeft(key("x"), now) > 0 {
 			continue
 		}
-		b.RecordCrash(key("x"), fmt.Sprint("e", sent), now)
+		tracker.RecordCrash(key("x"), fmt.Sprint("e", sent), now)
 		sent++
 	}
-	assert.Equal(t, sent, 3+3, "one each quarter of an hour")
-	assert.Equal(t, len(b.Expire(6*clock.Hour)), 0)
-	assert.Assert(t, b.Empty())
+	assert.Equal(t, sent, 3+3, "one after each quarter of an hour")
+	assert.Equal(t, len(tracker.Expire(6*clock.Hour)), 0)
+	assert.Assert(t, tracker.Empty())
 }
 
-// Guards against a quarantine that each process begins only after three crashes of its own.
-func TestCrashesSeenByPeersCount(t *testing.T) {
-	books := []*crash.Tracker{crash.New(), crash.New(), crash.New()}
-	for i, b := range books {
-		b.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
+// Guards against a quarantine that starts only when one process has seen three
+// crashes itself.
+func TestCrashesReportedByPeersCount(t *testing.T) {
+	trackers := []*crash.Tracker{crash.New(), crash.New(), crash.New()}
+	for i, tracker := range trackers {
+		tracker.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
 	}
-	for i, from := range books {
+	for i, from := range trackers {
 		reports, _ := from.TakeUnsent()
 		assert.Equal(t, len(reports), 1)
 		again, _ := from.TakeUnsent()
 		assert.Equal(t, len(again), 0)
-		for j, to := range books {
+		for j, to := range trackers {
 			if i != j {
 				to.AddReports(reports, 20)
 			}
 		}
 	}
-	for _, b := range books {
-		assert.Assert(t, b.QuarantineLeft(key("x"), 30) > 0)
+	for _, tracker := range trackers {
+		assert.Assert(t, tracker.QuarantineLeft(key("x"), 30) > 0)
 	}
 }
 
-// Guards against requests that are refused because others crash the endpoints that they run at.
-func TestAnswerClearsSuspects(t *testing.T) {
-	for name, clears := range map[string]func(b *crash.Tracker){
-		"own answer": func(b *crash.Tracker) { assert.Assert(t, b.RecordAnswer(key("x"))) },
-		"a peer's":   func(b *crash.Tracker) { b.AddReports([]crash.Report{{Key: key("x"), Cleared: true}}, 20) },
+// Guards against harmless requests that are refused because other requests crash
+// the endpoints that run them.
+func TestAnswerClearsCrashes(t *testing.T) {
+	for name, clears := range map[string]func(tracker *crash.Tracker){
+		"own answer":       func(tracker *crash.Tracker) { assert.Assert(t, tracker.RecordAnswer(key("x"))) },
+		"answer at a peer": func(tracker *crash.Tracker) { tracker.AddReports([]crash.Report{{Key: key("x"), Cleared: true}}, 20) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := crash.New()
-			crashed(b, key("x"), 2, 10)
-			clears(b)
-			assert.Assert(t, b.Empty())
-			crashed(b, key("x"), 2, 30)
-			assert.Equal(t, b.QuarantineLeft(key("x"), 50), clock.Millis(0))
+			tracker := crash.New()
+			crashed(tracker, key("x"), 2, 10)
+			clears(tracker)
+			assert.Assert(t, tracker.Empty())
+			crashed(tracker, key("x"), 2, 30)
+			assert.Equal(t, tracker.QuarantineLeft(key("x"), 50), clock.Millis(0))
 		})
 	}
 }
 
-func TestOneEndpointCountsOnce(t *testing.T) {
-	b := crash.New()
+func TestCrashesOfOneEndpointCountOnce(t *testing.T) {
+	tracker := crash.New()
 	for range 5 {
-		b.RecordCrash(key("x"), "e0", 10)
+		tracker.RecordCrash(key("x"), "e0", 10)
 	}
-	assert.Equal(t, b.QuarantineLeft(key("x"), 20), clock.Millis(0))
+	assert.Equal(t, tracker.QuarantineLeft(key("x"), 20), clock.Millis(0))
 }
 
-func TestAnswerOfARequestUnderWayEndsItsQuarantine(t *testing.T) {
-	b := crash.New()
-	crashed(b, key("x"), 3, 10)
-	assert.Assert(t, b.RecordAnswer(key("x")))
-	assert.Equal(t, b.QuarantineLeft(key("x"), 30), clock.Millis(0))
-	assert.Assert(t, !b.RecordAnswer(key("y")), "nothing was known of it")
-
-	b.SetStored([]crash.Stored{{Key: key("z"), Age: 5, Endpoints: []string{"a", "b", "c"}}}, 40)
-	assert.Assert(t, b.QuarantineLeft(key("z"), 45) > 0)
-	assert.Assert(t, b.RecordAnswer(key("z")))
-	assert.Equal(t, b.QuarantineLeft(key("z"), 60), clock.Millis(0))
-	assert.DeepEqual(t, b.Expire(60), []crash.Key{key("z")})
-	b.SetStored(nil, 70)
-	assert.Assert(t, b.Empty())
+func TestAnswerEndsQuarantine(t *testing.T) {
+	tracker := crash.New()
+	crashed(tracker, key("x"), 3, 10)
+	assert.Assert(t, tracker.RecordAnswer(key("x")))
+	assert.Equal(t, tracker.QuarantineLeft(key("x"), 30), clock.Millis(0))
+	assert.Assert(t, !tracker.RecordAnswer(key("y")), "no crash was recorded")
+
+	tracker.SetStored([]crash.Stored{{Key: key("z"), Age: 5, Endpoints: []string{"a", "b", "c"}}}, 40)
+	assert.Assert(t, tracker.QuarantineLeft(key("z"), 45) > 0)
+	assert.Assert(t, tracker.RecordAnswer(key("z")))
+	assert.Equal(t, tracker.QuarantineLeft(key("z"), 60), clock.Millis(0))
+	assert.DeepEqual(t, tracker.Expire(60), []crash.Key{key("z")})
+	tracker.SetStored(nil, 70)
+	assert.Assert(t, tracker.Empty())
 }
 
-// Guards against sound requests that stay refused because endpoints stopped for another
-// reason, and against trials that crash endpoint after endpoint.
-func TestOneTrialIsLetThrough(t *testing.T) {
-	b := crash.New()
-	crashed(b, key("x"), 3, 10)
+// Guards against harmless requests that stay refused because endpoints stopped for
+// another reason, and against repeated trials that crash one endpoint after
+// another.
+func TestOneTrialIsAllowed(t *testing.T) {
+	tracker := crash.New()
+	crashed(tracker, key("x"), 3, 10)
 	const due = 10 + 4*clock.Second
-	assert.Assert(t, !b.TakeTrial(key("x"), due-1))
-	assert.Assert(t, b.TrialDue(key("x"), due) && b.TakeTrial(key("x"), due))
-	assert.Assert(t, !b.TakeTrial(key("x"), due))
-	b.ReturnTrial(key("x"))
-	assert.Assert(t, b.TakeTrial(key("x"), due+1))
-	b.RecordCrash(key("x"), "e9", due+2)
-	assert.Assert(t, !b.TrialDue(key("x"), due+clock.Minute))
+	assert.Assert(t, !tracker.TakeTrial(key("x"), due-1))
+	assert.Assert(t, tracker.TrialDue(key("x"), due) && tracker.TakeTrial(key("x"), due))
+	assert.Assert(t, !tracker.TakeTrial(key("x"), due))
+	tracker.ReturnTrial(key("x"))
+	assert.Assert(t, tracker.TakeTrial(key("x"), due+1))
+	tracker.RecordCrash(key("x"), "e9", due+2)
+	assert.Assert(t, !tracker.TrialDue(key("x"), due+clock.Minute))
 
 	started := crash.New()
 	started.SetStored([]crash.Stored{{Key: key("x"), Endpoints: []string{"a", "b", "c"}}}, 10)
-	assert.Assert(t, !started.TrialDue(key("x"), due), "a process that has just started lets none through")
+	assert.Assert(t, !started.TrialDue(key("x"), due), "no trial by a process that has just started")
 }
 
-// Guards against processes that start anew after all were killed, and send it again.
-func TestCrashesLastInTheStore(t *testing.T) {
-	b := crash.New()
-	crashed(b, key("x"), 1, 5)
-	assert.Equal(t, len(b.Unwritten(6)), 0)
-	crashed(b, key("x"), 2, 10)
-	assert.DeepEqual(t, b.Unwritten(30), []crash.Stored{{Key: key("x"), Age: 20, Endpoints: []string{"e0", "e1"}}})
-	b.MarkWritten(key("x"), 2)
-	assert.Equal(t, len(b.Unwritten(30)), 0)
-	_, lifted := b.SetStored(nil, 40) // as of a moment before
+// Guards against a request that crashes endpoints again after all processes were
+// killed and restarted.
+func TestStoredCrashesSurviveRestart(t *testing.T) {
+	tracker := crash.New()
+	crashed(tracker, key("x"), 1, 5)
+	assert.Equal(t, len(tracker.Unwritten(6)), 0)
+	crashed(tracker, key("x"), 2, 10)
+	assert.DeepEqual(t, tracker.Unwritten(30), []crash.Stored{{Key: key("x"), Age: 20, Endpoints: []string{"e0", "e1"}}})
+	tracker.MarkWritten(key("x"), 2)
+	assert.Equal(t, len(tracker.Unwritten(30)), 0)
+	_, lifted := tracker.SetStored(nil, 40) // read before the write
 	assert.Equal(t, len(lifted), 0)
-	crashed(b, key("x"), 3, 50)
-	assert.Equal(t, len(b.Unwritten(60)), 1)
+	crashed(tracker, key("x"), 3, 50)
+	assert.Equal(t, len(tracker.Unwritten(60)), 1)
 
 	other := crash.New()
 	began, _ := other.SetStored([]crash.Stored{{Key: key("x"), Age: 100, Endpoints: []string{"e0", "e1"}}}, 50)
@@ -184,19 +189,19 @@
 	assert.Assert(t, other.Empty())
 }
 
-func TestBooksAreBounded(t *testing.T) {
-	b := crash.New()
+func TestTrackerIsBounded(t *testing.T) {
+	tracker := crash.New()
 	for i := range 20_000 {
-		crashed(b, key(fmt.Sprint(i)), 1+i%2*2, clock.Millis(i))
+		crashed(tracker, key(fmt.Sprint(i)), 1+i%2*2, clock.Millis(i))
 	}
-	reports, dropped := b.TakeUnsent()
+	reports, dropped := tracker.TakeUnsent()
 	assert.Assert(t, len(reports) <= 1024 && dropped > 0)
-	assert.Assert(t, len(b.Unwritten(20_000)) <= 4096)
-	crashes, _ := b.RecordCrash(key(fmt.Sprint(19_998)), "e1", 20_000)
-	assert.Equal(t, crashes, 2, "the newest are kept")
-	crashed(b, key("x"), 50, 20_001)
-	assert.Assert(t, b.QuarantineLeft(key("x"), 20_002) > 0, "a full book still stops requests")
-	for _, entry := range b.Unwritten(20_002) {
+	assert.Assert(t, len(tracker.Unwritten(20_000)) <= 4096)
+	crashes, _ := tracker.RecordCrash(key(fmt.Sprint(19_998)), "e1", 20_000)
+	assert.Equal(t, crashes, 2, "the newest records are kept")
+	crashed(tracker, key("x"), 50, 20_001)
+	assert.Assert(t, tracker.QuarantineLeft(key("x"), 20_002) > 0, "a full tracker still quarantines requests")
+	for _, entry := range tracker.Unwritten(20_002) {
 		assert.Assert(t, len(entry.Endpoints) <= 4)
 	}
 }
--- a/internal/flow/crash/key.go
+++ b/internal/flow/crash/key.go
@@ -7,7 +7,8 @@
 	"fmt"
 )
 
-// Key names what a request asks for, whoever sends it how often.
+// Key identifies requests of one organisation with the same content. It is a hash
+// that does not depend on the sender or the request ID.
 type Key [16]byte
 
 // KeyOf returns the key of a request.
@@ -22,7 +23,7 @@
 	return Key(digest.Sum(nil)[:len(Key{})])
 }
 
-// KeyError says that a text is no key.
+// KeyError reports that a text is not a key.
 type KeyError struct {
 	Text string
 }
@@ -32,7 +33,8 @@
 	return fmt.Sprintf("%q is no key of a request: %d hexadecimal digits are needed", e.Text, 2*len(Key{}))
 }
 
-// ParseKey reads a key as String writes it.
+// ParseKey parses the text form of a key that String returns. Its error is a
+// *KeyError.
 func ParseKey(text string) (Key, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(Key{}) {
