--- a/internal/flow/budget/budget.go
+++ b/internal/flow/budget/budget.go
@@ -1,5 +1,6 @@
-// Package budget divides the one deadline of a request among its stages, from
-// what the stages usually take, and refuses work early that won't make it.
+// Package budget divides the time until a request's deadline among its stages,
+// based on their recent durations. It finds requests that can't meet their
+// deadline before engine time is spent on them.
 package budget
 
 import (
@@ -12,23 +13,25 @@
 )
 
 const (
-	// window is how long observations are gathered before they replace the
-	// ones of the window before. Two windows without any, and the stage counts
-	// as unknown: otherwise one slow spell would refuse all requests for good,
-	// since refused requests bring no new observations.
+	// window is how long observations are collected before they replace those of
+	// the previous window. Times expire two windows after they were computed:
+	// refused requests yield no observations, so that otherwise all requests would
+	// be refused for good after one slow period.
 	window = 2 * clock.Second
-	// enough is the number of observations below which a stage is unknown.
-	enough = 16
-	// refresh is how many observations pass between two readings of the quantiles.
-	refresh = 16
-
-	longest          = int64(10 * clock.Minute)
-	significantDigit = 2
-	typicalQuantile  = 50
-	slowQuantile     = 95
+	// minObservations is the number of observations that are needed to compute
+	// times.
+	minObservations = 16
+	// readInterval is the number of observations between two computations of the
+	// times.
+	readInterval = 16
+
+	maxTimeMs         = int64(10 * clock.Minute)
+	significantDigits = 2
+	typicalPercentile = 50
+	slowPercentile    = 95
 )
 
-// Times is what a stage usually takes, in milliseconds; zero when unknown.
+// Times holds recent durations of a stage. Both are zero if they are unknown.
 type Times struct {
 	// Typical is the median.
 	Typical clock.Millis
@@ -36,106 +39,113 @@
 	Slow clock.Millis
 }
 
-// Stage observes how long one stage of one pipeline takes. Reading is by an
-// atomic load on the path of a request.
+// Stage measures how long one stage of one pipeline takes. It is safe for
+// concurrent use, and Times takes no lock.
 type Stage struct {
-	times atomic.Pointer[reading]
+	times atomic.Pointer[timedTimes]
 
-	mu      sync.Mutex
-	current *hdrhistogram.Histogram
-	before  *hdrhistogram.Histogram
-	began   clock.Millis
-	unread  int
+	mu          sync.Mutex
+	current     *hdrhistogram.Histogram
+	previous    *hdrhistogram.Histogram
+	windowStart clock.Millis
+	sinceRead   int
 }
 
-type reading struct {
+// timedTimes holds times and the instant at which they expire.
+type timedTimes struct {
 	Times
-	until clock.Millis
+	validUntil clock.Millis
 }
 
-// NewStage returns a stage that nothing is known of.
+// NewStage returns a stage without observations.
 func NewStage() *Stage {
-	s := &Stage{current: newHistogram(), before: newHistogram()}
-	s.times.Store(&reading{})
+	s := &Stage{current: newHistogram(), previous: newHistogram()}
+	s.times.Store(&timedTimes{})
 	return s
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longest, significantDigit)
+	return hdrhistogram.New(1, maxTimeMs, significantDigits)
 }
 
-// Observe takes in how long a whole answer of the stage took, with its retries.
+// Observe records how long the stage took until its answer was complete, retries
+// included.
 func (s *Stage) Observe(now, took clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	// Values above the range are recorded as the longest.
-	_ = s.current.RecordValue(min(max(int64(took), 1), longest))
-	s.unread++
-	if s.unread >= refresh {
-		s.read(now)
+	s.rotate(now)
+	// Values outside the range are recorded as its limits.
+	_ = s.current.RecordValue(min(max(int64(took), 1), maxTimeMs))
+	s.sinceRead++
+	if s.sinceRead >= readInterval {
+		s.updateTimes(now)
 	}
 }
 
-// turn starts a new window when the current one is over.
-func (s *Stage) turn(now clock.Millis) {
-	if now-s.began < window {
+// rotate starts a new window when the current one is over.
+func (s *Stage) rotate(now clock.Millis) {
+	if now-s.windowStart < window {
 		return
 	}
-	if now-s.began >= 2*window {
+	if now-s.windowStart >= 2*window {
 		s.current.Reset()
 	}
-	s.before, s.current = s.current, s.before
+	s.previous, s.current = s.current, s.previous
 	s.current.Reset()
-	s.began = now
+	s.windowStart = now
 }
 
-func (s *Stage) read(now clock.Millis) {
-	s.unread = 0
-	source := s.before
+// updateTimes computes the times from the window with more observations, if there
+// are enough.
+func (s *Stage) updateTimes(now clock.Millis) {
+	s.sinceRead = 0
+	source := s.previous
 	if source.TotalCount() < s.current.TotalCount() {
 		source = s.current
 	}
-	if source.TotalCount() < enough {
+	if source.TotalCount() < minObservations {
 		return
 	}
-	s.times.Store(&reading{
+	s.times.Store(&timedTimes{
 		Times: Times{
-			Typical: clock.Millis(source.ValueAtQuantile(typicalQuantile)),
-			Slow:    clock.Millis(source.ValueAtQuantile(slowQuantile)),
+			Typical: clock.Millis(source.ValueAtQuantile(typicalPercentile)),
+			Slow:    clock.Millis(source.ValueAtQuantile(slowPercentile)),
 		},
-		until: now + 2*window,
+		validUntil: now + 2*window,
 	})
 }
 
-// Times returns what the stage usually takes, or zeros when nothing recent is
-// known.
+// Times returns the recent durations of the stage, or zeros if there are no recent
+// observations.
 func (s *Stage) Times(now clock.Millis) Times {
 	last := s.times.Load()
-	if now >= last.until {
+	if now >= last.validUntil {
 		return Times{}
 	}
 	return last.Times
 }
 
-// Plan is the decision on one stage that is about to begin.
+// Plan divides the time left among a stage that is about to start and the later
+// ones.
 type Plan struct {
-	// TooLate tells that the remaining stages typically take longer than
-	// what is left: engine time spent on it would be wasted.
+	// TooLate is true if the remaining stages typically take longer than the time
+	// left, so that engine time spent on them would be wasted.
 	TooLate bool
 	// Need is the typical time of this stage and all later ones.
 	Need clock.Millis
-	// Limit is the time this stage may take so that the later ones can still
-	// typically make it. The agent drops the call from its queue after that.
+	// Limit is how long this stage may take so that the later ones typically still
+	// meet the deadline. After that time the agent drops the call from its queue.
 	Limit clock.Millis
-	// AttemptTimeout is this stage's share of what is left, by the slow times of the
-	// remaining stages, less the typical time of another attempt: when it is
-	// over and the work may be repeated, another endpoint is worth a try. It
-	// equals Limit when there is no time for another.
+	// AttemptTimeout is the time after which another endpoint is tried, if the
+	// work may be repeated. It is this stage's share of the time left, in
+	// proportion to the slow times of the remaining stages, but at most Limit less
+	// the typical time of another attempt. It equals Limit if there is no time for
+	// another attempt.
 	AttemptTimeout clock.Millis
 }
 
-// NewPlan plans the first of the remaining stages with the time left to all.
+// NewPlan returns the plan for the first of the remaining stages. left is the time
+// until the deadline of the request.
 func NewPlan(now, left clock.Millis, remaining []*Stage) Plan {
 	if len(remaining) == 0 {
 		return Plan{Limit: left, AttemptTimeout: left}
@@ -151,9 +161,9 @@
 	plan := Plan{Need: need, TooLate: left <= 0 || need > left, Limit: left - later}
 	plan.AttemptTimeout = plan.Limit
 	if all := first.Slow + slow; first.Slow > 0 && all > 0 {
-		patience := min(max(first.Slow, left*first.Slow/all), plan.Limit-first.Typical)
-		if patience >= first.Slow {
-			plan.AttemptTimeout = patience
+		timeout := min(max(first.Slow, left*first.Slow/all), plan.Limit-first.Typical)
+		if timeout >= first.Slow {
+			plan.AttemptTimeout = timeout
 		}
 	}
 	return plan
--- a/internal/flow/budget/budget_test.go
+++ b/internal/flow/budget/budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/flow/budget"
 )
 
-func stage(took clock.Millis) *budget.Stage {
+func stageTaking(took clock.Millis) *budget.Stage {
 	s := budget.NewStage()
 	for range 32 {
 		s.Observe(1, took)
@@ -18,25 +18,25 @@
 	return s
 }
 
-func TestMake(t *testing.T) {
+func TestNewPlan(t *testing.T) {
 	tests := []struct {
 		name      string
 		left      clock.Millis
 		remaining []*budget.Stage
 		want      budget.Plan
 	}{
-		{"nothing known", 100, []*budget.Stage{budget.NewStage()}, budget.Plan{Limit: 100, AttemptTimeout: 100}},
+		{"no observations", 100, []*budget.Stage{budget.NewStage()}, budget.Plan{Limit: 100, AttemptTimeout: 100}},
 		{
-			"makes it", 100,
-			[]*budget.Stage{stage(20), stage(60)},
+			"enough time", 100,
+			[]*budget.Stage{stageTaking(20), stageTaking(60)},
 			budget.Plan{Need: 80, Limit: 40, AttemptTimeout: 20},
 		},
 		{
-			"won't make it", 70,
-			[]*budget.Stage{stage(20), stage(60)},
+			"too little time", 70,
+			[]*budget.Stage{stageTaking(20), stageTaking(60)},
 			budget.Plan{Need: 80, TooLate: true, Limit: 10, AttemptTimeout: 10},
 		},
-		{"over", 0, []*budget.Stage{budget.NewStage()}, budget.Plan{TooLate: true}},
+		{"no time left", 0, []*budget.Stage{budget.NewStage()}, budget.Plan{TooLate: true}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,11 +45,11 @@
 	}
 }
 
-// The system was slow for a while, and since then every request is refused as
-// hopeless, although it would be answered in time again: nobody measures,
-// because nothing runs. What is known has to grow old.
-func TestSlowSpellIsForgotten(t *testing.T) {
-	s := stage(5000)
+// Guards against a system that refuses every request after a slow period, although
+// it could answer in time again: refused requests do not run and yield no new
+// observations, so old ones have to expire.
+func TestOldObservationsExpire(t *testing.T) {
+	s := stageTaking(5000)
 	assert.Assert(t, budget.NewPlan(2, 3000, []*budget.Stage{s}).TooLate)
 	assert.Assert(t, !budget.NewPlan(5000, 3000, []*budget.Stage{s}).TooLate)
 }
@@ -59,7 +59,7 @@
 		left := clock.Millis(rapid.Int64Range(-5, 5000).Draw(t, "left"))
 		var remaining []*budget.Stage
 		for range rapid.IntRange(0, 6).Draw(t, "stages") {
-			remaining = append(remaining, stage(clock.Millis(rapid.Int64Range(0, 3000).Draw(t, "took"))))
+			remaining = append(remaining, stageTaking(clock.Millis(rapid.Int64Range(0, 3000).Draw(t, "took"))))
 		}
 		plan := budget.NewPlan(2, left, remaining)
 		assert.Assert(t, plan.Limit <= left)
@@ -68,8 +68,8 @@
 	})
 }
 
-func BenchmarkMake(b *testing.B) {
-	remaining := []*budget.Stage{stage(10), stage(20), stage(30), stage(400)}
+func BenchmarkNewPlan(b *testing.B) {
+	remaining := []*budget.Stage{stageTaking(10), stageTaking(20), stageTaking(30), stageTaking(400)}
 	b.ReportAllocs()
 	for b.Loop() {
 		budget.NewPlan(2, 3000, remaining)
--- a/internal/flow/hedge/hedge.go
+++ b/internal/flow/hedge/hedge.go
@@ -1,5 +1,5 @@
-// Package hedge decides when a slow idempotent stage gets a second attempt
-// beside the first ("The Tail at Scale").
+// Package hedge decides when a slow call to an idempotent stage gets a second
+// attempt that runs in parallel with the first ("The Tail at Scale").
 package hedge
 
 import (
@@ -8,44 +8,46 @@
 )
 
 const (
-	// share is what one call earns, in thousandths of a hedge: a twenty-fifth,
-	// so that the extra work stays under 5%.
-	share = 40
-	// most bounds the hedges that can be saved up.
-	most = 20
-	// least is the shortest wait: below it the timer costs more than it saves.
-	least clock.Millis = 5
+	// earnedThousandths is the part of a hedge that each call adds to the budget, in
+	// thousandths. It keeps the extra work under 5% of the calls.
+	earnedThousandths = 40
+	// maxSaved limits the hedges that can be saved up.
+	maxSaved = 20
+	// minDelay is the shortest delay before a hedge. Below it the timer costs more
+	// than the hedge saves.
+	minDelay clock.Millis = 5
 )
 
-// NewBudget returns the hedges that a pool may get; each call earns its share.
-func NewBudget() *quota.Quota { return quota.New(share, 0, most) }
+// NewBudget returns an empty budget for the hedges of a pool.
+func NewBudget() *quota.Quota { return quota.New(earnedThousandths, 0, maxSaved) }
 
 // Outcome is how a hedge ended.
 type Outcome string
 
 // Outcomes of hedges.
 const (
-	// Won: the second attempt answered first.
+	// Won means that the second attempt answered first.
 	Won Outcome = "won"
-	// Lost: the first attempt answered first.
+	// Lost means that the first attempt answered first.
 	Lost Outcome = "lost"
-	// NoBudget: a hedge was due but the budget was spent.
+	// NoBudget means that a hedge was due but the budget was empty.
 	NoBudget Outcome = "noBudget"
-	// NoEndpoint: a hedge was due but no other endpoint had room.
+	// NoEndpoint means that a hedge was due but no other endpoint had capacity.
 	NoEndpoint Outcome = "noEndpoint"
 )
 
-// Outcomes returns every outcome.
+// Outcomes returns all outcomes.
 func Outcomes() []Outcome { return []Outcome{Won, Lost, NoBudget, NoEndpoint} }
 
-// Delay returns how long the first attempt gets before a hedge is due, and
-// whether there is one at all: only for idempotent work, only if the slow time
-// of the stage is known, and only if a second attempt would typically still
-// make it.
+// Delay returns the delay from the first attempt to the hedge, and whether there
+// is to be a hedge. typical and slow are the median and the 95th percentile of the
+// stage's duration, and limit is how long the stage may take. There is no hedge
+// for work that is not idempotent, for a stage whose slow time is unknown (0), and
+// if a second attempt would typically exceed the limit.
 func Delay(idempotent bool, typical, slow, limit clock.Millis) (clock.Millis, bool) {
-	// Where answers hardly differ the slow time says little, and a hedge at
-	// it would only run next to answers that are about to come.
-	delay := max(slow, typical+typical/2, least)
+	// If the durations hardly differ, the slow time is close to the typical one, and
+	// a hedge after it would start just before most first attempts answer.
+	delay := max(slow, typical+typical/2, minDelay)
 	if !idempotent || slow == 0 || delay+typical > limit {
 		return 0, false
 	}
--- a/internal/flow/hedge/hedge_test.go
+++ b/internal/flow/hedge/hedge_test.go
@@ -10,9 +10,9 @@
 	"github.com/jujubescale/jujubescale/internal/flow/hedge"
 )
 
-// The whole pool gets slow, every call is hedged, and the pool has twice the
-// work. However many are due, hedges stay under 5% of the calls.
-func TestHedgesStayUnderShare(t *testing.T) {
+// Guards against hedges that double the work of a pool when all its endpoints get
+// slow and a hedge is due for every call.
+func TestHedgesStayUnderFivePercent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := hedge.NewBudget()
 		calls := rapid.IntRange(1, 3000).Draw(t, "calls")
@@ -36,10 +36,10 @@
 		due                  bool
 	}{
 		{"after the slow time", true, 20, 80, 500, 80, true},
-		{"never for work that may run once", false, 20, 80, 500, 0, false},
-		{"not while nothing is known", true, 0, 0, 500, 0, false},
-		{"not when the second would be late", true, 100, 450, 500, 0, false},
-		{"no shorter than a timer is worth", true, 1, 1, 500, 5, true},
+		{"no hedge if not idempotent", false, 20, 80, 500, 0, false},
+		{"no hedge if the times are unknown", true, 0, 0, 500, 0, false},
+		{"no hedge if it would exceed the limit", true, 100, 450, 500, 0, false},
+		{"at least the minimum delay", true, 1, 1, 500, 5, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
