--- a/internal/flow/extra/extra.go
+++ b/internal/flow/extra/extra.go
@@ -1,5 +1,6 @@
-// Package extra bounds how many requests are sent once more, for each pool. The
-// bound holds for all processes together; each decides alone by its part of it.
+// Package extra limits how many requests are sent to a pool a second time. The
+// limit holds for all processes together; each process applies its own part of it
+// without coordination.
 package extra
 
 import (
@@ -9,79 +10,84 @@
 	"github.com/jujubescale/jujubescale/internal/flow/quota"
 )
 
-// Shares of the budget for requests that are sent once more. The budget holds
-// for all processes together, and each sees only its own part of the requests.
 const (
-	// ownShare of what a process's own requests earn is spent by it: the rest is
-	// for requests that were counted here and sent again by another process.
-	ownShare = 0.5
-	// spareShare of the spare budget is divided among the processes, and
-	// refillShare of it comes back within each window. A window sees at most both
-	// of them; what a process spent that was restarted fits beside.
-	spareShare  = 0.5
+	// localShare is the part of the extras earned by a process's own requests that
+	// the process may use. The rest is for requests that were counted by one
+	// process and sent again by another.
+	localShare = 0.5
+	// burstShare is the part of Bounds.Base that a process can save up, divided by
+	// the number of processes, and refillShare the part that is refilled within
+	// each window. At most their sum is used within a window; the remaining quarter
+	// covers what a restarted process used before it stopped.
+	burstShare  = 0.5
 	refillShare = 0.25
-	// firstExtras is what a process starts with: the one before it may have
-	// spent the rest a moment ago.
-	firstExtras = 1
-	// perEvent is a whole extra in the quota's thousandths.
-	perEvent = 1000
+	// initialExtras is the number of extras that a process starts with. It is
+	// small, because the previous run of the process may have used its extras
+	// just before.
+	initialExtras = 1
+	// thousandths is the number of quota units for one extra.
+	thousandths = 1000
 )
 
-// Bounds are what all processes together may send once more.
+// Bounds limits the requests that all processes together may send a second time.
 type Bounds struct {
-	// Share of a pool's requests, and Spare requests besides within each Window.
+	// Share is the allowed share of a pool's requests. Base is the number of
+	// requests allowed in addition within each Window.
 	Share  float64
 	Base   float64
 	Window clock.Millis
 }
 
-// part is this process's part for one pool.
-type part struct {
-	quota    *quota.Quota
-	refilled clock.Millis
+// poolPart is this process's part of the bounds for one pool.
+type poolPart struct {
+	quota      *quota.Quota
+	refilledAt clock.Millis
 }
 
-// Budget is this process's part, pool by pool.
+// Budget is this process's part of the bounds, for each pool. It is safe for
+// concurrent use.
 type Budget struct {
 	clock     *clock.Clock
 	bounds    func() Bounds
 	processes func() int
 
 	mu     sync.Mutex
-	byPool map[string]*part
+	byPool map[string]*poolPart
 }
 
-// New returns a budget; processes is how many share the bounds.
+// New returns a budget. processes returns the number of processes that share the
+// bounds.
 func New(c *clock.Clock, bounds func() Bounds, processes func() int) *Budget {
-	return &Budget{clock: c, bounds: bounds, processes: processes, byPool: make(map[string]*part)}
+	return &Budget{clock: c, bounds: bounds, processes: processes, byPool: make(map[string]*poolPart)}
 }
 
-// of returns the quota of a pool with what time has added to it.
-func (b *Budget) of(pool string) *quota.Quota {
+// refilledQuota returns the quota of a pool after adding the extras that are due
+// since the last call.
+func (b *Budget) refilledQuota(pool string) *quota.Quota {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	bounds, now := b.bounds(), b.clock.Now()
-	spare := bounds.Base / float64(max(b.processes(), 1))
-	known := b.byPool[pool]
-	if known == nil {
-		most := max(int64(spareShare*spare), firstExtras)
-		known = &part{quota: quota.New(int64(ownShare*bounds.Share*perEvent), firstExtras, most), refilled: now}
-		b.byPool[pool] = known
+	base := bounds.Base / float64(max(b.processes(), 1))
+	p := b.byPool[pool]
+	if p == nil {
+		maximum := max(int64(burstShare*base), initialExtras)
+		p = &poolPart{quota: quota.New(int64(localShare*bounds.Share*thousandths), initialExtras, maximum), refilledAt: now}
+		b.byPool[pool] = p
 	}
 	if bounds.Window <= 0 {
-		return known.quota
+		return p.quota
 	}
-	added := int64(refillShare * spare * perEvent * float64(now-known.refilled) / float64(bounds.Window))
+	added := int64(refillShare * base * thousandths * float64(now-p.refilledAt) / float64(bounds.Window))
 	if added > 0 {
-		known.quota.Add(added)
-		known.refilled = now
+		p.quota.Add(added)
+		p.refilledAt = now
 	}
-	return known.quota
+	return p.quota
 }
 
-// Earn counts one ordinary request to a pool.
-func (b *Budget) Earn(pool string) { b.of(pool).Earn() }
+// Earn counts one ordinary request to a pool, which adds to the budget.
+func (b *Budget) Earn(pool string) { b.refilledQuota(pool).Earn() }
 
-// Take reports whether a request may be sent to a pool once more, and spends
-// that.
-func (b *Budget) Take(pool string) bool { return b.of(pool).Take() }
+// Take takes one extra from a pool's budget and reports whether one was available,
+// that is, whether a request may be sent again.
+func (b *Budget) Take(pool string) bool { return b.refilledQuota(pool).Take() }
--- a/internal/flow/extra/extra_test.go
+++ b/internal/flow/extra/extra_test.go
@@ -9,9 +9,8 @@
 	"github.com/jujubescale/jujubescale/internal/flow/extra"
 )
 
-// A whole zone goes dark and every process sends its requests once more. All of
-// them together must stay within the bound, or the endpoints that are left are
-// overrun by repeats.
+// Guards against an overload of the remaining endpoints when an availability zone
+// fails and every process sends its requests a second time.
 func TestAllProcessesTogetherStayWithinTheBounds(t *testing.T) {
 	const processes, requests = 26, 100
 	bounds := extra.Bounds{Share: 0.2, Base: 92}
@@ -29,17 +28,17 @@
 	assert.Assert(t, float64(spent) <= bounds.Share*processes*requests+bounds.Base, "%d", spent)
 }
 
-func TestPoolsDoNotShareABudget(t *testing.T) {
+func TestPoolsHaveSeparateBudgets(t *testing.T) {
 	b := extra.New(clock.New(), func() extra.Bounds { return extra.Bounds{Share: 0.2, Base: 2} }, func() int { return 1 })
 	assert.Assert(t, b.Take("a"))
 	assert.Assert(t, !b.Take("a"))
 	assert.Assert(t, b.Take("b"))
 }
 
-// A process owns a pool for a few seconds in which hardly any request comes, and
-// engines break calls off. What the bound allows besides the requests' share
-// comes back with time; a window never sees more than it.
-func TestSpareBudgetComesBackWithTime(t *testing.T) {
+// Guards against a process that can't repeat any call because it has owned a pool
+// for a few seconds only and has hardly counted any request. The base allowance is
+// refilled with time, and no window exceeds it.
+func TestBaseAllowanceIsRefilledWithinBounds(t *testing.T) {
 	fake := clock.NewFake(0)
 	bounds := extra.Bounds{Base: 40, Window: 10 * clock.Second}
 	b := extra.New(fake.Clock(), func() extra.Bounds { return bounds }, func() int { return 2 })
--- a/internal/flow/inflow/inflow_test.go
+++ b/internal/flow/inflow/inflow_test.go
@@ -11,18 +11,18 @@
 )
 
 func ExampleTracker() {
-	book := inflow.New()
+	tracker := inflow.New()
 	work := &inflow.Work{Pool: "rerank", Pieces: 10, Rank: 1500}
-	book.Add(work)
-	fmt.Println(book.PoolPieces("rerank", 1000)[reach.Class(500)])
-	book.Remove(work)
-	fmt.Println(book.PoolPieces("rerank", 1000))
+	tracker.Add(work)
+	fmt.Println(tracker.PoolPieces("rerank", 1000)[reach.Class(500)])
+	tracker.Remove(work)
+	fmt.Println(tracker.PoolPieces("rerank", 1000))
 	// Output:
 	// 10
 	// []
 }
 
-func TestLoadsOfProcessesAreAdded(t *testing.T) {
+func TestAddSumsLoadsOfProcesses(t *testing.T) {
 	loads := inflow.Add(nil, inflow.Load{Pool: "a", Pieces: []int{1, 2}})
 	loads = inflow.Add(loads, inflow.Load{Pool: "b", Pieces: []int{4}})
 	loads = inflow.Add(loads, inflow.Load{Pool: "a", Pieces: []int{3, 0, 5}})
@@ -31,9 +31,9 @@
 	assert.Assert(t, inflow.PoolPieces(loads, "c") == nil)
 }
 
-// A process of the next release counts in more classes than this one. Its work
-// must count all the same, or this one admits too much while hosts are updated.
-func TestUnknownClassesCountAmongTheLast(t *testing.T) {
+// Guards against a process that ignores the pending arrivals of a newer release,
+// which may have more classes, and admits too much while hosts are being updated.
+func TestUnknownClassesCountInTheLastClass(t *testing.T) {
 	more := make([]int, len(reach.RankEdges)+5)
 	more[len(more)-1] = 7
 	loads := inflow.Add(nil, inflow.Load{Pool: "a", Pieces: more})
--- a/internal/flow/quota/quota.go
+++ b/internal/flow/quota/quota.go
@@ -1,45 +1,48 @@
-// Package quota bounds extra work (retries, hedges) as a share of ordinary
-// work: each ordinary event earns a fraction of one extra.
+// Package quota limits extra work, such as retries and hedges, to a share of the
+// ordinary work: each ordinary event adds a fraction of one extra to a counter.
 package quota
 
 import "sync/atomic"
 
-// unit is one extra in the counter's units.
-const unit = 1000
+// unitsPerExtra is the number of counter units for one extra.
+const unitsPerExtra = 1000
 
-// Quota counts extras that may still be spent. It takes no lock.
+// Quota counts the extras that are available. It is safe for concurrent use and
+// takes no lock.
 type Quota struct {
-	have  atomic.Int64
-	share int64
-	most  int64
+	available atomic.Int64
+	share     int64
+	maximum   int64
 }
 
-// New returns a quota that earns share thousandths of an extra with each
-// event, starts with some extras and saves up no more than most.
-func New(share, start, most int64) *Quota {
-	q := &Quota{share: share, most: most * unit}
-	q.have.Store(start * unit)
+// New returns a quota that starts with the given number of extras and adds share
+// thousandths of an extra for each event. Nothing is added while the maximum is
+// available.
+func New(share, start, maximum int64) *Quota {
+	q := &Quota{share: share, maximum: maximum * unitsPerExtra}
+	q.available.Store(start * unitsPerExtra)
 	return q
 }
 
 // Earn adds the share of one event.
 func (q *Quota) Earn() { q.Add(q.share) }
 
-// Add adds thousandths of an extra that no event has earned.
+// Add adds thousandths of an extra without an event. The sum may exceed the maximum
+// if less than the maximum was available before.
 func (q *Quota) Add(thousandths int64) {
-	if q.have.Load() < q.most {
-		q.have.Add(thousandths)
+	if q.available.Load() < q.maximum {
+		q.available.Add(thousandths)
 	}
 }
 
-// Take spends one extra and reports whether there was one.
+// Take takes one extra and reports whether one was available.
 func (q *Quota) Take() bool {
 	for {
-		have := q.have.Load()
-		if have < unit {
+		available := q.available.Load()
+		if available < unitsPerExtra {
 			return false
 		}
-		if q.have.CompareAndSwap(have, have-unit) {
+		if q.available.CompareAndSwap(available, available-unitsPerExtra) {
 			return true
 		}
 	}
