--- a/internal/flow/batch/batch.go
+++ b/internal/flow/batch/batch.go
@@ -311,26 +311,26 @@
 // addGroup adds pieces of one group to the call and returns how many. If all
 // pieces of the group fit within the limit of the call, they are added even
 // beyond the equal share, because the request needs all of them.
-func (f *batchBuilder) addGroup(g *Group) int {
-	if f.blocked > 0 && g.ResultBytes*smallRatio > f.blocked {
+func (b *batchBuilder) addGroup(g *Group) int {
+	if b.blocked > 0 && g.ResultBytes*smallRatio > b.blocked {
 		return 0
 	}
-	limit := f.share
-	if allPieces := len(f.items) + g.Queued(); allPieces <= f.limit {
+	limit := b.share
+	if allPieces := len(b.items) + g.Queued(); allPieces <= b.limit {
 		limit = allPieces
 	}
 	taken := 0
-	for g.Queued() > 0 && len(f.items) < limit {
-		if g.ResultBytes > f.freeBytes {
-			f.blocked = max(f.blocked, g.ResultBytes)
+	for g.Queued() > 0 && len(b.items) < limit {
+		if g.ResultBytes > b.freeBytes {
+			b.blocked = max(b.blocked, g.ResultBytes)
 			break
 		}
-		piece, ok := g.nextPiece(f.allowRetry)
+		piece, ok := g.nextPiece(b.allowRetry)
 		if !ok {
 			break
 		}
-		f.freeBytes -= g.ResultBytes
-		f.items = append(f.items, Item{Group: g, Piece: piece})
+		b.freeBytes -= g.ResultBytes
+		b.items = append(b.items, Item{Group: g, Piece: piece})
 		taken++
 	}
 	return taken
