--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -162,7 +162,7 @@
 	run := p.req.run
 	if event.inputsRead {
 		run.MarkFetched(event.stage)
-		p.g.sendUnused(p.req, run.Evictable(), wire.Unused{Spare: true})
+		p.g.sendUnused(p.req, run.Reclaimable(), wire.Unused{Spare: true})
 		return
 	}
 	p.running--
