--- a/internal/route/view/load_test.go
+++ b/internal/route/view/load_test.go
@@ -8,23 +8,23 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// An engine reads a prompt of 24,000 tokens. Until its first event all of it
-// would count as waiting, though most has been read, and other requests would be
-// sent elsewhere and have their beginnings read again there.
-func TestPromptThatIsBeingReadCountsLessAndLess(t *testing.T) {
+// Guards against counting a long prompt in full until its first event, although the
+// engine has read most of it. Other requests would be sent elsewhere, and their shared
+// prefixes read again there.
+func TestPendingPrefillShrinksWhileAPromptIsRead(t *testing.T) {
 	var l view.Load
 	l.AddPrompt(24_000, 60, 1000)
 	assert.Equal(t, l.PendingPrefill(60, 1000), int64(24_000))
 	assert.Equal(t, l.PendingPrefill(60, 1200), int64(12_000))
 	l.AddPrompt(6000, 60, 1200)
 	assert.Equal(t, l.PendingPrefill(60, 1200), int64(18_000))
-	assert.Equal(t, l.PendingPrefill(60, 1600), int64(0), "it is late, but soon read")
+	assert.Equal(t, l.PendingPrefill(60, 1600), int64(0), "an overdue prompt counts as read")
 	l.Prefill.Add(-24_000)
-	assert.Equal(t, l.PendingPrefill(60, 1200), int64(6000), "its first event is there")
+	assert.Equal(t, l.PendingPrefill(60, 1200), int64(6000), "the first event of the first prompt has arrived")
 }
 
-// Peers' prompts are read first, where they were sent before.
-func TestPromptWaitsBehindThoseOfPeers(t *testing.T) {
+// Prompts that peers sent earlier are read first.
+func TestPendingPrefillStartsAfterPromptsOfPeers(t *testing.T) {
 	var l view.Load
 	l.PeerPrefill.Store(6000)
 	l.AddPrompt(6000, 60, 1000)
--- a/internal/route/view/shard.go
+++ b/internal/route/view/shard.go
@@ -2,15 +2,15 @@
 
 import "github.com/jujubescale/jujubescale/internal/route/shard"
 
-// Shard is a part of a pool with an owner of its own.
+// Shard is a part of a pool with its own owner.
 type Shard struct {
 	Name string
-	// Zone of its endpoints, "" if they are all of the pool.
+	// Zone of the shard's endpoints, "" if the shard is the whole pool.
 	Zone      string
 	Endpoints []*Endpoint
 }
 
-// Shards returns the shards of a pool, none if it has no endpoints.
+// Shards returns the shards of a pool. A pool without endpoints has none.
 func (s *Snapshot) Shards(pool string) []Shard {
 	if s == nil {
 		return nil
@@ -18,7 +18,7 @@
 	return s.shards[pool]
 }
 
-// Shard returns a shard by its name, nil if it has no endpoints.
+// Shard returns a shard by its name, or nil if it has no endpoints.
 func (s *Snapshot) Shard(name string) *Shard {
 	if s == nil {
 		return nil
@@ -26,7 +26,7 @@
 	return s.byShard[name]
 }
 
-// MaxShards returns the number of shards of the pool that has most.
+// MaxShards returns the largest number of shards of any pool.
 func (s *Snapshot) MaxShards() int {
 	if s == nil {
 		return 0
@@ -38,20 +38,20 @@
 	return most
 }
 
-// split divides the pools into shards.
-func (s *Snapshot) split() {
+// splitPools divides the pools into shards.
+func (s *Snapshot) splitPools() {
 	for pool, endpoints := range s.pools {
 		engines := make([]shard.Engine, 0, len(endpoints))
 		for _, e := range endpoints {
 			engines = append(engines, shard.Engine{ID: e.ID, Zone: e.Zone})
 		}
-		for _, part := range shard.Split(pool, engines) {
-			own := Shard{Name: part.Name, Zone: part.Zone}
-			for _, i := range part.Engines {
-				own.Endpoints = append(own.Endpoints, endpoints[i])
+		for _, split := range shard.Split(pool, engines) {
+			part := Shard{Name: split.Name, Zone: split.Zone}
+			for _, i := range split.Engines {
+				part.Endpoints = append(part.Endpoints, endpoints[i])
 			}
-			s.shards[pool] = append(s.shards[pool], own)
-			s.byShard[own.Name] = &own
+			s.shards[pool] = append(s.shards[pool], part)
+			s.byShard[part.Name] = &part
 		}
 	}
 }
--- a/internal/route/view/version.go
+++ b/internal/route/view/version.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Rollout is what an operator ordered for a pool, as far as it decides which
-// endpoints get work.
+// Rollout is the part of an operator's rollout that decides which endpoints of a pool
+// get work.
 type Rollout struct {
 	Pool string
-	// Version that the pool goes to, and Previous the one in force before, "" where
-	// that isn't recorded.
+	// Version is the version that the pool moves to, and Previous the version in force
+	// before, "" if it was not recorded.
 	Version  string
 	Previous string
-	// Completed has only Version get work. Otherwise the previous version does,
-	// and, if Canary is set, a part of the work goes to Version.
+	// Completed sends all work to Version. Before that, work goes to the previous
+	// version and, if Canary is set, a share of it to Version.
 	Completed bool
 	Canary    bool
 }
 
-// poolVersions is which versions of a pool's endpoints get work.
+// poolVersions holds the versions of one pool that get work.
 type poolVersions struct {
 	inForce, candidate string
-	// candidates are the endpoints of the candidate version, in the order of
-	// their ids.
+	// candidates are the endpoints of the candidate version, in the order of their
+	// IDs.
 	candidates []*Endpoint
 }
 
-// Version returns the version of a pool that is in force, "" where it isn't known.
+// Version returns the version of a pool that is in force, "" if it is unknown.
 func (s *Snapshot) Version(pool string) string {
 	if s == nil {
 		return ""
@@ -35,8 +35,8 @@
 	return s.versions[pool].inForce
 }
 
-// Candidates returns the endpoints of the version that a pool's rollout goes to,
-// in the order of their ids; none if the version gets no work.
+// Candidates returns the endpoints of the version that a pool's rollout moves to, in
+// the order of their IDs. It returns none if that version gets no work.
 func (s *Snapshot) Candidates(pool string) []*Endpoint {
 	if s == nil {
 		return nil
@@ -44,71 +44,73 @@
 	return s.versions[pool].candidates
 }
 
-// SetRollouts takes all rollouts. Publish puts them in force.
-func (b *Registry) SetRollouts(rollouts []Rollout) {
-	b.rollouts = make(map[string]Rollout, len(rollouts))
+// SetRollouts replaces all rollouts. Publish applies them.
+func (r *Registry) SetRollouts(rollouts []Rollout) {
+	r.rollouts = make(map[string]Rollout, len(rollouts))
 	for _, rollout := range rollouts {
-		b.rollouts[rollout.Pool] = rollout
+		r.rollouts[rollout.Pool] = rollout
 	}
 }
 
-// selectVersions takes the endpoints out of a snapshot's pools whose version gets
-// no work, and sets those of candidates apart.
-func (b *Registry) selectVersions(s *Snapshot) {
+// selectVersions removes endpoints whose version gets no work from the pools of a
+// snapshot, and moves those of candidate versions to a separate list.
+func (r *Registry) selectVersions(s *Snapshot) {
 	s.versions = make(map[string]poolVersions)
-	for _, pool := range b.poolNames() {
-		rollout, ordered := b.rollouts[pool]
-		own := poolVersions{inForce: b.versionInForce(pool, rollout, ordered)}
-		if ordered && rollout.Canary && !rollout.Completed && rollout.Version != own.inForce {
-			own.candidate = rollout.Version
+	for _, pool := range r.poolNames() {
+		rollout, ordered := r.rollouts[pool]
+		versions := poolVersions{inForce: r.versionInForce(pool, rollout, ordered)}
+		if ordered && rollout.Canary && !rollout.Completed && rollout.Version != versions.inForce {
+			versions.candidate = rollout.Version
 		}
 		var usable []*Endpoint
 		for _, e := range s.pools[pool] {
 			switch {
-			case e.Version == own.inForce:
+			case e.Version == versions.inForce:
 				usable = append(usable, e)
-			case own.candidate != "" && e.Version == own.candidate:
-				own.candidates = append(own.candidates, e)
+			case versions.candidate != "" && e.Version == versions.candidate:
+				versions.candidates = append(versions.candidates, e)
 			}
 		}
-		s.pools[pool], s.versions[pool] = usable, own
+		s.pools[pool], s.versions[pool] = usable, versions
 	}
 }
 
 // poolNames returns the pools that have endpoints.
-func (b *Registry) poolNames() []string {
+func (r *Registry) poolNames() []string {
 	var names []string
-	for _, e := range b.byID {
+	for _, e := range r.byID {
 		names = append(names, e.Pool)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// versionInForce returns the version that gets work, and remembers it: without
-// an order, the version that was in force goes on, whatever joins.
-func (b *Registry) versionInForce(pool string, rollout Rollout, ordered bool) string {
-	known, found := b.inForce[pool]
+// versionInForce returns the version of a pool that gets work, and remembers it:
+// without a rollout, the version that was last in force stays in force, whichever
+// endpoints join.
+func (r *Registry) versionInForce(pool string, rollout Rollout, ordered bool) string {
+	known, found := r.inForce[pool]
 	switch {
 	case ordered && rollout.Completed:
 		known = rollout.Version
 	case ordered && rollout.Previous != "":
 		known = rollout.Previous
 	case ordered && !found:
-		known = b.oldestVersion(pool, rollout.Version)
+		known = r.oldestVersion(pool, rollout.Version)
 	case !found:
-		known = b.oldestVersion(pool, "")
+		known = r.oldestVersion(pool, "")
 	}
-	b.inForce[pool] = known
+	r.inForce[pool] = known
 	return known
 }
 
-// oldestVersion returns the version of the endpoint of a pool that started first,
-// among those of another version than one; that one if there is no other.
-func (b *Registry) oldestVersion(pool, except string) string {
+// oldestVersion returns the version of the pool's endpoint that started first,
+// ignoring those of the excluded version. It returns the excluded version if there is
+// no other.
+func (r *Registry) oldestVersion(pool, excluded string) string {
 	var oldest *Endpoint
-	for _, e := range b.byID {
-		if e.Pool != pool || (except != "" && e.Version == except) {
+	for _, e := range r.byID {
+		if e.Pool != pool || (excluded != "" && e.Version == excluded) {
 			continue
 		}
 		if oldest == nil || cmp.Or(cmp.Compare(e.StartedAt, oldest.StartedAt), cmp.Compare(e.ID, oldest.ID)) < 0 {
@@ -116,7 +118,7 @@
 		}
 	}
 	if oldest == nil {
-		return except
+		return excluded
 	}
 	return oldest.Version
 }
--- a/internal/route/view/view.go
+++ b/internal/route/view/view.go
@@ -1,6 +1,6 @@
-// Package view holds what this process knows of the endpoints: who they are,
-// which of them leave, and which availability zones operators have emptied. A
-// single writer keeps the Book; requests read immutable snapshots through one
+// Package view tracks the endpoints that this process knows: their identity, which of
+// them are leaving, and which availability zones operators have evacuated. A single
+// goroutine writes to the Registry; requests read immutable snapshots through an
 // atomic pointer.
 package view
 
@@ -12,28 +12,29 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Entry is what an endpoint says of itself in the platform's store.
+// Entry is the record that an endpoint keeps in the platform's store.
 type Entry struct {
-	// ID of the endpoint. An endpoint may start again under the id that it had.
+	// ID identifies the endpoint. A restarted endpoint may keep its ID.
 	ID string
-	// StartedAt tells two starts under one id apart, in milliseconds of the wall clock.
+	// StartedAt distinguishes two starts under the same ID. It is in milliseconds of
+	// the wall clock.
 	StartedAt int64
 	Address   string
 	Pool      string
 	Zone      string
-	// Version of its software, "" where it isn't told.
+	// Version of the endpoint's software, "" if the entry has none.
 	Version string
 	Slots   int
-	// Leaving endpoints get no new work.
+	// Leaving is set while the endpoint drains. It gets no new work.
 	Leaving bool
-	// Cold is how long the endpoint goes on being cold.
+	// Cold is the remaining time for which the endpoint is cold, 0 if it is warm.
 	Cold clock.Millis
-	// Count grows with each entry that the endpoint writes.
+	// Count increases with each entry that the endpoint writes.
 	Count int64
 }
 
-// Endpoint is one start of one endpoint. Its identity never changes; what
-// changes is atomic.
+// Endpoint is one start of one endpoint. Its identity is immutable; its state is
+// atomic.
 type Endpoint struct {
 	ID        string
 	StartedAt int64
@@ -42,40 +43,42 @@
 	Zone      string
 	Version   string
 	Slots     int
-	// Joined is when this process learned of it.
+	// Joined is when this process first saw the endpoint.
 	Joined clock.Millis
 
-	leaving   atomic.Bool
-	gone      atomic.Bool
-	restarted atomic.Bool
-	coldUntil atomic.Int64
-	barred    atomic.Int64
-	heard     atomic.Int64
-	count     int64
+	leaving      atomic.Bool
+	gone         atomic.Bool
+	restarted    atomic.Bool
+	coldUntil    atomic.Int64
+	blockedUntil atomic.Int64
+	updatedAt    atomic.Int64
+	lastCount    int64
 
-	// Load is what runs there, as far as this process knows.
+	// Load is the work at the endpoint, as far as this process knows.
 	Load Load
 }
 
-// Load is the work at an endpoint: what this process sent, and what its peers
-// say that they sent.
+// Load is the work at an endpoint: what this process sent, and what its peers report
+// to have sent.
 type Load struct {
-	// Running requests, prompt tokens that wait to be read, and tokens of memory.
-	Running atomic.Int64
-	Prefill atomic.Int64
-	Memory  atomic.Int64
-	readBy  atomic.Int64
-	// Planned is the prompt tokens of requests that are still in their stages
-	// and will probably be sent there.
+	// Running counts requests, Prefill the prompt tokens of requests without a first
+	// event, and Memory the tokens held in the engine's memory.
+	Running       atomic.Int64
+	Prefill       atomic.Int64
+	Memory        atomic.Int64
+	prefillDoneAt atomic.Int64
+	// Planned counts the prompt tokens of requests that are still in their stages and
+	// will probably be sent to this endpoint.
 	Planned atomic.Int64
-	// PeerRunning, PeerPrefill, PeerMemory and PeerPlanned are those of all peers.
+	// PeerRunning, PeerPrefill, PeerMemory and PeerPlanned are the sums over all
+	// peers.
 	PeerRunning atomic.Int64
 	PeerPrefill atomic.Int64
 	PeerMemory  atomic.Int64
 	PeerPlanned atomic.Int64
 }
 
-// Work is what peers have running at an endpoint.
+// Work is the work of peers at one endpoint; see Load.
 type Work struct {
 	Running, Prefill, Memory, Planned int64
 }
@@ -88,33 +91,33 @@
 	l.PeerPlanned.Store(work.Planned)
 }
 
-// AddPrompt counts a prompt that this process sends, at an engine that reads so many
-// tokens in a millisecond.
+// AddPrompt counts a prompt that this process sends to an engine that reads
+// tokensPerMs tokens per millisecond.
 func (l *Load) AddPrompt(tokens int64, tokensPerMs float64, now clock.Millis) {
 	l.Prefill.Add(tokens)
-	ahead := int64(now) + int64(float64(l.PeerPrefill.Load())/tokensPerMs)
-	takes := int64(float64(tokens) / tokensPerMs)
+	startAt := int64(now) + int64(float64(l.PeerPrefill.Load())/tokensPerMs)
+	duration := int64(float64(tokens) / tokensPerMs)
 	for {
-		before := l.readBy.Load()
-		if l.readBy.CompareAndSwap(before, max(before, ahead)+takes) {
+		doneAt := l.prefillDoneAt.Load()
+		if l.prefillDoneAt.CompareAndSwap(doneAt, max(doneAt, startAt)+duration) {
 			return
 		}
 	}
 }
 
-// PendingPrefill returns the prompt tokens sent by this process that are probably still
-// to be read. A prompt counts as a whole until its first event; of a long one,
-// most has been read by then.
+// PendingPrefill estimates how many prompt tokens sent by this process are still to be
+// read. Prefill counts each prompt in full until its first event, but most of a long
+// prompt has been read by then.
 func (l *Load) PendingPrefill(tokensPerMs float64, now clock.Millis) int64 {
-	left := float64(max(l.readBy.Load()-int64(now), 0)) * tokensPerMs
-	return min(l.Prefill.Load(), int64(left))
+	remaining := float64(max(l.prefillDoneAt.Load()-int64(now), 0)) * tokensPerMs
+	return min(l.Prefill.Load(), int64(remaining))
 }
 
-// Cold reports whether the endpoint is believed to be cold.
+// Cold reports whether the endpoint is expected to be cold.
 func (e *Endpoint) Cold(now clock.Millis) bool { return e.coldUntil.Load() > int64(now) }
 
-// SetCold records that the endpoint goes on being cold until an instant; an
-// earlier one than known changes nothing.
+// SetCold marks the endpoint as cold until an instant. It never shortens the time that
+// is already set.
 func (e *Endpoint) SetCold(until clock.Millis) {
 	for {
 		known := e.coldUntil.Load()
@@ -124,46 +127,48 @@
 	}
 }
 
-// Block keeps requests away until an instant, because the endpoint failed.
-func (e *Endpoint) Block(until clock.Millis) { e.barred.Store(int64(until)) }
+// Block keeps requests away from a failed endpoint until an instant.
+func (e *Endpoint) Block(until clock.Millis) { e.blockedUntil.Store(int64(until)) }
 
-// Blocked reports whether requests should stay away for now.
-func (e *Endpoint) Blocked(now clock.Millis) bool { return e.barred.Load() > int64(now) }
+// Blocked reports whether requests should avoid the endpoint for now.
+func (e *Endpoint) Blocked(now clock.Millis) bool { return e.blockedUntil.Load() > int64(now) }
 
-// UpdatedAt returns when the endpoint's entry changed last.
-func (e *Endpoint) UpdatedAt() clock.Millis { return clock.Millis(e.heard.Load()) }
+// UpdatedAt returns when the endpoint's entry last changed.
+func (e *Endpoint) UpdatedAt() clock.Millis { return clock.Millis(e.updatedAt.Load()) }
 
-// Unavailable reports whether the endpoint leaves or is gone.
+// Unavailable reports whether the endpoint is leaving or gone.
 func (e *Endpoint) Unavailable() bool { return e.leaving.Load() || e.gone.Load() }
 
-// Leaving reports whether the endpoint leaves as planned.
+// Leaving reports whether the endpoint is draining for a planned stop.
 func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
-// Restarted reports whether another start of the endpoint was seen, or of another one
-// at its address.
+// Restarted reports whether the endpoint has started again, or another endpoint has
+// started at its address.
 func (e *Endpoint) Restarted() bool { return e.restarted.Load() }
 
-// Gone reports whether the endpoint has ended as far as is known.
+// Gone reports whether the endpoint has ended, as far as this process knows.
 func (e *Endpoint) Gone() bool { return e.gone.Load() }
 
-// Snapshot is the endpoints at one moment.
+// Snapshot is the set of endpoints at one moment. It is immutable; a nil Snapshot is
+// empty.
 type Snapshot struct {
-	pools    map[string][]*Endpoint
-	versions map[string]poolVersions
-	shards   map[string][]Shard
-	byShard  map[string]*Shard
-	emptied  map[string]bool
-	byID     map[string]*Endpoint
-	entries  int
-	complete bool
+	pools     map[string][]*Endpoint
+	versions  map[string]poolVersions
+	shards    map[string][]Shard
+	byShard   map[string]*Shard
+	evacuated map[string]bool
+	byID      map[string]*Endpoint
+	count     int
+	complete  bool
 }
 
-// Complete reports whether the list of endpoints was read at least once.
+// Complete reports whether the snapshot follows from a full list of endpoints and,
+// with WithVersions, from the list of rollouts.
 func (s *Snapshot) Complete() bool { return s != nil && s.complete }
 
-// Pool returns the endpoints of a pool that may get new work, in the order of
-// their ids; during a rollout those of the version in force. An endpoint may turn
-// Out after the snapshot was made.
+// Pool returns the endpoints of a pool that may get new work, in the order of their
+// IDs; during a rollout, those of the version in force. An endpoint may become
+// unavailable after the snapshot was made.
 func (s *Snapshot) Pool(name string) []*Endpoint {
 	if s == nil {
 		return nil
@@ -171,7 +176,7 @@
 	return s.pools[name]
 }
 
-// Find returns an endpoint by its id, or nil.
+// Find returns an endpoint by its ID, or nil.
 func (s *Snapshot) Find(id string) *Endpoint {
 	if s == nil {
 		return nil
@@ -179,7 +184,7 @@
 	return s.byID[id]
 }
 
-// Each calls visit for every endpoint that is known.
+// Each calls visit for every known endpoint.
 func (s *Snapshot) Each(visit func(*Endpoint)) {
 	if s == nil {
 		return
@@ -189,26 +194,26 @@
 	}
 }
 
-// Evacuated reports whether operators have emptied an availability zone.
-func (s *Snapshot) Evacuated(zone string) bool { return s != nil && s.emptied[zone] }
+// Evacuated reports whether operators have evacuated an availability zone.
+func (s *Snapshot) Evacuated(zone string) bool { return s != nil && s.evacuated[zone] }
 
-// Len returns the number of endpoints that are known.
+// Len returns the number of known endpoints.
 func (s *Snapshot) Len() int {
 	if s == nil {
 		return 0
 	}
-	return s.entries
+	return s.count
 }
 
-// Change is what a Book learned, for the log.
+// Change is one change of an endpoint, for the log.
 type Change struct {
 	Endpoint *Endpoint
-	// Before is the start of the endpoint that this one replaces, nil for none.
+	// Before is the earlier start that Endpoint replaces, nil if there is none.
 	Before *Endpoint
 	Kind   string
 }
 
-// What changed of an endpoint.
+// Kinds of changes.
 const (
 	Joined    = "joined"
 	Restarted = "restarted"
@@ -218,67 +223,70 @@
 	Cold      = "cold"
 )
 
-// Registry gathers entries into snapshots. One goroutine writes; Now may be called
-// by any.
+// Registry collects entries and publishes snapshots of them. A single goroutine may
+// write; Snapshot is safe to call from any goroutine.
 type Registry struct {
-	byID    map[string]*Endpoint
-	missing map[string]clock.Millis
-	emptied map[string]bool
-	// byVersion says that endpoints get work by their version. rollouts are those
-	// that operators ordered, and inForce the versions last in force, by pool.
+	byID map[string]*Endpoint
+	// missingUntil holds the endpoints whose entries were removed, and until when an
+	// entry may return before the endpoint counts as gone.
+	missingUntil map[string]clock.Millis
+	evacuated    map[string]bool
+	// byVersion restricts work to versions in force and candidates. rollouts holds the
+	// rollouts that operators ordered and inForce the versions last in force, both by
+	// pool.
 	byVersion bool
 	rollouts  map[string]Rollout
 	inForce   map[string]string
-	listed    bool
-	now       atomic.Pointer[Snapshot]
+	synced    bool
+	snapshot  atomic.Pointer[Snapshot]
 }
 
-// Option changes a Book while it is built.
+// Option configures a Registry.
 type Option func(*Registry)
 
-// WithVersions has only endpoints of a version that is in force, or of one that a
-// rollout goes to, get work.
-func WithVersions() Option { return func(b *Registry) { b.byVersion = true } }
+// WithVersions restricts work to endpoints of the version in force and of the
+// candidate version of a running rollout.
+func WithVersions() Option { return func(r *Registry) { r.byVersion = true } }
 
-// New returns an empty book.
+// New returns an empty registry.
 func New(opts ...Option) *Registry {
-	b := &Registry{
-		byID: make(map[string]*Endpoint), missing: make(map[string]clock.Millis), emptied: make(map[string]bool),
+	r := &Registry{
+		byID: make(map[string]*Endpoint), missingUntil: make(map[string]clock.Millis), evacuated: make(map[string]bool),
 		inForce: make(map[string]string),
 	}
 	for _, opt := range opts {
-		opt(b)
+		opt(r)
 	}
-	return b
+	return r
 }
 
-// Snapshot returns the newest snapshot, nil before the first.
-func (b *Registry) Snapshot() *Snapshot { return b.now.Load() }
+// Snapshot returns the latest snapshot, nil before the first Publish.
+func (r *Registry) Snapshot() *Snapshot { return r.snapshot.Load() }
 
-// Put takes an entry that was written.
-func (b *Registry) Put(entry Entry, now clock.Millis) []Change {
-	delete(b.missing, entry.ID)
-	known := b.byID[entry.ID]
+// Put adds or updates the endpoint of an entry.
+func (r *Registry) Put(entry Entry, now clock.Millis) []Change {
+	delete(r.missingUntil, entry.ID)
+	known := r.byID[entry.ID]
 	if known == nil || known.StartedAt != entry.StartedAt || known.Address != entry.Address || known.Pool != entry.Pool || known.Version != entry.Version {
-		return b.begin(known, entry, now)
+		return r.start(known, entry, now)
 	}
 	var changes []Change
-	if entry.Count != known.count {
-		known.count = entry.Count
-		known.heard.Store(int64(now))
+	if entry.Count != known.lastCount {
+		known.lastCount = entry.Count
+		known.updatedAt.Store(int64(now))
 	}
 	if entry.Leaving != known.leaving.Load() {
 		known.leaving.Store(entry.Leaving)
-		what := Returned
+		kind := Returned
 		if entry.Leaving {
-			what = Leaving
+			kind = Leaving
 		}
-		changes = append(changes, Change{Endpoint: known, Kind: what})
+		changes = append(changes, Change{Endpoint: known, Kind: kind})
 	}
-	return b.chill(known, entry.Cold, now, changes)
+	return r.markCold(known, entry.Cold, now, changes)
 }
 
-func (b *Registry) chill(e *Endpoint, cold, now clock.Millis, changes []Change) []Change {
+func (r *Registry) markCold(e *Endpoint, cold, now clock.Millis, changes []Change) []Change {
 	if cold > 0 {
 		if !e.Cold(now) {
 			changes = append(changes, Change{Endpoint: e, Kind: Cold})
@@ -288,117 +296,121 @@
 	return changes
 }
 
-// begin replaces what was known under an id: another start knows nothing of
-// the one before, and work meant for that one must not reach it.
-func (b *Registry) begin(known *Endpoint, entry Entry, now clock.Millis) []Change {
-	what := Joined
+// start replaces the endpoint that was known under the same ID with a new one. The new
+// start has none of the old one's state, and work meant for the old start must not
+// reach it.
+func (r *Registry) start(known *Endpoint, entry Entry, now clock.Millis) []Change {
+	kind := Joined
 	if known != nil {
 		known.restarted.Store(known.StartedAt != entry.StartedAt)
 		known.gone.Store(true)
-		what = Restarted
+		kind = Restarted
 	}
 	e := &Endpoint{
 		ID: entry.ID, StartedAt: entry.StartedAt, Address: entry.Address, Pool: entry.Pool, Zone: entry.Zone, Version: entry.Version,
-		Slots: entry.Slots, Joined: now, count: entry.Count,
+		Slots: entry.Slots, Joined: now, lastCount: entry.Count,
 	}
 	e.leaving.Store(entry.Leaving)
-	e.heard.Store(int64(now))
-	b.byID[entry.ID] = e
-	changes := append(b.supersede(e), Change{Endpoint: e, Before: known, Kind: what})
-	return b.chill(e, entry.Cold, now, changes)
+	e.updatedAt.Store(int64(now))
+	r.byID[entry.ID] = e
+	changes := append(r.dropOlderAt(e), Change{Endpoint: e, Before: known, Kind: kind})
+	return r.markCold(e, entry.Cold, now, changes)
 }
 
-// supersede drops the endpoints that had the address of one that started later:
-// they have ended, though their entries stay until the platform misses them.
-func (b *Registry) supersede(e *Endpoint) []Change {
+// dropOlderAt drops the endpoints that started earlier at the address of e. They have
+// ended, although their entries stay until the platform notices.
+func (r *Registry) dropOlderAt(e *Endpoint) []Change {
 	var changes []Change
-	for id, other := range b.byID {
+	for id, other := range r.byID {
 		if other.Address == e.Address && other.StartedAt < e.StartedAt {
 			other.restarted.Store(true)
-			changes = append(changes, b.drop(id)...)
+			changes = append(changes, r.drop(id)...)
 		}
 	}
 	return changes
 }
 
-// Remove takes an entry that was deleted. The endpoint counts as gone at once,
-// or, while the store has only just come back, after patience: entries lapse
-// while the store is away and return soon after if the endpoint lives.
-func (b *Registry) Remove(id string, now, patience clock.Millis) []Change {
-	if b.byID[id] == nil {
+// Remove handles a deleted entry. With grace 0 the endpoint is gone at once. While
+// the store has only just come back, callers pass the time in which the entry may
+// return: entries expire during an outage of the store, and live endpoints write them
+// again soon after it.
+func (r *Registry) Remove(id string, now, grace clock.Millis) []Change {
+	if r.byID[id] == nil {
 		return nil
 	}
-	if patience > 0 {
-		if b.missing[id] == 0 {
-			b.missing[id] = now + patience
+	if grace > 0 {
+		if r.missingUntil[id] == 0 {
+			r.missingUntil[id] = now + grace
 		}
 		return nil
 	}
-	return b.drop(id)
+	return r.drop(id)
 }
 
-func (b *Registry) drop(id string) []Change {
-	e := b.byID[id]
+func (r *Registry) drop(id string) []Change {
+	e := r.byID[id]
 	e.gone.Store(true)
-	delete(b.byID, id)
-	delete(b.missing, id)
+	delete(r.byID, id)
+	delete(r.missingUntil, id)
 	return []Change{{Endpoint: e, Kind: Gone}}
 }
 
-// Sync takes the whole list: what it lacks is removed, with patience.
-func (b *Registry) Sync(entries []Entry, now, patience clock.Millis) []Change {
-	b.listed = true
+// Sync replaces the whole list of entries. Endpoints that are not in it are removed;
+// see Remove for grace.
+func (r *Registry) Sync(entries []Entry, now, grace clock.Millis) []Change {
+	r.synced = true
 	var changes []Change
-	there := make(map[string]bool, len(entries))
+	present := make(map[string]bool, len(entries))
 	for _, entry := range entries {
-		there[entry.ID] = true
-		changes = append(changes, b.Put(entry, now)...)
+		present[entry.ID] = true
+		changes = append(changes, r.Put(entry, now)...)
 	}
-	for id := range b.byID {
-		if !there[id] {
-			changes = append(changes, b.Remove(id, now, patience)...)
+	for id := range r.byID {
+		if !present[id] {
+			changes = append(changes, r.Remove(id, now, grace)...)
 		}
 	}
 	return changes
 }
 
-// Expire drops the endpoints whose entries did not come back in time.
-func (b *Registry) Expire(now clock.Millis) []Change {
+// Expire drops the endpoints whose entries did not return in time.
+func (r *Registry) Expire(now clock.Millis) []Change {
 	var changes []Change
-	for id, until := range b.missing {
+	for id, until := range r.missingUntil {
 		if until <= now {
-			changes = append(changes, b.drop(id)...)
+			changes = append(changes, r.drop(id)...)
 		}
 	}
 	return changes
 }
 
-// SetEvacuated takes the availability zones that operators have emptied.
-func (b *Registry) SetEvacuated(zones []string) {
-	b.emptied = make(map[string]bool, len(zones))
+// SetEvacuated replaces the set of availability zones that operators have evacuated.
+// Publish applies it.
+func (r *Registry) SetEvacuated(zones []string) {
+	r.evacuated = make(map[string]bool, len(zones))
 	for _, zone := range zones {
-		b.emptied[zone] = true
+		r.evacuated[zone] = true
 	}
 }
 
-// Publish makes the newest snapshot.
-func (b *Registry) Publish() {
+// Publish makes a new snapshot the latest one.
+func (r *Registry) Publish() {
 	s := &Snapshot{
-		pools: make(map[string][]*Endpoint), shards: make(map[string][]Shard), byShard: make(map[string]*Shard), emptied: b.emptied,
-		byID: make(map[string]*Endpoint, len(b.byID)), entries: len(b.byID), complete: b.listed && (!b.byVersion || b.rollouts != nil),
+		pools: make(map[string][]*Endpoint), shards: make(map[string][]Shard), byShard: make(map[string]*Shard), evacuated: r.evacuated,
+		byID: make(map[string]*Endpoint, len(r.byID)), count: len(r.byID), complete: r.synced && (!r.byVersion || r.rollouts != nil),
 	}
-	for id, e := range b.byID {
+	for id, e := range r.byID {
 		s.byID[id] = e
-		if !e.Unavailable() && !b.emptied[e.Zone] {
+		if !e.Unavailable() && !r.evacuated[e.Zone] {
 			s.pools[e.Pool] = append(s.pools[e.Pool], e)
 		}
 	}
 	for _, endpoints := range s.pools {
 		slices.SortFunc(endpoints, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	if b.byVersion {
-		b.selectVersions(s)
+	if r.byVersion {
+		r.selectVersions(s)
 	}
-	s.split()
-	b.now.Store(s)
+	s.splitPools()
+	r.snapshot.Store(s)
 }
--- a/internal/route/view/view_test.go
+++ b/internal/route/view/view_test.go
@@ -20,90 +20,91 @@
 	return all
 }
 
-// Guards against endpoints that have ended and count on for seconds, because others
-// were started at their addresses under new ids: requests sent there are refused, and
-// a pool that seems to have twice its engines is divided anew.
-func TestLaterEndpointAtAnAddressReplacesTheOneBefore(t *testing.T) {
-	b := view.New()
+// Guards against an endpoint that has ended but still counts for seconds, because
+// another one was started at its address under a new ID. Requests sent to it are
+// refused, and a pool that appears to have twice its engines is divided into other
+// shards.
+func TestLaterEndpointReplacesEarlierOneAtTheSameAddress(t *testing.T) {
+	r := view.New()
 	first := entry("x", 1)
-	b.Sync([]view.Entry{first}, 10, 0)
-	b.Publish()
-	old := b.Snapshot().Find("x")
+	r.Sync([]view.Entry{first}, 10, 0)
+	r.Publish()
+	old := r.Snapshot().Find("x")
 	other := entry("y", 1)
 	other.Address = "10.0.0.2:80"
-	b.Put(other, 15)
+	r.Put(other, 15)
 	later := entry("z", 2)
-	changes := b.Put(later, 20)
+	changes := r.Put(later, 20)
 	assert.Equal(t, changes[0].Kind, view.Gone)
 	assert.Equal(t, changes[0].Endpoint, old)
 	assert.Assert(t, old.Gone())
-	b.Publish()
-	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"y", "z"})
-	// An entry that claims to have started earlier replaces nobody.
-	b.Put(entry("v", 1), 30)
-	b.Publish()
-	assert.Assert(t, !b.Snapshot().Find("z").Gone())
+	r.Publish()
+	assert.DeepEqual(t, ids(r.Snapshot().Pool("orders")), []string{"y", "z"})
+	// An entry with an earlier start replaces no endpoint.
+	r.Put(entry("v", 1), 30)
+	r.Publish()
+	assert.Assert(t, !r.Snapshot().Find("z").Gone())
 }
 
-func TestLeavingAndEmptiedGetNothingNew(t *testing.T) {
-	b := view.New()
-	b.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
-	b.Publish()
-	assert.Assert(t, b.Snapshot().Complete())
-	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"x", "y"})
+func TestLeavingAndEvacuatedEndpointsGetNoNewWork(t *testing.T) {
+	r := view.New()
+	r.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
+	r.Publish()
+	assert.Assert(t, r.Snapshot().Complete())
+	assert.DeepEqual(t, ids(r.Snapshot().Pool("orders")), []string{"x", "y"})
 	leaving := entry("x", 1)
 	leaving.Leaving = true
-	changes := b.Put(leaving, 20)
+	changes := r.Put(leaving, 20)
 	assert.Equal(t, changes[0].Kind, view.Leaving)
 	assert.Assert(t, changes[0].Endpoint.Unavailable())
-	b.Publish()
-	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"y"})
-	b.SetEvacuated([]string{"a"})
-	b.Publish()
-	assert.Equal(t, len(b.Snapshot().Pool("orders")), 0)
-	assert.Assert(t, b.Snapshot().Evacuated("a"))
+	r.Publish()
+	assert.DeepEqual(t, ids(r.Snapshot().Pool("orders")), []string{"y"})
+	r.SetEvacuated([]string{"a"})
+	r.Publish()
+	assert.Equal(t, len(r.Snapshot().Pool("orders")), 0)
+	assert.Assert(t, r.Snapshot().Evacuated("a"))
 }
 
-// The store was away and entries lapsed meanwhile although their endpoints
-// live. Dropping all of them at its return would leave callers without any
-// endpoint for two seconds.
-func TestLapsedEntriesMayReturn(t *testing.T) {
-	b := view.New()
-	b.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
-	assert.Equal(t, len(b.Sync(nil, 100, 1500)), 0)
-	b.Put(entry("x", 1), 900)
-	assert.Equal(t, len(b.Expire(1599)), 0)
-	changes := b.Expire(1600)
+// Guards against dropping all endpoints after an outage of the store, in which entries
+// expired although their endpoints were alive. Callers would have no endpoint for two
+// seconds.
+func TestExpiredEntriesMayReturn(t *testing.T) {
+	r := view.New()
+	r.Sync([]view.Entry{entry("x", 1), entry("y", 1)}, 10, 0)
+	assert.Equal(t, len(r.Sync(nil, 100, 1500)), 0)
+	r.Put(entry("x", 1), 900)
+	assert.Equal(t, len(r.Expire(1599)), 0)
+	changes := r.Expire(1600)
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, changes[0].Endpoint.ID, "y")
-	b.Publish()
-	assert.DeepEqual(t, ids(b.Snapshot().Pool("orders")), []string{"x"})
+	r.Publish()
+	assert.DeepEqual(t, ids(r.Snapshot().Pool("orders")), []string{"x"})
 }
 
-// An endpoint crashes and starts again under its old id. Whoever still holds
-// the old one must see that it is gone, or work meant for it reaches one that
-// is cold and knows nothing of what lay there.
-func TestRestartUnderOneIDIsAnotherEndpoint(t *testing.T) {
-	b := view.New()
-	b.Put(entry("x", 1), 10)
-	b.Publish()
-	old := b.Snapshot().Find("x")
+// Guards against an endpoint that crashes and restarts under the same ID and is taken
+// for its earlier start. Work meant for the earlier start would reach a cold endpoint
+// that has lost its memory.
+func TestRestartUnderTheSameIDIsANewEndpoint(t *testing.T) {
+	r := view.New()
+	r.Put(entry("x", 1), 10)
+	r.Publish()
+	old := r.Snapshot().Find("x")
 	again := entry("x", 2)
 	again.Cold = 3000
-	changes := b.Put(again, 20)
+	changes := r.Put(again, 20)
 	assert.Equal(t, changes[0].Kind, view.Restarted)
 	assert.Assert(t, old.Gone())
-	b.Publish()
-	assert.Assert(t, b.Snapshot().Find("x").Cold(3019))
-	assert.Assert(t, !b.Snapshot().Find("x").Cold(3020))
-	// The wall clock of a host may have stepped back between two starts: the
-	// order in the store decides, not the time that an entry claims.
-	assert.Equal(t, b.Put(entry("x", 1), 30)[0].Kind, view.Restarted)
+	r.Publish()
+	assert.Assert(t, r.Snapshot().Find("x").Cold(3019))
+	assert.Assert(t, !r.Snapshot().Find("x").Cold(3020))
+	// The wall clock of a host may step back between two starts, so that the order in
+	// the store decides, not the start time in the entry.
+	assert.Equal(t, r.Put(entry("x", 1), 30)[0].Kind, view.Restarted)
 }
 
-func TestRemovedAtOnceInCalm(t *testing.T) {
-	b := view.New()
-	b.Put(entry("x", 1), 10)
-	assert.Equal(t, b.Remove("x", 20, 0)[0].Kind, view.Gone)
-	assert.Equal(t, len(b.Remove("x", 20, 0)), 0)
+func TestRemoveWithoutGraceIsImmediate(t *testing.T) {
+	r := view.New()
+	r.Put(entry("x", 1), 10)
+	assert.Equal(t, r.Remove("x", 20, 0)[0].Kind, view.Gone)
+	assert.Equal(t, len(r.Remove("x", 20, 0)), 0)
 }
