--- a/internal/route/canary/canary.go
+++ b/internal/route/canary/canary.go
@@ -1,12 +1,12 @@
-// Package canary decides how a pool moves to another version of its endpoints:
-// which part of each route's requests the new version gets, whether it is found
-// bad, and when it is promoted. It takes counts and times and returns decisions,
-// so that tests and simulations drive it without a network.
+// Package canary decides how a pool moves to another version of its endpoints: which
+// share of each route's requests the new version gets, whether the version is bad, and
+// when it is promoted. It takes counts and times and returns decisions, so that tests
+// and simulations run it without a network.
 //
-// It answers versions that fail part of their answers or are several times
-// slower, at once or later, under load only or on one route only, and versions
-// that are sound while their endpoints are cold, one of them fails, or the old
-// ones are slow as well.
+// It detects versions that fail some of their answers or are several times slower,
+// from the start or later, only under load or only on one route. It accepts sound
+// versions while their endpoints are cold, when one of their endpoints fails, and when
+// the old endpoints are slow as well.
 package canary
 
 import (
@@ -19,102 +19,107 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// State is how far a rollout has come, as it is recorded.
+// State is the recorded state of a rollout.
 type State string
 
-// States of a rollout. An order that was not begun has the empty state.
+// States of a rollout. A rollout that has not started has the empty state.
 const (
 	Running    State = "running"
 	Completed  State = "completed"
 	RolledBack State = "rolledBack"
 )
 
-// Order is an operator's order that a pool go to another version.
+// Order is an operator's order to move a pool to another version.
 type Order struct {
 	Pool    string
 	Version string
-	// Duration is the time until which the order is to be decided.
+	// Duration is the time within which the rollout is to be decided.
 	Duration clock.Millis
 }
 
-// Status is what has been recorded of an order.
+// Status is the recorded status of a rollout.
 type Status struct {
 	Order
 	State State
-	// Previous is the version in force when the order was begun.
+	// Previous is the version in force when the rollout started.
 	Previous string
-	// StartedAt is when, in milliseconds of the wall clock.
+	// StartedAt is the start of the rollout, in milliseconds of the wall clock.
 	StartedAt int64
-	// Reason for rolling the version back.
+	// Reason for rolling the version back, "" otherwise.
 	Reason string
-	// Sent counts the requests to both versions until the order was decided,
-	// CandidateSent those to the new one, and CandidateAnswers its answers.
+	// Sent counts the requests to both versions until the decision, CandidateSent
+	// those to the candidate, and CandidateAnswers the candidate's answers.
 	Sent, CandidateSent, CandidateAnswers int64
-	// Routes holds the counts by route, those with most requests first.
+	// Routes holds the counts by route, starting with the route that has the most
+	// requests.
 	Routes []RouteCounts
-	// Earlier holds the orders of the pool before this one, the newest first.
+	// Earlier holds the pool's earlier rollouts, newest first.
 	Earlier []Decision
 }
 
 // RouteCounts compares both versions on one route.
 type RouteCounts struct {
 	Route string
-	// Sent, Answers and Failed are requests to the version in force, their answers and
-	// the failures among them; the others are those of the candidate.
+	// Sent, Answers and Failed count the requests to the version in force, their
+	// answers, and the failures among the answers. The other fields count the same for
+	// the candidate.
 	Sent, Answers, Failed                            int64
 	CandidateSent, CandidateAnswers, CandidateFailed int64
 }
 
-// Decision is what became of an order. One that another order replaced is Running.
+// Decision is the outcome of an earlier rollout. A rollout that was replaced by
+// another one before its decision has the state Running.
 type Decision struct {
 	Version, Previous string
 	State             State
-	// StartedAt is when, in milliseconds of the wall clock.
+	// StartedAt is in milliseconds of the wall clock.
 	StartedAt int64
 	Reason    string
 }
 
-// mostEarlier and mostRoutes bound what is recorded with an order.
+// maxEarlier and maxRoutes limit what is recorded with a rollout.
 const (
-	mostEarlier = 20
-	mostRoutes  = 32
+	maxEarlier = 20
+	maxRoutes  = 32
 )
 
-// History returns the earlier orders for the status of the order after this one.
+// History returns the value of Earlier for the status of the pool's next rollout.
 func (s *Status) History() []Decision {
 	if s.State == "" {
 		return s.Earlier
 	}
 	last := Decision{Version: s.Version, Previous: s.Previous, State: s.State, StartedAt: s.StartedAt, Reason: s.Reason}
 	all := append([]Decision{last}, s.Earlier...)
-	return all[:min(len(all), mostEarlier)]
+	return all[:min(len(all), maxEarlier)]
 }
 
-// Bounds limit what a candidate version gets before it is decided.
+// Bounds limit the requests that a candidate version gets before the decision.
 type Bounds struct {
-	// Share is the part of a pool's requests that a candidate may get between the
-	// order and its deadline, and Spare how many besides.
+	// Share is the share of the pool's requests between order and deadline that the
+	// candidate may get. Base is a number of requests that it may get in addition.
 	Share float64
 	Base  float64
 }
 
-// Buckets is the number of classes of durations. Each spans half an octave.
+// Buckets is the number of buckets of a duration histogram. The bounds of each bucket
+// differ by a factor of the square root of two.
 const Buckets = 24
 
-// firstClass is the binary logarithm of the lower end of the first class.
-const firstClass = -4
+// firstBucketLog2 is the binary logarithm of the lower bound of the first bucket.
+const firstBucketLog2 = -4
 
-// Bucket returns the class of an answer that took so many times as long as
-// expected.
-func Bucket(times float64) int {
-	if times <= 0 {
+// Bucket returns the histogram bucket of an answer by the ratio of its duration to the
+// expected one.
+func Bucket(ratio float64) int {
+	if ratio <= 0 {
 		return 0
 	}
-	class := math.Floor(2 * (math.Log2(times) - firstClass))
-	return int(min(max(class, 0), Buckets-1))
+	bucket := math.Floor(2 * (math.Log2(ratio) - firstBucketLog2))
+	return int(min(max(bucket, 0), Buckets-1))
 }
 
-// Counts is what is known of the answers of one version.
+// Counts describes the answers of one version. TotalMs is the sum of their durations
+// in milliseconds.
 type Counts struct {
 	Sent, Answers, Failed int64
 	TotalMs               int64
@@ -126,82 +131,83 @@
 	c.Answers += trial.Answers
 	c.Failed += trial.Failed
 	c.TotalMs += trial.Took
-	for class, count := range trial.Spread {
-		if class < Buckets {
-			c.Histogram[class] += count
+	for bucket, count := range trial.Spread {
+		if bucket < Buckets {
+			c.Histogram[bucket] += count
 		}
 	}
 }
 
-func (c *Counts) plus(more *Counts) {
-	c.Sent += more.Sent
-	c.Answers += more.Answers
-	c.Failed += more.Failed
-	c.TotalMs += more.TotalMs
-	for class, count := range more.Histogram {
-		c.Histogram[class] += count
+func (c *Counts) plus(other *Counts) {
+	c.Sent += other.Sent
+	c.Answers += other.Answers
+	c.Failed += other.Failed
+	c.TotalMs += other.TotalMs
+	for bucket, count := range other.Histogram {
+		c.Histogram[bucket] += count
 	}
 }
 
-// minus returns the difference, never below zero: counts of a process that ended
-// are missing from the newer sum.
-func (c *Counts) minus(less *Counts) *Counts {
-	left := &Counts{
-		Sent: max(c.Sent-less.Sent, 0), Answers: max(c.Answers-less.Answers, 0), Failed: max(c.Failed-less.Failed, 0),
-		TotalMs: max(c.TotalMs-less.TotalMs, 0),
+// minus returns the difference of two counts. It is never negative: if a process has
+// ended, its counts are missing from the newer sum.
+func (c *Counts) minus(other *Counts) *Counts {
+	difference := &Counts{
+		Sent: max(c.Sent-other.Sent, 0), Answers: max(c.Answers-other.Answers, 0), Failed: max(c.Failed-other.Failed, 0),
+		TotalMs: max(c.TotalMs-other.TotalMs, 0),
 	}
-	for class := range left.Histogram {
-		left.Histogram[class] = max(c.Histogram[class]-less.Histogram[class], 0)
+	for bucket := range difference.Histogram {
+		difference.Histogram[bucket] = max(c.Histogram[bucket]-other.Histogram[bucket], 0)
 	}
-	return left
+	return difference
 }
 
-// bad counts the answers that failed or took so long as a class and those above.
+// bad returns the number of answers that failed or whose duration is in bucket
+// slowFrom or above.
 func (c *Counts) bad(slowFrom int) int64 {
 	bad := c.Failed
-	for class := slowFrom; class < Buckets; class++ {
-		bad += c.Histogram[class]
+	for bucket := slowFrom; bucket < Buckets; bucket++ {
+		bad += c.Histogram[bucket]
 	}
 	return min(bad, c.Answers)
 }
 
-// median returns the class of the median duration, -1 without any.
+// median returns the bucket of the median duration, -1 if there are no durations.
 func (c *Counts) median() int {
-	all := int64(0)
+	total := int64(0)
 	for _, count := range c.Histogram {
-		all += count
+		total += count
 	}
-	if all == 0 {
+	if total == 0 {
 		return -1
 	}
 	below := int64(0)
-	for class, count := range c.Histogram {
+	for bucket, count := range c.Histogram {
 		below += count
-		if 2*below >= all {
-			return class
+		if 2*below >= total {
+			return bucket
 		}
 	}
 	return Buckets - 1
 }
 
-// Evidence is all counts of one rollout.
+// Evidence holds all counts of one rollout.
 type Evidence struct {
-	// Stable holds the counts of the version in force by route, Candidate those of
-	// the new one by route and endpoint.
+	// Stable holds the counts of the version in force by route, Candidate those of the
+	// candidate by route and endpoint.
 	Stable    map[string]*Counts
 	Candidate map[string]map[string]*Counts
-	// Suspended is set if a process has found the candidate bad, Restarted if some
-	// counts are lost with the process that had them.
+	// Suspended is set if a process has found the candidate bad, Restarted if a
+	// process ended and its counts are lost.
 	Suspended, Restarted bool
 }
 
-// NewEvidence adds up the trials of one rollout.
+// NewEvidence adds up the trials that belong to one rollout.
 func NewEvidence(order Order, trials ...[]wire.Trial) *Evidence {
 	e := &Evidence{Stable: make(map[string]*Counts), Candidate: make(map[string]map[string]*Counts)}
-	for _, some := range trials {
-		for i := range some {
-			if some[i].Pool == order.Pool && some[i].Version == order.Version {
-				e.add(&some[i])
+	for _, list := range trials {
+		for i := range list {
+			if list[i].Pool == order.Pool && list[i].Version == order.Version {
+				e.add(&list[i])
 			}
 		}
 	}
@@ -215,7 +221,7 @@
 		return
 	}
 	if !trial.Candidate {
-		countsIn(e.Stable, trial.Route).add(trial)
+		countsFor(e.Stable, trial.Route).add(trial)
 		return
 	}
 	byEndpoint := e.Candidate[trial.Route]
@@ -223,10 +229,10 @@
 		byEndpoint = make(map[string]*Counts)
 		e.Candidate[trial.Route] = byEndpoint
 	}
-	countsIn(byEndpoint, trial.Endpoint).add(trial)
+	countsFor(byEndpoint, trial.Endpoint).add(trial)
 }
 
-func countsIn(byName map[string]*Counts, name string) *Counts {
+func countsFor(byName map[string]*Counts, name string) *Counts {
 	counts := byName[name]
 	if counts == nil {
 		counts = &Counts{}
@@ -235,7 +241,7 @@
 	return counts
 }
 
-// Routes returns the names of all routes that have counts.
+// Routes returns the names of all routes with counts.
 func (e *Evidence) Routes() []string {
 	var routes []string
 	for route := range e.Stable {
@@ -249,32 +255,33 @@
 	return routes
 }
 
-// MedianRatios returns the median durations of both versions over all routes, as multiples of
-// the expected ones, rounded down to half octaves; 0 for none.
+// MedianRatios returns the median duration of both versions over all routes, as a
+// multiple of the expected duration. It is rounded down to the lower bound of its
+// bucket, and 0 without durations.
 func (e *Evidence) MedianRatios() (stable, candidate float64) {
-	var both [2]Counts
+	var versions [2]Counts
 	for _, route := range e.Routes() {
-		both[0].plus(orNone(e.Stable[route]))
-		both[1].plus(e.CandidateCounts(route))
+		versions[0].plus(orEmpty(e.Stable[route]))
+		versions[1].plus(e.CandidateCounts(route))
 	}
-	return times(both[0].median()), times(both[1].median())
+	return bucketStart(versions[0].median()), bucketStart(versions[1].median())
 }
 
-// times returns the lower end of a class, 0 for none.
-func times(class int) float64 {
-	if class < 0 {
+// bucketStart returns the lower bound of a bucket, 0 for a negative one.
+func bucketStart(bucket int) float64 {
+	if bucket < 0 {
 		return 0
 	}
-	return math.Exp2(float64(class)/2 + firstClass)
+	return math.Exp2(float64(bucket)/2 + firstBucketLog2)
 }
 
-// ByRoute returns the counts of the routes with most requests.
+// ByRoute returns the counts of the routes with the most requests.
 func (e *Evidence) ByRoute() []RouteCounts {
 	var all []RouteCounts
 	for _, route := range e.Routes() {
-		stable, candidate := orNone(e.Stable[route]), e.CandidateCounts(route)
+		stable, candidate := orEmpty(e.Stable[route]), e.CandidateCounts(route)
 		if stable.Sent+candidate.Sent == 0 {
-			continue // answers of another kind than requests
+			continue // counts of something other than requests, such as pauses in streams
 		}
 		all = append(all, RouteCounts{
 			Route: route, Sent: stable.Sent, Answers: stable.Answers, Failed: stable.Failed,
@@ -284,10 +291,11 @@
 	slices.SortFunc(all, func(a, b RouteCounts) int {
 		return cmp.Or(cmp.Compare(b.Sent+b.CandidateSent, a.Sent+a.CandidateSent), strings.Compare(a.Route, b.Route))
 	})
-	return all[:min(len(all), mostRoutes)]
+	return all[:min(len(all), maxRoutes)]
 }
 
-// CandidateCounts returns the counts of the candidate for one route, over all endpoints.
+// CandidateCounts returns the counts of the candidate on one route, summed over its
+// endpoints.
 func (e *Evidence) CandidateCounts(route string) *Counts {
 	sum := &Counts{}
 	for _, counts := range e.Candidate[route] {
@@ -296,19 +304,19 @@
 	return sum
 }
 
-// Totals returns how many requests were sent to both versions and to the
-// candidate, and how many the candidate has answered.
-func (e *Evidence) Totals() (sent, candidate, answers int64) {
+// Totals returns the number of requests to both versions, the number of requests to
+// the candidate, and the number of the candidate's answers.
+func (e *Evidence) Totals() (sent, candidateSent, candidateAnswers int64) {
 	for _, counts := range e.Stable {
 		sent += counts.Sent
 	}
 	for _, byEndpoint := range e.Candidate {
 		for _, counts := range byEndpoint {
-			candidate += counts.Sent
+			candidateSent += counts.Sent
 			if counts.Sent > 0 {
-				answers += counts.Answers
+				candidateAnswers += counts.Answers
 			}
 		}
 	}
-	return sent + candidate, candidate, answers
+	return sent + candidateSent, candidateSent, candidateAnswers
 }
--- a/internal/route/canary/canary_test.go
+++ b/internal/route/canary/canary_test.go
@@ -16,10 +16,10 @@
 
 func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Base: 50} }
 
-func once(string) bool { return false }
+func notRepeatable(string) bool { return false }
 
-// trial counts answers of usual speed, and so many failures, at an endpoint of the
-// candidate or, with "", at the version in force.
+// trial returns a trial with answers of the expected duration, some of them failed, at
+// an endpoint of the candidate or, if endpoint is "", at the version in force.
 func trial(route, endpoint string, answers, failed int64) wire.Trial {
 	spread := make([]int64, canary.Buckets)
 	spread[canary.Bucket(1)] = answers - failed
@@ -52,7 +52,7 @@
 	// 0 0
 }
 
-func TestCountsByRouteNameTheBusiestFirst(t *testing.T) {
+func TestByRouteSortsByRequests(t *testing.T) {
 	evidence := canary.NewEvidence(order, []wire.Trial{
 		trial("look", "", 40, 1), trial("book", "", 400, 2), trial("book", "a", 20, 6), trial("book", "b", 10, 1),
 	})
@@ -62,8 +62,8 @@
 	})
 }
 
-// Guards against a status that grows with each order.
-func TestEarlierOrdersAreBounded(t *testing.T) {
+// Guards against a recorded status that grows with each rollout.
+func TestEarlierRolloutsAreLimited(t *testing.T) {
 	status := canary.Status{Order: order}
 	assert.Equal(t, len(status.History()), 0)
 	for i := range int64(100) {
@@ -87,7 +87,7 @@
 		trials []wire.Trial
 		bad    bool
 	}{
-		{"nothing known", nil, false},
+		{"no counts", nil, false},
 		{"sound", []wire.Trial{trial("book", "", 400, 2), trial("book", "a", 30, 1), trial("book", "b", 30, 0)}, false},
 		{"fails", []wire.Trial{trial("book", "", 400, 2), trial("book", "a", 30, 9), trial("book", "b", 30, 8)}, true},
 		{"one endpoint fails", []wire.Trial{trial("book", "", 400, 2), trial("book", "a", 30, 20), trial("book", "b", 30, 0), trial("book", "c", 30, 0)}, false},
@@ -98,14 +98,14 @@
 		}, true},
 		{"slow", []wire.Trial{slow("book", "", 400, 1), slow("book", "a", 10, 3), slow("book", "b", 10, 3)}, true},
 		{"both slow", []wire.Trial{slow("book", "", 400, 3), slow("book", "a", 10, 3), slow("book", "b", 10, 3)}, false},
-		{"of another order", []wire.Trial{func() wire.Trial { tr := trial("book", "a", 30, 30); tr.Version = "v3"; return tr }()}, false},
+		{"another rollout", []wire.Trial{func() wire.Trial { tr := trial("book", "a", 30, 30); tr.Version = "v3"; return tr }()}, false},
 	} {
 		judge := &canary.Judge{}
 		assert.Equal(t, judge.Observe(canary.NewEvidence(order, tt.trials), 5000).Bad, tt.bad, tt.name)
 	}
 }
 
-// Guards against many good answers that hide that a version has turned bad.
+// Guards against many earlier good answers that hide that a version has turned bad.
 func TestVersionThatTurnsBadLateIsFound(t *testing.T) {
 	judge := &canary.Judge{}
 	observe := func(good, failed int64, at clock.Millis) bool {
@@ -120,9 +120,9 @@
 	assert.Assert(t, observe(3100, 6, 62_000))
 }
 
-// Guards against a sound version that is found slow by a burst during its promotion,
-// when nothing runs at the version before.
-func TestBurstDuringThePromotionIsNoFault(t *testing.T) {
+// Guards against a sound version that is found slow because of a burst during its
+// promotion, when the old version gets no requests to compare with.
+func TestBurstDuringPromotionIsNotJudgedSlow(t *testing.T) {
 	slow := trial("book", "a", 60, 0)
 	slow.Spread = make([]int64, canary.Buckets)
 	slow.Spread[canary.Bucket(4)] = 60
@@ -137,35 +137,36 @@
 	assert.Assert(t, promoted.Observe(failing, 5100).Bad)
 }
 
-// Guards against a verdict that is taken back while other processes have stopped.
-func TestVerdictStays(t *testing.T) {
+// Guards against a bad verdict that is withdrawn when the counts of stopped processes
+// are missing.
+func TestBadVerdictIsFinal(t *testing.T) {
 	judge := &canary.Judge{}
 	bad := canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 2), trial("book", "a", 30, 20), trial("book", "b", 30, 20)})
 	assert.Assert(t, judge.Observe(bad, 1000).Bad)
 	assert.Assert(t, judge.Observe(canary.NewEvidence(order, nil), 2000).Bad)
 }
 
-// Guards against a route with few requests that is never tried, and against a share
-// that isn't kept.
+// Guards against a route with few requests that never gets to the candidate, and against
+// exceeding the candidate's share.
 func TestShares(t *testing.T) {
 	e := canary.NewEvidence(order, []wire.Trial{trial("book", "", 990, 0), trial("look", "", 10, 0)})
-	plan := canary.NewPlan(order, bounds(), e, 4000, once)
+	plan := canary.NewPlan(order, bounds(), e, 4000, notRepeatable)
 	assert.Assert(t, plan.Share("look") > 5*plan.Share("book"), "%+v", plan)
 	assert.Assert(t, 0.99*plan.Share("book")+0.01*plan.Share("look") <= bounds().Share)
 	used := canary.NewEvidence(order, []wire.Trial{trial("book", "", 990, 0), trial("book", "a", 200, 0)})
-	assert.Equal(t, canary.NewPlan(order, bounds(), used, 4000, once).Share("book"), 0.0)
+	assert.Equal(t, canary.NewPlan(order, bounds(), used, 4000, notRepeatable).Share("book"), 0.0)
 }
 
 func TestPromotion(t *testing.T) {
 	e := canary.NewEvidence(order, []wire.Trial{trial("book", "", 480, 0), trial("book", "a", 20, 0)})
-	assert.Assert(t, !canary.NewPlan(order, bounds(), e, 9000, once).Promoting)
-	late := canary.NewPlan(order, bounds(), e, 11_000, once)
+	assert.Assert(t, !canary.NewPlan(order, bounds(), e, 9000, notRepeatable).Promoting)
+	late := canary.NewPlan(order, bounds(), e, 11_000, notRepeatable)
 	assert.Assert(t, late.Promoting && late.Share("book") == 1 && !late.Due, "%+v", late)
-	assert.Assert(t, canary.NewPlan(order, bounds(), e, 11_900, once).Due)
+	assert.Assert(t, canary.NewPlan(order, bounds(), e, 11_900, notRepeatable).Due)
 }
 
-// Guards against a promotion that begins before the bounds pay for all requests
-// until the deadline, whatever the rates of routes are.
+// Guards against a promotion that starts before the bounds allow all requests until
+// the deadline, at any request rates of the routes.
 func TestPromotionKeepsTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		duration := clock.Millis(rapid.IntRange(2000, 60_000).Draw(t, "duration"))
@@ -180,7 +181,7 @@
 				name := fmt.Sprint(i)
 				trials = append(trials, trial(name, "", int64(stable[i]), 0), trial(name, "a", int64(candidate[i]), 0))
 			}
-			plan := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, once)
+			plan := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, notRepeatable)
 			for i, rate := range rates {
 				count := rate * step / 1000
 				share := plan.Share(fmt.Sprint(i))
@@ -196,25 +197,25 @@
 	})
 }
 
-// Guards against a promotion that spends what its completion needs: counts are some
-// hundred milliseconds old, and busy processes look late.
-func TestPromotionThatBeginsIsCompleted(t *testing.T) {
+// Guards against a promotion that uses up the requests needed for its completion,
+// because counts are some hundred milliseconds old and busy processes plan late.
+func TestStartedPromotionIsCompleted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(20, 400).Draw(t, "requests a second")) / 1000
 		o := order
-		// The shortest order that pays for so many requests, and longer ones.
+		// The shortest duration whose bounds allow this request rate, or a longer one.
 		least := max((1.3*450*rate-0.7*bounds().Base)/(bounds().Share*rate), 4000)
 		o.Duration = clock.Millis(least) + clock.Millis(rapid.IntRange(0, 2000).Draw(t, "more"))
 		stable, candidate := make([]float64, o.Duration+1), make([]float64, o.Duration+1)
-		share, look, begun := 0.0, clock.Millis(100), false
+		share, nextPlan, started := 0.0, clock.Millis(100), false
 		for now := clock.Millis(1); now <= o.Duration; now++ {
 			stable[now], candidate[now] = stable[now-1]+rate*(1-share), candidate[now-1]+rate*share
-			if now < look {
+			if now < nextPlan {
 				continue
 			}
-			seen := max(now-clock.Millis(rapid.IntRange(50, 300).Draw(t, "age")), 0)
-			trials := []wire.Trial{trial("calls", "", int64(stable[seen]), 0), trial("calls", "a", int64(candidate[seen]), 0)}
-			plan := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, once)
+			counted := max(now-clock.Millis(rapid.IntRange(50, 300).Draw(t, "age")), 0)
+			trials := []wire.Trial{trial("calls", "", int64(stable[counted]), 0), trial("calls", "a", int64(candidate[counted]), 0)}
+			plan := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, notRepeatable)
 			if plan.Due && !plan.OverBudget {
 				got := candidate[now] + rate*float64(o.Duration-now)
 				if most := bounds().Share*rate*float64(o.Duration) + bounds().Base; got > most {
@@ -222,10 +223,10 @@
 				}
 				return
 			}
-			share, begun = plan.Share("calls"), begun || plan.Promoting
-			look = now + clock.Millis(rapid.IntRange(100, 180).Draw(t, "pause"))
+			share, started = plan.Share("calls"), started || plan.Promoting
+			nextPlan = now + clock.Millis(rapid.IntRange(100, 180).Draw(t, "pause"))
 		}
-		t.Fatalf("not completed, promotion begun: %v, %.0f of %.0f requests at the candidate", begun, candidate[o.Duration], stable[o.Duration])
+		t.Fatalf("not completed, promotion started: %v, %.0f of %.0f requests at the candidate", started, candidate[o.Duration], stable[o.Duration])
 	})
 }
 
@@ -241,8 +242,8 @@
 	assert.Equal(t, canary.FirstActive(9000, 2, 0), 0)
 }
 
-// Guards against a bad version that gets what it may once more after each restart of the
-// processes that counted.
+// Guards against a bad version that gets the allowed number of requests again after
+// each restart of the processes that count them.
 func TestRestartsKeepTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		duration := clock.Millis(rapid.IntRange(4000, 60_000).Draw(t, "duration"))
@@ -262,7 +263,7 @@
 			for i := range processes {
 				trials = append(trials, trial("calls", "", int64(stable[i]), 0), trial("calls", "a", int64(candidate[i]), 0))
 			}
-			share := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, once).Share("calls")
+			share := canary.NewPlan(o, bounds(), canary.NewEvidence(o, trials), now, notRepeatable).Share("calls")
 			count := rate * step / 1000
 			for i := range processes {
 				stable[i] += count * (1 - share) / processes
--- a/internal/route/canary/judge.go
+++ b/internal/route/canary/judge.go
@@ -8,169 +8,170 @@
 )
 
 const (
-	// wrongly is the chance that a sound version is found bad, for each route and
-	// each bound of slowness that is tried.
-	wrongly = 1.0 / 2000
-	// recentlyWrongly is that of the newest answers, which are looked at many times.
-	recentlyWrongly = 1.0 / 20000
-	// withoutWorst is the chance that is left when the endpoint with the most bad
-	// answers is not counted: one endpoint that fails does not make a version bad.
-	withoutWorst = 1.0 / 100
-	// leastBad is how many bad answers are needed at least, leastOthers how many of
-	// them from other endpoints than the worst.
-	leastBad    = 3
-	leastOthers = 2
-	// priorAnswers answers with the usual share of bad ones over all routes, and
-	// priorBad bad ones, stand for answers of the version in force on a route before
-	// any was seen.
+	// falsePositive is the probability of finding a sound version bad, for each route
+	// and each threshold of slowness.
+	falsePositive = 1.0 / 2000
+	// recentFalsePositive is the same probability for the most recent answers. It is
+	// lower because they are tested many times.
+	recentFalsePositive = 1.0 / 20000
+	// falsePositiveWithoutWorst is the probability that is still allowed without the
+	// endpoint that has the most bad answers: one failing endpoint does not make a
+	// version bad.
+	falsePositiveWithoutWorst = 1.0 / 100
+	// minBad is the minimum number of bad answers of a bad version, and minBadOthers
+	// how many of them must come from endpoints other than the worst one.
+	minBad       = 3
+	minBadOthers = 2
+	// priorAnswers and priorBad are pseudo-counts that are added to the answers of the
+	// version in force, so that a route without answers has an estimate: priorAnswers
+	// answers with the share of bad answers over all routes, and priorBad bad answers.
 	priorAnswers, priorBad = 60.0, 0.6
-	// judgeEvery is the shortest pause between two counts that are kept, recent the
-	// span of the newest ones: a version that turns bad late has many good answers.
-	judgeEvery = 500 * clock.Millis(1)
-	recent     = 4 * clock.Second
+	// sampleInterval is the shortest time between two samples. recentWindow is the
+	// period of the most recent answers, which are also tested alone: a version that
+	// turns bad late has many good answers from before.
+	sampleInterval = 500 * clock.Millis(1)
+	recentWindow   = 4 * clock.Second
 )
 
-// excesses are the shares of bad answers, beyond that of the version in force,
-// that are weighed against it.
+// excesses are the alternatives that are tested: how much the share of bad answers
+// exceeds that of the version in force.
 var excesses = [...]float64{0.05, 0.1, 0.2, 0.4, 0.8}
 
-// slowSteps are the numbers of classes above the median duration of the version
-// in force from which an answer counts as slow: about three, four and six times as
-// long.
-var slowSteps = [...]int{3, 4, 5}
+// slowOffsets are the tested thresholds of slowness, in buckets above the median
+// duration of the version in force: about three, four and six times as long.
+var slowOffsets = [...]int{3, 4, 5}
 
-// allRoutes names the counts of all routes together.
+// allRoutes is the route name of the counts of all routes together.
 const allRoutes = "*"
 
 // Verdict is the judgement of a candidate version.
 type Verdict struct {
 	Bad bool
-	// Route on which the version is bad, with the counts that show it.
+	// Route on which the version is bad, with the counts that led to the verdict.
 	Route                          string
 	CandidateAnswers, CandidateBad int64
 	StableAnswers, StableBad       int64
 }
 
-// String returns why a version was found bad.
+// String returns the reason for finding a version bad.
 func (v Verdict) String() string {
 	return fmt.Sprintf("%d of %d answers on route %q were failures or slow, %d of %d of the version in force", v.CandidateBad, v.CandidateAnswers, v.Route, v.StableBad, v.StableAnswers)
 }
 
-// Judge finds bad versions from counts that grow. It compares the candidate with
-// the version in force over the same time, so that faults which affect both don't
-// count.
-// The zero value is ready.
+// Judge detects bad versions from growing counts. It compares the candidate with the
+// version in force over the same period, so that faults which affect both don't count.
+// The zero value is ready for use.
 type Judge struct {
-	kept []kept
-	// failuresOnly is set once durations are not judged any more.
+	samples []sample
+	// failuresOnly is set once durations are ignored.
 	failuresOnly bool
 	verdict      Verdict
 }
 
-// kept is counts as of an instant.
-type kept struct {
+// sample is the evidence at one instant.
+type sample struct {
 	at       clock.Millis
 	evidence *Evidence
 }
 
-// JudgeFailuresOnly has only failures judged from now on: all requests go to the candidate, and
-// what slows them has no version beside it that it could be compared with.
+// JudgeFailuresOnly makes the judge ignore durations from now on. During the promotion
+// all requests go to the candidate, so that its durations cannot be compared with
+// another version under the same load.
 func (j *Judge) JudgeFailuresOnly() { j.failuresOnly = true }
 
-// Observe takes the newest counts and returns the verdict, which stays once a
-// version was found bad.
+// Observe adds the newest counts and returns the verdict. A bad verdict is final.
 func (j *Judge) Observe(e *Evidence, now clock.Millis) Verdict {
 	if j.verdict.Bad {
 		return j.verdict
 	}
-	for len(j.kept) > 1 && j.kept[1].at <= now-recent {
-		j.kept = j.kept[1:]
+	for len(j.samples) > 1 && j.samples[1].at <= now-recentWindow {
+		j.samples = j.samples[1:]
 	}
-	j.verdict = j.findBad(e, wrongly)
-	if !j.verdict.Bad && len(j.kept) > 0 && j.kept[0].at <= now-recent {
-		j.verdict = j.findBad(e.since(j.kept[0].evidence), recentlyWrongly)
+	j.verdict = j.findBad(e, falsePositive)
+	if !j.verdict.Bad && len(j.samples) > 0 && j.samples[0].at <= now-recentWindow {
+		j.verdict = j.findBad(e.since(j.samples[0].evidence), recentFalsePositive)
 	}
-	if len(j.kept) == 0 || now-j.kept[len(j.kept)-1].at >= judgeEvery {
-		j.kept = append(j.kept, kept{at: now, evidence: e})
+	if len(j.samples) == 0 || now-j.samples[len(j.samples)-1].at >= sampleInterval {
+		j.samples = append(j.samples, sample{at: now, evidence: e})
 	}
 	return j.verdict
 }
 
-// Verdict returns the verdict of the newest counts.
+// Verdict returns the verdict of the last Observe.
 func (j *Judge) Verdict() Verdict { return j.verdict }
 
-// since returns the counts that were added after others.
+// since returns the counts that were added since an earlier state.
 func (e *Evidence) since(before *Evidence) *Evidence {
-	left := &Evidence{Stable: make(map[string]*Counts), Candidate: make(map[string]map[string]*Counts)}
+	difference := &Evidence{Stable: make(map[string]*Counts), Candidate: make(map[string]map[string]*Counts)}
 	for route, counts := range e.Stable {
-		left.Stable[route] = counts.minus(orNone(before.Stable[route]))
+		difference.Stable[route] = counts.minus(orEmpty(before.Stable[route]))
 	}
 	for route, byEndpoint := range e.Candidate {
-		left.Candidate[route] = make(map[string]*Counts)
+		difference.Candidate[route] = make(map[string]*Counts)
 		for endpoint, counts := range byEndpoint {
-			left.Candidate[route][endpoint] = counts.minus(orNone(before.Candidate[route][endpoint]))
+			difference.Candidate[route][endpoint] = counts.minus(orEmpty(before.Candidate[route][endpoint]))
 		}
 	}
-	return left
+	return difference
 }
 
-func orNone(counts *Counts) *Counts {
+func orEmpty(counts *Counts) *Counts {
 	if counts == nil {
 		return &Counts{}
 	}
 	return counts
 }
 
-// answers is the answers of one version, and how many of them were bad.
-type answers struct{ all, bad int64 }
+// answers counts the answers of one version and the bad ones among them.
+type answers struct{ total, bad int64 }
 
-func (a answers) plus(more answers) answers {
-	return answers{all: a.all + more.all, bad: a.bad + more.bad}
+func (a answers) plus(other answers) answers {
+	return answers{total: a.total + other.total, bad: a.bad + other.bad}
 }
 
-func (a answers) minus(less answers) answers {
-	return answers{all: a.all - less.all, bad: a.bad - less.bad}
+func (a answers) minus(other answers) answers {
+	return answers{total: a.total - other.total, bad: a.bad - other.bad}
 }
 
-// comparison is the answers of both versions, those of the candidate by endpoint.
+// comparison holds the answers of both versions, those of the candidate by endpoint.
 type comparison struct {
 	stable    answers
 	candidate map[string]answers
 }
 
 func (c *comparison) add(stable *Counts, byEndpoint map[string]*Counts, slowFrom int) {
-	c.stable = c.stable.plus(answers{all: stable.Answers, bad: stable.bad(slowFrom)})
+	c.stable = c.stable.plus(answers{total: stable.Answers, bad: stable.bad(slowFrom)})
 	for endpoint, counts := range byEndpoint {
-		c.candidate[endpoint] = c.candidate[endpoint].plus(answers{all: counts.Answers, bad: counts.bad(slowFrom)})
+		c.candidate[endpoint] = c.candidate[endpoint].plus(answers{total: counts.Answers, bad: counts.bad(slowFrom)})
 	}
 }
 
-// findBad looks at failures alone and at each bound of slowness, on all routes
-// together and on each by itself.
-func (j *Judge) findBad(e *Evidence, chance float64) Verdict {
-	steps := []int{Buckets}
+// findBad tests failures alone and with each threshold of slowness, first on all
+// routes together and then on each route.
+func (j *Judge) findBad(e *Evidence, falsePositiveRate float64) Verdict {
+	offsets := []int{Buckets}
 	if !j.failuresOnly {
-		steps = append(steps, slowSteps[:]...)
+		offsets = append(offsets, slowOffsets[:]...)
 	}
-	for _, step := range steps {
+	for _, offset := range offsets {
 		all := &comparison{candidate: make(map[string]answers)}
 		byRoute := make(map[string]*comparison)
 		for _, route := range e.Routes() {
-			stable := orNone(e.Stable[route])
+			stable := orEmpty(e.Stable[route])
 			slowFrom := Buckets
 			if median := stable.median(); median >= 0 {
-				slowFrom = min(median+step, Buckets)
+				slowFrom = min(median+offset, Buckets)
 			}
 			all.add(stable, e.Candidate[route], slowFrom)
 			byRoute[route] = &comparison{candidate: make(map[string]answers)}
 			byRoute[route].add(stable, e.Candidate[route], slowFrom)
 		}
-		if v := all.judge(allRoutes, 0, chance); v.Bad {
+		if v := all.judge(allRoutes, 0, falsePositiveRate); v.Bad {
 			return v
 		}
-		usual := float64(all.stable.bad) / float64(max(all.stable.all, 1))
+		baseline := float64(all.stable.bad) / float64(max(all.stable.total, 1))
 		for route, own := range byRoute {
-			if v := own.judge(route, usual, chance); v.Bad {
+			if v := own.judge(route, baseline, falsePositiveRate); v.Bad {
 				return v
 			}
 		}
@@ -178,10 +179,10 @@
 	return Verdict{}
 }
 
-// judge weighs the candidate's bad answers against those of the version in force,
-// where a share of them is usual on other routes. Chance is that of finding a sound
-// version bad.
-func (c *comparison) judge(route string, elsewhere, chance float64) Verdict {
+// judge compares the candidate's bad answers with those of the version in force.
+// otherRoutes is the share of bad answers of the version in force on all routes, and
+// falsePositiveRate the probability of finding a sound version bad.
+func (c *comparison) judge(route string, otherRoutes, falsePositiveRate float64) Verdict {
 	var candidate, worst answers
 	for _, own := range c.candidate {
 		candidate = candidate.plus(own)
@@ -189,33 +190,33 @@
 			worst = own
 		}
 	}
-	v := Verdict{Route: route, CandidateAnswers: candidate.all, CandidateBad: candidate.bad, StableAnswers: c.stable.all, StableBad: c.stable.bad}
+	v := Verdict{Route: route, CandidateAnswers: candidate.total, CandidateBad: candidate.bad, StableAnswers: c.stable.total, StableBad: c.stable.bad}
 	others := candidate.minus(worst)
-	if candidate.bad < leastBad || others.bad < leastOthers {
+	if candidate.bad < minBad || others.bad < minBadOthers {
 		return v
 	}
-	usual := usualShare(c.stable, elsewhere)
-	v.Bad = likelihood(candidate, usual) > 1/chance && likelihood(others, usual) > 1/withoutWorst
+	baseline := baselineShare(c.stable, otherRoutes)
+	v.Bad = likelihoodRatio(candidate, baseline) > 1/falsePositiveRate && likelihoodRatio(others, baseline) > 1/falsePositiveWithoutWorst
 	return v
 }
 
-// usualShare returns the share of bad answers that the version in force has at
-// most: one standard error above the share that was observed.
-func usualShare(stable answers, elsewhere float64) float64 {
-	n := float64(stable.all) + priorAnswers
-	share := (float64(stable.bad) + priorBad + priorAnswers*elsewhere) / n
+// baselineShare returns an upper estimate of the share of bad answers of the version
+// in force: one standard error above the observed share.
+func baselineShare(stable answers, otherRoutes float64) float64 {
+	n := float64(stable.total) + priorAnswers
+	share := (float64(stable.bad) + priorBad + priorAnswers*otherRoutes) / n
 	return min(share+math.Sqrt(share*(1-share)/n), 0.95)
 }
 
-// likelihood returns how many times likelier so many bad answers are for a
-// version that has more of them than usual. It is the mean over several shares,
-// so that its chance to exceed 1/p for a sound version is below p, however often
-// it is looked at.
-func likelihood(a answers, usual float64) float64 {
+// likelihoodRatio returns how much more likely the observed bad answers are for a
+// version that exceeds the baseline than for one at the baseline. It is the mean over
+// several excesses. For a sound version, the probability that it ever exceeds 1/p is
+// below p, however often it is tested.
+func likelihoodRatio(a answers, baseline float64) float64 {
 	sum := 0.0
 	for _, excess := range excesses {
-		share := min(usual+excess, 0.99)
-		sum += math.Exp(float64(a.bad)*math.Log(share/usual) + float64(a.all-a.bad)*math.Log((1-share)/(1-usual)))
+		share := min(baseline+excess, 0.99)
+		sum += math.Exp(float64(a.bad)*math.Log(share/baseline) + float64(a.total-a.bad)*math.Log((1-share)/(1-baseline)))
 	}
 	return sum / float64(len(excesses))
 }
--- a/internal/route/canary/plan.go
+++ b/internal/route/canary/plan.go
@@ -5,59 +5,64 @@
 )
 
 const (
-	// leastUse and mostUse bound which part of what a candidate may get is spent
-	// before the promotion. The promotion needs the rest.
-	leastUse, mostUse = 0.35, 0.8
-	// firstUse is that part until the rates of routes are known, after ratesKnown.
-	firstUse   = 0.5
-	ratesKnown = clock.Second
-	// mostShare bounds the part of one route's requests that the candidate gets.
-	mostShare = 0.75
-	// spareUse is the part of Bounds.Spare that is counted on: counts are some
-	// hundred milliseconds old.
-	spareUse = 0.7
+	// minUse and maxUse bound the part of the candidate's allowed requests that is
+	// spent before the promotion. The promotion needs the rest.
+	minUse, maxUse = 0.35, 0.8
+	// initialUse is that part until the request rates of the routes are known, which
+	// takes ratesKnownAfter.
+	initialUse      = 0.5
+	ratesKnownAfter = clock.Second
+	// maxShare is the largest share of a route's requests that the candidate gets
+	// before its promotion.
+	maxShare = 0.75
+	// baseUse is the part of Bounds.Base that the plan spends. The rest is kept
+	// because counts are some hundred milliseconds old.
+	baseUse = 0.7
 	// A route's new requests go to the candidate some time before the completion, so
-	// that those at the old endpoints end. Requests that may not run again need
-	// runTimes their mean duration, within leastRun and mostRun; others go on at the
-	// new endpoints and need leastRun. If the bounds pay for it, all have wantedRun,
-	// in which the candidate shows how it bears the whole load.
-	leastRun  = 250 * clock.Millis(1)
-	wantedRun = 1500 * clock.Millis(1)
-	mostRun   = 4 * clock.Second
-	runTimes  = 2.5
-	// completeBefore is how long before the deadline a rollout is completed: the
-	// store may need another try. Short of what the bounds pay for, it is leastBefore,
-	// and lastBefore if more was spent than planned.
-	completeBefore = 800 * clock.Millis(1)
-	leastBefore    = 450 * clock.Millis(1)
-	lastBefore     = 200 * clock.Millis(1)
-	// countLag is how old counts are: what is sent meanwhile is not in them.
+	// that open requests at the old endpoints can end. Requests that may not run again
+	// need leadFactor times their mean duration, within minLead and maxLead. Others
+	// can continue at the new endpoints and need only minLead. If the bounds allow it,
+	// all routes get preferredLead, in which the candidate is observed under the full
+	// load.
+	minLead       = 250 * clock.Millis(1)
+	preferredLead = 1500 * clock.Millis(1)
+	maxLead       = 4 * clock.Second
+	leadFactor    = 2.5
+	// completionLead is how long before the deadline a rollout is completed; the rest
+	// of the time allows another attempt at the store. It is minCompletionLead if the
+	// bounds allow too few requests, and lastCompletionLead if more requests were
+	// spent than planned.
+	completionLead     = 800 * clock.Millis(1)
+	minCompletionLead  = 450 * clock.Millis(1)
+	lastCompletionLead = 200 * clock.Millis(1)
+	// countLag is the age of the counts. They don't include requests sent since.
 	countLag = 350 * clock.Millis(1)
-	// lookEvery is about how often a plan is made.
-	lookEvery = 100 * clock.Millis(1)
-	// margin is how many requests are kept in hand for the promotion: counts are some
-	// hundred milliseconds old.
-	margin = 8
-	// MinAnswers is how many answers of a candidate are needed to promote it.
+	// planInterval is the approximate time between two plans.
+	planInterval = 100 * clock.Millis(1)
+	// promotionMargin is the number of requests kept free for the promotion, because
+	// counts are some hundred milliseconds old.
+	promotionMargin = 8
+	// MinAnswers is the number of a candidate's answers that its promotion requires.
 	MinAnswers = 5
 )
 
-// Plan is what a pool's processes do now.
+// Plan tells the processes of a pool where to send new requests.
 type Plan struct {
-	// Shares is the part of each route's new requests that goes to the candidate,
-	// Other that of routes without counts.
+	// Shares is the share of each route's new requests that goes to the candidate,
+	// DefaultShare that of routes without counts.
 	Shares       map[string]float64
 	DefaultShare float64
-	// Promoting is set if all requests of some route go to the candidate, Due if the
-	// rollout is to be decided now.
+	// Promoting is set once all requests of some route go to the candidate, Due when
+	// the rollout is to be decided now.
 	Promoting bool
 	Due       bool
-	// OverBudget is set if the bounds don't allow the requests between the completion and
-	// the deadline: the order is too short for its traffic, and is not promoted.
+	// OverBudget is set if the bounds don't allow the requests between completion and
+	// deadline. The rollout is then too short for its traffic, and the candidate is
+	// not promoted.
 	OverBudget bool
 }
 
-// Share returns the part of a route's new requests that goes to the candidate.
+// Share returns the share of a route's new requests that goes to the candidate.
 func (p *Plan) Share(route string) float64 {
 	if share, found := p.Shares[route]; found {
 		return share
@@ -65,50 +70,51 @@
 	return p.DefaultShare
 }
 
-// traffic is the requests of one route.
+// traffic describes the requests of one route.
 type traffic struct {
 	route string
-	// rate is requests a millisecond; needed and wanted are how long before the
-	// completion they go to the candidate, in milliseconds.
-	rate, needed, wanted float64
+	// rate is in requests per millisecond. neededLead and preferredLead are how long
+	// before the completion all requests go to the candidate, in milliseconds.
+	rate, neededLead, preferredLead float64
 }
 
-// NewPlan returns what to do so long after an order, by what was counted since.
-// Repeats reports whether requests of a route may run again.
+// NewPlan returns the plan for the given time after the order, from the counts since
+// the order. repeatable reports whether requests of a route may run again.
 //
-// A candidate may turn bad just before it is promoted, and must not have got more
-// than the bounds allow by then: the promotion begins no earlier than they pay for
-// all requests until the deadline. Once counts are lost, Bounds.Spare counts as spent.
-func NewPlan(order Order, bounds Bounds, e *Evidence, elapsed clock.Millis, repeats func(route string) bool) *Plan {
+// A candidate may turn bad just before it is promoted, and must not have received more
+// requests than the bounds allow by then. The promotion therefore starts only when the
+// bounds allow all requests until the deadline. Once counts are lost, Bounds.Base
+// counts as spent.
+func NewPlan(order Order, bounds Bounds, e *Evidence, elapsed clock.Millis, repeatable func(route string) bool) *Plan {
 	if e.Restarted {
 		bounds.Base = 0
 	}
 	sent, candidate, _ := e.Totals()
-	routes := trafficOf(e, elapsed, repeats)
-	all := 0.0
+	routes := trafficOf(e, elapsed, repeatable)
+	totalRate := 0.0
 	for _, r := range routes {
-		all += r.rate
-	}
-	left := float64(max(order.Duration-elapsed, 0))
-	total := bounds.Share*(float64(sent)+all*left) + spareUse*bounds.Base
-	before, needed, wanted := promotion(routes, total-float64(candidate))
-	use := firstUse * bounds.Share
-	if elapsed >= ratesKnown && all > 0 {
-		reserve := all*float64(completeBefore) + sum(routes, func(r traffic) float64 { return r.needed })
-		requests := all * float64(order.Duration)
-		use = min(max((total-reserve)/requests, leastUse*bounds.Share), mostUse*total/requests, mostShare)
-	}
-	plan := canaryPlan(use, routes, all)
-	spent := float64(candidate) > bounds.Share*float64(sent)+spareUse*bounds.Base
-	if spent || (elapsed >= ratesKnown && total-float64(candidate) < all*float64(leastBefore)+margin) {
+		totalRate += r.rate
+	}
+	remaining := float64(max(order.Duration-elapsed, 0))
+	allowed := bounds.Share*(float64(sent)+totalRate*remaining) + baseUse*bounds.Base
+	completion, neededPart, preferredPart := promotionTiming(routes, allowed-float64(candidate))
+	use := initialUse * bounds.Share
+	if elapsed >= ratesKnownAfter && totalRate > 0 {
+		reserve := totalRate*float64(completionLead) + requestsDuring(routes, func(r traffic) float64 { return r.neededLead })
+		requests := totalRate * float64(order.Duration)
+		use = min(max((allowed-reserve)/requests, minUse*bounds.Share), maxUse*allowed/requests, maxShare)
+	}
+	plan := canaryPlan(use, routes, totalRate)
+	overspent := float64(candidate) > bounds.Share*float64(sent)+baseUse*bounds.Base
+	if overspent || (elapsed >= ratesKnownAfter && allowed-float64(candidate) < totalRate*float64(minCompletionLead)+promotionMargin) {
 		plan = &Plan{Shares: map[string]float64{}}
 	}
-	plan.Due = left <= before
-	if plan.OverBudget = total-float64(candidate) < all*before; plan.OverBudget {
+	plan.Due = remaining <= completion
+	if plan.OverBudget = allowed-float64(candidate) < totalRate*completion; plan.OverBudget {
 		return plan
 	}
 	for _, r := range routes {
-		if left <= before+needed*r.needed+wanted*(r.wanted-r.needed) {
+		if remaining <= completion+neededPart*r.neededLead+preferredPart*(r.preferredLead-r.neededLead) {
 			plan.Shares[r.route], plan.Promoting = 1, true
 		}
 	}
@@ -118,32 +124,33 @@
 	return plan
 }
 
-// promotion returns how long before the deadline a rollout is completed, and which
-// parts of the needed and of the wanted times before that so many requests allow.
-func promotion(routes []traffic, allowed float64) (before, needed, wanted float64) {
-	before = float64(completeBefore)
-	rate := sum(routes, func(traffic) float64 { return 1 })
-	needs := sum(routes, func(r traffic) float64 { return r.needed })
-	if rate*before+needs > allowed {
-		before = float64(leastBefore)
-	}
-	if rate*before > allowed {
-		before = float64(lastBefore)
-	}
-	allowed = max(allowed-rate*before, 0)
-	if inHand := margin + rate*float64(lookEvery); needs > max(allowed-inHand, 0) {
-		return before, max(allowed-inHand, 0) / needs, 0
-	}
-	wants := sum(routes, func(r traffic) float64 { return r.wanted - r.needed })
-	spare := max(allowed-needs-rate*float64(countLag), 0)
-	if wants == 0 {
-		return before, 1, 0
-	}
-	return before, 1, min(spare/wants, 1)
+// promotionTiming returns how long before the deadline a rollout is completed, and
+// which fractions of the needed and of the preferred leads the allowed requests cover.
+func promotionTiming(routes []traffic, allowed float64) (completion, neededPart, preferredPart float64) {
+	completion = float64(completionLead)
+	rate := requestsDuring(routes, func(traffic) float64 { return 1 })
+	neededRequests := requestsDuring(routes, func(r traffic) float64 { return r.neededLead })
+	if rate*completion+neededRequests > allowed {
+		completion = float64(minCompletionLead)
+	}
+	if rate*completion > allowed {
+		completion = float64(lastCompletionLead)
+	}
+	allowed = max(allowed-rate*completion, 0)
+	if reserve := promotionMargin + rate*float64(planInterval); neededRequests > max(allowed-reserve, 0) {
+		return completion, max(allowed-reserve, 0) / neededRequests, 0
+	}
+	preferredRequests := requestsDuring(routes, func(r traffic) float64 { return r.preferredLead - r.neededLead })
+	remaining := max(allowed-neededRequests-rate*float64(countLag), 0)
+	if preferredRequests == 0 {
+		return completion, 1, 0
+	}
+	return completion, 1, min(remaining/preferredRequests, 1)
 }
 
-// sum returns how many requests come in the times that a function gives.
-func sum(routes []traffic, span func(traffic) float64) float64 {
+// requestsDuring returns the expected number of requests in the period that span
+// returns for each route.
+func requestsDuring(routes []traffic, span func(traffic) float64) float64 {
 	count := 0.0
 	for _, r := range routes {
 		count += r.rate * span(r)
@@ -151,51 +158,51 @@
 	return count
 }
 
-func trafficOf(e *Evidence, elapsed clock.Millis, repeats func(string) bool) []traffic {
+func trafficOf(e *Evidence, elapsed clock.Millis, repeatable func(string) bool) []traffic {
 	var routes []traffic
 	for _, route := range e.Routes() {
-		stable, candidate := orNone(e.Stable[route]), e.CandidateCounts(route)
+		stable, candidate := orEmpty(e.Stable[route]), e.CandidateCounts(route)
 		if stable.Sent+candidate.Sent == 0 {
-			continue // answers of another kind than requests
+			continue // counts of something other than requests, such as pauses in streams
 		}
-		r := traffic{route: route, needed: float64(leastRun), rate: float64(stable.Sent+candidate.Sent) / float64(max(elapsed, 1))}
-		if stable.Answers > 0 && !repeats(route) {
-			r.needed = min(max(runTimes*float64(stable.TotalMs)/float64(stable.Answers), float64(leastRun)), float64(mostRun))
+		r := traffic{route: route, neededLead: float64(minLead), rate: float64(stable.Sent+candidate.Sent) / float64(max(elapsed, 1))}
+		if stable.Answers > 0 && !repeatable(route) {
+			r.neededLead = min(max(leadFactor*float64(stable.TotalMs)/float64(stable.Answers), float64(minLead)), float64(maxLead))
 		}
-		r.wanted = max(r.needed, float64(wantedRun))
+		r.preferredLead = max(r.neededLead, float64(preferredLead))
 		routes = append(routes, r)
 	}
 	return routes
 }
 
-// canaryPlan gives the candidate one half of its share from all routes alike, and
-// the other half in equal numbers from each, so that one with few requests is
-// tried as well.
-func canaryPlan(use float64, routes []traffic, all float64) *Plan {
-	plan := &Plan{Shares: make(map[string]float64, len(routes)), DefaultShare: use}
+// canaryPlan takes one half of the candidate's share from all routes in proportion to
+// their requests, and the other half in equal numbers from each route, so that routes
+// with few requests are tested too.
+func canaryPlan(share float64, routes []traffic, totalRate float64) *Plan {
+	plan := &Plan{Shares: make(map[string]float64, len(routes)), DefaultShare: share}
 	for _, r := range routes {
 		if r.rate > 0 {
-			plan.Shares[r.route] = min(use/2+use/2*all/(float64(len(routes))*r.rate), mostShare)
+			plan.Shares[r.route] = min(share/2+share/2*totalRate/(float64(len(routes))*r.rate), maxShare)
 		}
 	}
 	return plan
 }
 
-// ActiveEndpoints returns how many of a candidate's endpoints are tried at a time, so
-// that each bears about what one of the version in force does.
-func ActiveEndpoints(share float64, all int) int {
-	const least = 2
-	return min(max(int(share*float64(all)+0.5), least), all)
+// ActiveEndpoints returns how many of a candidate's endpoints get requests at a time,
+// so that each of them gets about as many as an endpoint of the version in force.
+func ActiveEndpoints(share float64, total int) int {
+	const minActive = 2
+	return min(max(int(share*float64(total)+0.5), minActive), total)
 }
 
-// turn is how long the same endpoints are tried.
-const turn = 1500 * clock.Millis(1)
+// rotation is the time for which the same endpoints are active.
+const rotation = 1500 * clock.Millis(1)
 
-// FirstActive returns the position of the first of so many endpoints that are tried so
-// long after an order; the others follow it. All have their turn.
-func FirstActive(elapsed clock.Millis, tried, all int) int {
-	if all == 0 {
+// FirstActive returns the index of the first active endpoint at the given time after
+// the order; the other active ones follow it. All endpoints take turns.
+func FirstActive(elapsed clock.Millis, active, total int) int {
+	if total == 0 {
 		return 0
 	}
-	return int(elapsed/turn) * tried % all
+	return int(elapsed/rotation) * active % total
 }
