--- a/internal/route/pick/imbalance_test.go
+++ b/internal/route/pick/imbalance_test.go
@@ -15,10 +15,10 @@
 
 func millis(span int64) clock.Millis { return clock.Millis(span) }
 
-// arena is a discrete simulation of the choice alone: entries that choose,
-// endpoints that serve all their work side by side, and reports that tell each
-// entry an endpoint's load as it was one lag ago, once a lag.
-type arena struct {
+// simulation models only the choice, in discrete time. Entries choose
+// endpoints, endpoints serve all their calls in parallel, and each entry receives the
+// load of each endpoint once per lag, as it was one lag before.
+type simulation struct {
 	endpoints, limit int
 	entries          int
 	lag              clock.Millis
@@ -27,9 +27,9 @@
 }
 
 const (
-	arenaService = 200 // mean service time in milliseconds
-	arenaSpan    = 12_000
-	arenaWarm    = 4_000
+	meanServiceTime = 200 // mean service time in milliseconds
+	simulatedTime   = 12_000
+	warmupTime      = 4_000
 )
 
 type finish struct {
@@ -37,43 +37,44 @@
 	sent            int
 }
 
-// run returns the mean over time of max over mean of the work in flight.
-func (a arena) run(seed uint64) float64 {
-	draw := rand.New(rand.NewPCG(seed, 1))
-	views := make([]*pool.View, a.entries)
-	pickers := make([]*pick.Picker, a.entries)
+// run returns the mean over time of the maximum divided by the mean of the calls in
+// flight.
+func (s simulation) run(seed uint64) float64 {
+	random := rand.New(rand.NewPCG(seed, 1))
+	views := make([]*pool.View, s.entries)
+	pickers := make([]*pick.Picker, s.entries)
 	for i := range views {
 		p := pool.New("a")
-		for e := range a.endpoints {
+		for e := range s.endpoints {
 			p.Add(pool.Identity{Name: fmt.Sprintf("e%03d", e), AvailabilityZone: "a"}, 0).
-				SetReport(0, pool.Report{Limit: a.limit})
+				SetReport(0, pool.Report{Limit: s.limit})
 		}
 		views[i] = p.View()
-		pickers[i] = pick.New(pick.WithPolicy(a.policy), pick.WithRandom(draw.IntN))
+		pickers[i] = pick.New(pick.WithPolicy(s.policy), pick.WithRandom(random.IntN))
 	}
-	work := make([]int, a.endpoints)
-	history := make([][]int, 0, arenaSpan)
+	work := make([]int, s.endpoints)
+	history := make([][]int, 0, simulatedTime)
 	ends := make(map[int][]finish)
-	rate := float64(a.endpoints*a.limit) * a.utilisation / arenaService
+	rate := float64(s.endpoints*s.limit) * s.utilisation / meanServiceTime
 	due, sum, samples := 0.0, 0.0, 0
-	for now := range arenaSpan {
+	for now := range simulatedTime {
 		for _, f := range ends[now] {
 			work[f.endpoint]--
 			views[f.entry].Near[f.endpoint].RecordAnswer(clock.Millis(now), clock.Millis(now-f.sent))
 		}
 		delete(ends, now)
 		history = append(history, append([]int{}, work...))
-		a.report(views, history, now)
+		s.report(views, history, now)
 		for due += rate; due >= 1; due-- {
-			entry := draw.IntN(a.entries)
+			entry := random.IntN(s.entries)
 			chosen := pickers[entry].Pick(clock.Millis(now), views[entry], &pick.Avoid{})
 			endpoint := index(views[entry], chosen)
 			chosen.RecordSend()
 			work[endpoint]++
-			span := 1 + int(math.Min(draw.ExpFloat64(), 5)*arenaService)
+			span := 1 + int(math.Min(random.ExpFloat64(), 5)*meanServiceTime)
 			ends[now+span] = append(ends[now+span], finish{entry: entry, endpoint: endpoint, sent: now})
 		}
-		if now > arenaWarm {
+		if now > warmupTime {
 			sum += imbalance(work)
 			samples++
 		}
@@ -81,17 +82,17 @@
 	return sum / float64(samples)
 }
 
-// report tells each entry the load of each endpoint one lag ago, at instants
+// report sends each entry the load of each endpoint as it was one lag ago, at instants
 // spread over the lag.
-func (a arena) report(views []*pool.View, history [][]int, now int) {
-	lag := int(a.lag)
+func (s simulation) report(views []*pool.View, history [][]int, now int) {
+	lag := int(s.lag)
 	if now < lag {
 		return
 	}
 	for i, view := range views {
 		for e, endpoint := range view.Near {
 			if (now+i*37+e*13)%lag == 0 {
-				endpoint.SetReport(clock.Millis(now), pool.Report{Load: history[now-lag][e], Limit: a.limit, Age: a.lag})
+				endpoint.SetReport(clock.Millis(now), pool.Report{Load: history[now-lag][e], Limit: s.limit, Age: s.lag})
 			}
 		}
 	}
@@ -118,30 +119,30 @@
 	return float64(most) * float64(len(work)) / float64(sum)
 }
 
-// Entries that all follow the same old report send their work to the same
-// endpoint, which then falls behind while others idle. The choice must not be
-// clearly worse than random even when reports are three seconds old.
-func TestNoHerdUnderReportLag(t *testing.T) {
+// Guards against entries that all send to the endpoint that had the least load in an
+// old report, so that it is overloaded while others are idle. The choice must not be
+// clearly worse than a random one, even with reports that are three seconds old.
+func TestNoHerdWithStaleReports(t *testing.T) {
 	for _, entries := range []int{1, 4, 16} {
-		a := arena{endpoints: 20, limit: 8, entries: entries, lag: 3000, utilisation: 0.7}
-		a.policy = pick.PowerOfTwo
-		chosen := a.run(1)
-		a.policy = pick.Random
-		assert.Assert(t, chosen < a.run(1), "entries %d", entries)
+		s := simulation{endpoints: 20, limit: 8, entries: entries, lag: 3000, utilisation: 0.7}
+		s.policy = pick.PowerOfTwo
+		chosen := s.run(1)
+		s.policy = pick.Random
+		assert.Assert(t, chosen < s.run(1), "entries %d", entries)
 	}
 }
 
-// BenchmarkImbalance prints max over mean of the work in flight; the table in
-// docs/design/routing.md comes from it.
+// BenchmarkImbalance reports the maximum divided by the mean of the calls in flight.
+// The table in docs/design/routing.md comes from it.
 func BenchmarkImbalance(b *testing.B) {
 	for _, entries := range []int{1, 4, 16} {
 		for _, lag := range []clock.Millis{200, 1000, 3000} {
 			for _, policy := range pick.Policies() {
 				b.Run(fmt.Sprintf("entries=%d/lag=%d/%s", entries, lag, policy), func(b *testing.B) {
-					a := arena{endpoints: 20, limit: 8, entries: entries, lag: lag, utilisation: 0.7, policy: policy}
+					s := simulation{endpoints: 20, limit: 8, entries: entries, lag: lag, utilisation: 0.7, policy: policy}
 					sum := 0.0
 					for i := range b.N {
-						sum += a.run(uint64(i))
+						sum += s.run(uint64(i))
 					}
 					b.ReportMetric(sum/float64(b.N), "max/mean")
 				})
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -1,4 +1,4 @@
-// Package pick chooses the endpoint for one attempt of one stage.
+// Package pick chooses the endpoint for one attempt of a stage.
 package pick
 
 import (
@@ -9,55 +9,58 @@
 	"github.com/jujubescale/jujubescale/internal/route/pool"
 )
 
-// Policy is a way to choose. The last two are the kept baselines.
+// Policy is a way to choose an endpoint. RoundRobin and Random are baselines for
+// comparison.
 type Policy string
 
-// Policies of choice.
+// Policies.
 const (
 	PowerOfTwo Policy = "powerOfTwo"
 	RoundRobin Policy = "roundRobin"
 	Random     Policy = "random"
 )
 
-// Policies returns every policy.
+// Policies returns all policies.
 func Policies() []Policy { return []Policy{PowerOfTwo, RoundRobin, Random} }
 
-// Limits of utilisation in thousandths of what an endpoint bears.
+// Thresholds of utilisation, in thousandths of an endpoint's limit.
 const (
-	// hot: from here on the emptier endpoint wins, below it the faster one.
-	hot = 600
-	// Full is what an endpoint bears; beyond it the choice looks further than the ones drawn.
+	// hotThreshold is the utilisation above which the less loaded of two endpoints is
+	// chosen; below it, the faster one is.
+	hotThreshold = 600
+	// Full is the utilisation at the limit. If the drawn endpoints exceed it, more
+	// endpoints are compared.
 	Full = 1000
 )
 
-// oneCall is one call in the unit of loads.
-const oneCall = 1000
+// callUnit is one call in the unit of Endpoint.Load.
+const callUnit = 1000
 
-// farPenalty is added to the utilisation of an endpoint in another zone, in
-// thousandths: a hop between zones costs a millisecond or so, and work stays
-// near unless the near ones are clearly fuller.
-const farPenalty = 100
+// remotePenalty is added to the utilisation of an endpoint in another zone, in
+// thousandths. A hop between zones costs about a millisecond, so that work stays in
+// the zone unless its endpoints are clearly more loaded.
+const remotePenalty = 100
 
-// latencyFactor is how many times slower an endpoint has to be to lose to one
-// that is not hot. Small differences are noise, and always following them
-// would send all entries to the same endpoint.
+// latencyFactor is how many times slower an endpoint must be to lose against one that
+// is not hot. Smaller differences are noise; following them would send the requests of
+// all entries to the same endpoint.
 const latencyFactor = 2
 
-// maxAvoid bounds the endpoints that one request has tried.
-const maxAvoid = 8
+// maxTried limits the number of tried endpoints that are remembered for one request.
+const maxTried = 8
 
-// Avoid is what an attempt stays away from: endpoints that were tried, and a
-// zone that showed a fault. It is a value and needs no allocation.
+// Avoid holds what an attempt avoids: the endpoints already tried, and a zone that
+// showed a fault. It is a value and needs no allocation.
 type Avoid struct {
-	tried [maxAvoid]*pool.Endpoint
+	tried [maxTried]*pool.Endpoint
 	count int
-	// Zone is used only if nothing is left elsewhere.
+	// Zone is avoided unless no endpoint elsewhere is left.
 	Zone string
 }
 
-// Add remembers a tried endpoint.
+// Add adds a tried endpoint.
 func (a *Avoid) Add(endpoint *pool.Endpoint) {
-	if a.count < maxAvoid {
+	if a.count < maxTried {
 		a.tried[a.count] = endpoint
 		a.count++
 	}
@@ -72,27 +75,27 @@
 	return false
 }
 
-func (a *Avoid) bars(endpoint *pool.Endpoint) bool {
+func (a *Avoid) excludes(endpoint *pool.Endpoint) bool {
 	return a.has(endpoint) || (a.Zone != "" && a.Zone == endpoint.AvailabilityZone)
 }
 
-// Picker chooses endpoints. It is safe for use by several goroutines.
+// Picker chooses endpoints. It is safe for concurrent use.
 type Picker struct {
 	policy Policy
 	next   atomic.Uint64
 	draw   func(n int) int
 }
 
-// Option changes a Picker while it is built.
+// Option configures a Picker.
 type Option func(*Picker)
 
-// WithPolicy replaces the policy.
+// WithPolicy sets the policy.
 func WithPolicy(policy Policy) Option { return func(p *Picker) { p.policy = policy } }
 
-// WithRandom replaces the source of random numbers below n.
+// WithRandom sets the source of random numbers; draw returns one in [0, n).
 func WithRandom(draw func(n int) int) Option { return func(p *Picker) { p.draw = draw } }
 
-// New returns a picker that uses the power of two choices.
+// New returns a picker with the policy PowerOfTwo.
 func New(opts ...Option) *Picker {
 	p := &Picker{policy: PowerOfTwo, draw: rand.IntN}
 	for _, opt := range opts {
@@ -101,8 +104,8 @@
 	return p
 }
 
-// Pick returns the endpoint for the next attempt, or nil if none is left that
-// was not tried. A zone to avoid is used only when nothing else is left.
+// Pick returns the endpoint for the next attempt, or nil if all have been tried. An
+// endpoint in the avoided zone is chosen only if no other is left.
 func (p *Picker) Pick(now clock.Millis, view *pool.View, avoid *Avoid) *pool.Endpoint {
 	if view.Len() == 0 {
 		return nil
@@ -121,27 +124,28 @@
 func (p *Picker) byPolicy(now clock.Millis, view *pool.View, avoid *Avoid) *pool.Endpoint {
 	switch p.policy {
 	case RoundRobin:
-		return firstFrom(view, int(p.next.Add(1)%uint64(view.Len())), avoid)
+		return firstAllowed(view, int(p.next.Add(1)%uint64(view.Len())), avoid)
 	case Random:
-		return firstFrom(view, p.draw(view.Len()), avoid)
+		return firstAllowed(view, p.draw(view.Len()), avoid)
 	default:
 		return p.twoChoices(now, view, avoid)
 	}
 }
 
-// firstFrom returns the first endpoint from a place on that may be used.
-func firstFrom(view *pool.View, start int, avoid *Avoid) *pool.Endpoint {
+// firstAllowed returns the first allowed endpoint at or after index start.
+func firstAllowed(view *pool.View, start int, avoid *Avoid) *pool.Endpoint {
 	for i := range view.Len() {
-		if endpoint := view.At((start + i) % view.Len()); !avoid.bars(endpoint) {
+		if endpoint := view.At((start + i) % view.Len()); !avoid.excludes(endpoint) {
 			return endpoint
 		}
 	}
 	return nil
 }
 
-// twoChoices draws two in the own zone and two elsewhere. A near one that is
-// neither hot nor a straggler wins; else the emptier one by the cost of the
-// way; and if all four are full, the emptiest of a longer look.
+// twoChoices draws two endpoints in the own zone and two elsewhere. The better one in
+// the zone is chosen if it is neither hot nor a straggler. Otherwise the less loaded
+// of the near and the far one is chosen, with remotePenalty added to the far one. If
+// the chosen one is full, more endpoints are compared.
 func (p *Picker) twoChoices(now clock.Millis, view *pool.View, avoid *Avoid) *pool.Endpoint {
 	near := p.drawTwo(now, view.Near, avoid)
 	far := p.drawTwo(now, view.Far, avoid)
@@ -151,41 +155,41 @@
 		}
 		return near
 	}
-	chosen := nearer(now, near, far)
+	chosen := betterZone(now, near, far)
 	if chosen != nil && chosen.Utilisation(now) <= Full {
 		return chosen
 	}
-	return emptiest(now, view, avoid, p.draw(view.Len()))
+	return leastLoaded(now, view, avoid, p.draw(view.Len()))
 }
 
-// farTime is the time that a way to another zone and back may cost at most, in
-// microseconds.
-const farTime = 5000
+// remoteTripTime is the longest expected round trip to another zone, in microseconds.
+const remoteTripTime = 5000
 
-// isStraggler reports whether the near endpoint is so slow that the way to a
-// far one with room pays. A zone with one endpoint of a pool has no near
-// alternative to it.
+// isStraggler reports whether the near endpoint is so slow that a remote one that is
+// not hot is faster despite the longer way. A zone with a single endpoint of a pool
+// has no near alternative to a straggler.
 func isStraggler(now clock.Millis, near, far *pool.Endpoint) bool {
 	if far == nil || isHot(now, far) {
 		return false
 	}
 	slow, fast := near.Latency(now), far.Latency(now)
-	return fast > 0 && slow > latencyFactor*fast+farTime
+	return fast > 0 && slow > latencyFactor*fast+remoteTripTime
 }
 
-// isHot reports whether an endpoint has little room left. An idle one is not
-// hot, however small its limit: a cold endpoint that bears one call would
-// otherwise look full before it got any.
+// isHot reports whether an endpoint has little capacity left. An idle endpoint is
+// never hot: with a small limit, such as that of a cold endpoint, its utilisation
+// would be above the threshold before its first call.
 func isHot(now clock.Millis, endpoint *pool.Endpoint) bool {
-	return endpoint.Utilisation(now) > hot && endpoint.Load(now) >= oneCall
+	return endpoint.Utilisation(now) > hotThreshold && endpoint.Load(now) >= callUnit
 }
 
-// nearer takes the far endpoint only if it is emptier by the cost of the way.
-func nearer(now clock.Millis, near, far *pool.Endpoint) *pool.Endpoint {
+// betterZone returns the near endpoint unless the far one is less loaded by more than
+// remotePenalty.
+func betterZone(now clock.Millis, near, far *pool.Endpoint) *pool.Endpoint {
 	if near == nil {
 		return far
 	}
-	if far == nil || near.Utilisation(now) <= far.Utilisation(now)+farPenalty {
+	if far == nil || near.Utilisation(now) <= far.Utilisation(now)+remotePenalty {
 		return near
 	}
 	return far
@@ -198,26 +202,26 @@
 	}
 	first := from[p.draw(n)]
 	if n == 1 {
-		return unlessBarred(first, avoid)
+		return unlessExcluded(first, avoid)
 	}
-	// The second is another one: draw among the rest by a shift.
+	// Draw from the remaining endpoints by replacing the first with the last.
 	second := from[p.draw(n-1)]
 	if second == first {
 		second = from[n-1]
 	}
-	return better(now, unlessBarred(first, avoid), unlessBarred(second, avoid))
+	return better(now, unlessExcluded(first, avoid), unlessExcluded(second, avoid))
 }
 
-func unlessBarred(endpoint *pool.Endpoint, avoid *Avoid) *pool.Endpoint {
-	if avoid.bars(endpoint) {
+func unlessExcluded(endpoint *pool.Endpoint, avoid *Avoid) *pool.Endpoint {
+	if avoid.excludes(endpoint) {
 		return nil
 	}
 	return endpoint
 }
 
-// better compares as Prequal does, load before latency: an endpoint that is
-// hot loses to one that is not; two hot ones compare by load; two that are not
-// compare by latency if it clearly differs (a straggler), else by load.
+// better compares two endpoints as Prequal does, load before latency: a hot endpoint
+// loses to one that is not hot; two hot ones are compared by load; two that are not
+// hot by latency if it differs clearly (one is a straggler), and by load otherwise.
 func better(now clock.Millis, a, b *pool.Endpoint) *pool.Endpoint {
 	if a == nil {
 		return b
@@ -242,27 +246,27 @@
 	return a
 }
 
-// scanned bounds the endpoints that emptiest compares.
-const scanned = 16
+// maxScanned limits how many endpoints leastLoaded compares.
+const maxScanned = 16
 
-// emptiest compares more endpoints, since when the drawn ones are full a
-// longer look is cheaper than a refused hop. It starts at a drawn place, so
-// that entries which see the same loads don't all take the same one, and goes
-// on past its bound only while it found none that was not tried.
-func emptiest(now clock.Millis, view *pool.View, avoid *Avoid, start int) *pool.Endpoint {
+// leastLoaded compares more endpoints than the drawn ones, which is cheaper than a
+// call that is refused because the endpoint is full. It starts at a random index, so
+// that entries with the same loads don't all choose the same endpoint. It exceeds
+// maxScanned only until it finds an allowed endpoint.
+func leastLoaded(now clock.Millis, view *pool.View, avoid *Avoid, start int) *pool.Endpoint {
 	var best *pool.Endpoint
 	var least int64
-	for i, n := 0, view.Len(); i < n && (i < scanned || best == nil); i++ {
-		place := start + i
-		if place >= n {
-			place -= n
+	for i, n := 0, view.Len(); i < n && (i < maxScanned || best == nil); i++ {
+		index := start + i
+		if index >= n {
+			index -= n
 		}
-		endpoint := view.At(place)
+		endpoint := view.At(index)
 		load := endpoint.Utilisation(now)
-		if place >= len(view.Near) {
-			load += farPenalty
+		if index >= len(view.Near) {
+			load += remotePenalty
 		}
-		if (best == nil || load < least) && !avoid.bars(endpoint) {
+		if (best == nil || load < least) && !avoid.excludes(endpoint) {
 			best, least = endpoint, load
 		}
 	}
--- a/internal/route/pick/pick_test.go
+++ b/internal/route/pick/pick_test.go
@@ -21,7 +21,7 @@
 	return p
 }
 
-func many(zone string, n int) []string {
+func repeatZone(zone string, n int) []string {
 	zones := make([]string, n)
 	for i := range zones {
 		zones[i] = zone
@@ -29,10 +29,10 @@
 	return zones
 }
 
-// A retry that goes to an endpoint that has just failed fails again, and the
-// caller's time is spent. Whatever the loads are, a tried endpoint is never
-// chosen again, and another one is found as long as there is one.
-func TestNeverPicksTriedEndpoint(t *testing.T) {
+// Guards against a retry at an endpoint that has just failed, which fails again and
+// wastes the caller's time. A tried endpoint is not chosen again at any load, and
+// another one is found as long as there is one.
+func TestTriedEndpointIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 8).Draw(t, "zones")
 		view := newPool(zones...).View()
@@ -53,9 +53,9 @@
 	})
 }
 
-// A rack or zone fails: calls to it break one after the other. A retry must
-// look elsewhere first, but use the zone if it is all there is.
-func TestZoneWithFaultComesLast(t *testing.T) {
+// Guards against retries in a failing rack or zone. They go to other zones first, and
+// to the failing zone only if nothing else is left.
+func TestFailingZoneIsPickedLast(t *testing.T) {
 	picker := pick.New()
 	view := newPool("a", "a", "a", "b").View()
 	avoid := &pick.Avoid{Zone: "a"}
@@ -80,8 +80,8 @@
 	}
 }
 
-// One endpoint in the pool is a straggler. It has little work in flight since
-// its calls are slow to come, so load alone would keep choosing it.
+// Guards against choosing a straggler by load alone: it has few calls in flight
+// because it gets few.
 func TestStragglerLosesToFasterEndpoint(t *testing.T) {
 	view := newPool("a", "a").View()
 	for i, span := range []int64{400, 20} {
@@ -95,10 +95,10 @@
 	assert.Equal(t, pick.New().Pick(1, view, &pick.Avoid{}), view.Near[1])
 }
 
-// The only near endpoint of a pool is a straggler. Its zone has no other, so
-// work must go to the next zone; and once its slow spell is forgotten it is
-// tried again, or it would never get work any more.
-func TestNearStragglerLosesUntilItsTimesAreOld(t *testing.T) {
+// Guards against a straggler that gets all work because it is the only endpoint in the
+// zone, and against avoiding it forever: it is tried again once its latency is too
+// old.
+func TestNearStragglerLosesUntilItsLatencyIsStale(t *testing.T) {
 	view := newPool("a", "b").View()
 	for now := range clock.Millis(20) {
 		view.Near[0].RecordSend()
@@ -114,7 +114,7 @@
 	for _, policy := range pick.Policies() {
 		for _, load := range []int{2, 9} {
 			b.Run(fmt.Sprintf("%s/load=%d", policy, load), func(b *testing.B) {
-				view := newPool(append(many("a", 64), many("b", 64)...)...).View()
+				view := newPool(append(repeatZone("a", 64), repeatZone("b", 64)...)...).View()
 				for _, endpoint := range append(append([]*pool.Endpoint{}, view.Near...), view.Far...) {
 					endpoint.SetReport(1, pool.Report{Load: load, Limit: 8})
 				}
--- a/internal/route/pool/endpoint.go
+++ b/internal/route/pool/endpoint.go
@@ -1,6 +1,6 @@
-// Package pool holds what one entry knows about the endpoints of one pool: a
-// cheap, partly stale view that is used only to guess well. What must hold
-// exactly is decided by the agent beside each endpoint.
+// Package pool holds what one entry process knows about the endpoints of a pool. Its
+// view may be stale and is used only to make a good choice. The agent beside each
+// endpoint enforces what must hold exactly.
 package pool
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Identity says which endpoint this is and where it stands. It never changes.
+// Identity identifies an endpoint and its location. It never changes.
 type Identity struct {
 	Pool             string
 	Name             string
@@ -19,90 +19,89 @@
 	Address          string
 }
 
-// Report is what an agent said of its endpoint at one instant.
+// Report is the state of an endpoint at one instant, as reported by its agent.
 type Report struct {
-	// Load is running and queued work of all entries.
+	// Load is the number of running and queued calls of all entries.
 	Load int
-	// Limit is the work that the endpoint bears at once now.
+	// Limit is the number of calls that the endpoint can run at once now.
 	Limit int
-	// Cold tells that the endpoint has just started or lost its warmth.
+	// Cold is set if the endpoint has just started or lost its caches.
 	Cold bool
 	// ServiceTime is the recent typical service time.
 	ServiceTime clock.Millis
-	// PrefixEpoch changes when the endpoint's prefix cache was lost.
+	// PrefixEpoch changes when the endpoint loses its prefix cache.
 	PrefixEpoch uint64
-	// Age is how old the load was when it came in.
+	// Age is the age of the load when the report arrived.
 	Age clock.Millis
 }
 
-// report is a Report with what this entry made of it when it came in.
-type report struct {
-	said Report
-	at   clock.Millis // the instant that the load was true
-	// others is the work of other entries in the report, in thousandths of a call.
+// receivedReport is a Report with what this process computed when it arrived.
+type receivedReport struct {
+	report Report
+	asOf   clock.Millis // instant at which the load was measured
+	// others is the load of other entries at that instant, in thousandths of a call.
 	others int64
 }
 
-// Endpoint is one endpoint as this entry sees it. Its counters are read and
-// written on the path of a request without a lock.
+// Endpoint is an endpoint as seen by this process. Requests read and update its
+// counters without a lock.
 type Endpoint struct {
 	Identity
-	// Hash of the name, for rendezvous hashing.
+	// Hash of the pool and name, for rendezvous hashing.
 	Hash uint64
 
-	own     atomic.Int64 // own sends without an answer yet
-	latency atomic.Int64 // smoothed answer time in microseconds
-	heardAt atomic.Int64 // instant of the last answer
-	last    atomic.Pointer[report]
-	usual   *atomic.Int64 // shared by a pool: smoothed others over limit, in thousandths
+	inFlight     atomic.Int64 // calls of this process without an answer
+	latency      atomic.Int64 // smoothed answer time in microseconds
+	lastAnswerAt atomic.Int64 // instant of the last answer
+	lastReport   atomic.Pointer[receivedReport]
+	meanOthers   *atomic.Int64 // shared by the pool: mean load of other entries divided by the limit, in thousandths
 }
 
-// defaultLimit stands for the limit of an endpoint that has not reported yet:
-// small, because a new endpoint is cold until it says otherwise.
+// defaultLimit is the limit of an endpoint without a report. It is small because a new
+// endpoint is assumed to be cold.
 const defaultLimit = 1
 
-// NewEndpoint returns an endpoint that is idle and has not reported yet.
+// NewEndpoint returns an idle endpoint without a report.
 func NewEndpoint(identity Identity) *Endpoint { return newEndpoint(identity, new(atomic.Int64)) }
 
-func newEndpoint(identity Identity, usual *atomic.Int64) *Endpoint {
-	e := &Endpoint{Identity: identity, usual: usual}
+func newEndpoint(identity Identity, meanOthers *atomic.Int64) *Endpoint {
+	e := &Endpoint{Identity: identity, meanOthers: meanOthers}
 	e.Hash = xxhash.Sum64String(identity.Pool + "/" + identity.Name)
-	e.last.Store(&report{said: Report{Limit: defaultLimit}})
+	e.lastReport.Store(&receivedReport{report: Report{Limit: defaultLimit}})
 	return e
 }
 
-// RecordSend counts one own call on its way.
-func (e *Endpoint) RecordSend() { e.own.Add(1) }
+// RecordSend counts a call that this process sends.
+func (e *Endpoint) RecordSend() { e.inFlight.Add(1) }
 
-// latencyShift is the weight of a new answer time in the smoothed one: 1/8.
+// latencyShift sets the weight of a new answer time in the smoothed latency to 1/8.
 const latencyShift = 3
 
-// RecordAnswer counts the end of one own call. A positive span is the time of an
-// answer and moves the smoothed latency; calls that failed pass zero, since a
-// fast failure must not make an endpoint look fast.
+// RecordAnswer counts the end of a call of this process. A positive span is the answer
+// time and updates the smoothed latency. Failed calls pass 0, because a fast failure
+// must not make an endpoint look fast.
 func (e *Endpoint) RecordAnswer(now, span clock.Millis) {
-	e.own.Add(-1)
+	e.inFlight.Add(-1)
 	if span > 0 {
-		e.learn(now, int64(span)*1000, latencyShift)
+		e.smoothLatency(now, int64(span)*1000, latencyShift)
 	}
 }
 
-// givenUpShift is the weight of a call that was given up: 1/2.
-const givenUpShift = 1
+// cancelShift sets the weight of a cancelled call in the smoothed latency to 1/2.
+const cancelShift = 1
 
-// RecordCancel counts the end of one own call that was withdrawn after a span. It
-// would have taken longer still, so a span above the smoothed latency counts:
-// without it a straggler whose calls are always given up would never show its
-// slowness.
+// RecordCancel counts the end of a call of this process that was cancelled after span.
+// The call would have taken longer, so that a span above the smoothed latency updates
+// it. Otherwise a straggler whose calls are always cancelled would never appear slow.
 func (e *Endpoint) RecordCancel(now, span clock.Millis) {
-	e.own.Add(-1)
+	e.inFlight.Add(-1)
 	if micros := int64(span) * 1000; micros > e.latency.Load() {
-		e.learn(now, micros, givenUpShift)
+		e.smoothLatency(now, micros, cancelShift)
 	}
 }
 
-func (e *Endpoint) learn(now clock.Millis, micros int64, shift uint) {
-	e.heardAt.Store(int64(now))
+func (e *Endpoint) smoothLatency(now clock.Millis, micros int64, shift uint) {
+	e.lastAnswerAt.Store(int64(now))
 	for {
 		old := e.latency.Load()
 		next := micros
@@ -115,63 +114,64 @@
 	}
 }
 
-// usualShift is the weight of one report in the usual work of others: 1/32.
-const usualShift = 5
+// othersShift sets the weight of a report in the mean load of other entries to 1/32.
+const othersShift = 5
 
-// SetReport takes in what the agent said last.
+// SetReport stores the agent's latest report.
 func (e *Endpoint) SetReport(now clock.Millis, r Report) {
 	r.Limit = max(r.Limit, 1)
-	others := max(int64(r.Load)-e.own.Load(), 0) * 1000
-	e.last.Store(&report{said: r, at: now - r.Age, others: others})
-	usual := e.usual.Load()
-	// A lost race here loses one of many samples of a mean.
-	e.usual.CompareAndSwap(usual, usual+(others/int64(r.Limit)-usual)>>usualShift)
+	others := max(int64(r.Load)-e.inFlight.Load(), 0) * 1000
+	e.lastReport.Store(&receivedReport{report: r, asOf: now - r.Age, others: others})
+	mean := e.meanOthers.Load()
+	// A lost race only drops one of many samples.
+	e.meanOthers.CompareAndSwap(mean, mean+(others/int64(r.Limit)-mean)>>othersShift)
 }
 
-// OwnCalls returns the number of own calls without an answer.
-func (e *Endpoint) OwnCalls() int64 { return e.own.Load() }
+// OwnCalls returns the number of calls of this process that are in flight.
+func (e *Endpoint) OwnCalls() int64 { return e.inFlight.Load() }
 
-// Report returns what the agent said last.
-func (e *Endpoint) Report() Report { return e.last.Load().said }
+// Report returns the agent's latest report.
+func (e *Endpoint) Report() Report { return e.lastReport.Load().report }
 
-// Cold reports whether the agent called its endpoint cold.
-func (e *Endpoint) Cold() bool { return e.last.Load().said.Cold }
+// Cold reports whether the latest report marks the endpoint as cold.
+func (e *Endpoint) Cold() bool { return e.lastReport.Load().report.Cold }
 
-// latencyKeep is how long an answer time counts. A straggler gets no work and
-// so brings no new answers; without an end it would be passed over for good
-// after one slow spell, and the others would carry its share.
-const latencyKeep = 3 * clock.Second
+// latencyMaxAge is how long a measured latency is used. A straggler gets no work and
+// so produces no new measurements. Without a limit it would be avoided forever after
+// one slow period, and the others would carry its share.
+const latencyMaxAge = 3 * clock.Second
 
-// Latency returns the smoothed answer time in microseconds, 0 if none is known
-// or the last answer is too long ago.
+// Latency returns the smoothed answer time in microseconds, 0 if it is unknown or the
+// last answer is older than latencyMaxAge.
 func (e *Endpoint) Latency(now clock.Millis) int64 {
-	if now-clock.Millis(e.heardAt.Load()) > latencyKeep {
+	if now-clock.Millis(e.lastAnswerAt.Load()) > latencyMaxAge {
 		return 0
 	}
 	return e.latency.Load()
 }
 
-// Load estimates the work at the endpoint now, of all entries, in thousandths
-// of a call.
-func (e *Endpoint) Load(now clock.Millis) int64 { return e.estimate(now, e.last.Load()) }
+// Load estimates the current load of the endpoint from all entries, in thousandths of
+// a call.
+func (e *Endpoint) Load(now clock.Millis) int64 { return e.estimate(now, e.lastReport.Load()) }
 
-// Utilisation estimates load over limit in thousandths, counting the call
-// that is about to be sent.
+// Utilisation estimates the load divided by the limit, in thousandths, including the
+// call that is about to be sent.
 func (e *Endpoint) Utilisation(now clock.Millis) int64 {
-	last := e.last.Load()
-	return (e.estimate(now, last) + 1000) / int64(last.said.Limit)
+	last := e.lastReport.Load()
+	return (e.estimate(now, last) + 1000) / int64(last.report.Limit)
 }
 
-// halfTrust is the age at which a report counts half against the mean.
-const halfTrust clock.Millis = 25
-
-// estimate adds this entry's own work, which it knows exactly, to the work of
-// others. Their part of a report grows old: what the endpoint had then says
-// little about now. If every entry went on believing it, all would send to the
-// endpoint that looked best in the last report, and in the next one it would
-// look worst. So the older the report, the more the mean of the pool counts.
-func (e *Endpoint) estimate(now clock.Millis, last *report) int64 {
-	trust := int64(halfTrust) * 1000 / int64(halfTrust+max(now-last.at, 0))
-	usual := e.usual.Load() * int64(last.said.Limit)
-	return e.own.Load()*1000 + usual + (last.others-usual)*trust/1000
+// halfWeightAge is the age at which a report and the mean of the pool have equal
+// weight.
+const halfWeightAge clock.Millis = 25
+
+// estimate adds the calls of this process, which are known exactly, to the estimated
+// load of other entries. The reported load of others becomes stale: if every entry
+// relied on it, all would send to the endpoint with the least load in the last report,
+// and it would have the most in the next. The older the report, the more the mean load
+// of the pool counts.
+func (e *Endpoint) estimate(now clock.Millis, last *receivedReport) int64 {
+	weight := int64(halfWeightAge) * 1000 / int64(halfWeightAge+max(now-last.asOf, 0))
+	expected := e.meanOthers.Load() * int64(last.report.Limit)
+	return e.inFlight.Load()*1000 + expected + (last.others-expected)*weight/1000
 }
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -9,35 +9,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Exclusion is a reason why an endpoint gets no new work. Several can hold at once.
+// Exclusion is a set of reasons why an endpoint gets no new work.
 type Exclusion uint8
 
 // Reasons why an endpoint gets no new work.
 const (
-	// ExcludeLeaving: its agent or the platform says that it leaves.
+	// ExcludeLeaving: its agent or the platform reports that it is leaving.
 	ExcludeLeaving Exclusion = 1 << iota
-	// ExcludeZone: operators took its availability zone out.
+	// ExcludeZone: operators evacuated its availability zone.
 	ExcludeZone
-	// ExcludeDisabled: operators took the endpoint out.
+	// ExcludeDisabled: operators disabled the endpoint.
 	ExcludeDisabled
-	// ExcludeUnreachable: its session has been silent for too long.
+	// ExcludeUnreachable: its session has received nothing for too long.
 	ExcludeUnreachable
 )
 
-// View is an immutable picture of the endpoints that may get new work.
+// View is an immutable snapshot of the endpoints that may get new work.
 type View struct {
-	// Near are those in this entry's availability zone.
+	// Near are the endpoints in the process's own availability zone.
 	Near []*Endpoint
-	// Far are the others.
+	// Far are the endpoints in other zones.
 	Far []*Endpoint
-	// Total counts all endpoints, also those without new work.
+	// Total is the number of all endpoints, including excluded ones.
 	Total int
 }
 
 // Len returns the number of endpoints that may get new work.
 func (v *View) Len() int { return len(v.Near) + len(v.Far) }
 
-// At returns the endpoint at a place below Len, the near ones first.
+// At returns the endpoint at an index below Len, the near ones first.
 func (v *View) At(i int) *Endpoint {
 	if i < len(v.Near) {
 		return v.Near[i]
@@ -45,20 +45,20 @@
 	return v.Far[i-len(v.Near)]
 }
 
-// Pool is the endpoints of one pool that this entry knows. Readers take the
-// View by read-copy-update; only changes of membership take the lock.
+// Pool tracks the endpoints of one pool. Readers load the View without a lock; changes
+// of members take the lock and publish a new View.
 type Pool struct {
-	zone  string
-	view  atomic.Pointer[View]
-	usual atomic.Int64 // see Endpoint
+	zone       string
+	view       atomic.Pointer[View]
+	meanOthers atomic.Int64 // see Endpoint
 
 	mu      sync.Mutex
 	members map[string]*member
 }
 
 type member struct {
-	endpoint *Endpoint
-	bars     Exclusion
+	endpoint   *Endpoint
+	exclusions Exclusion
 }
 
 // New returns an empty pool as seen from an availability zone.
@@ -71,21 +71,21 @@
 // View returns the endpoints that may get new work.
 func (p *Pool) View() *View { return p.view.Load() }
 
-// Add makes an endpoint known, and returns it; one that is known already under
-// the same address and zone stays as it is. A new one starts with bars.
-func (p *Pool) Add(identity Identity, bars Exclusion) *Endpoint {
+// Add adds an endpoint with its initial exclusions and returns it. If an endpoint with
+// the same identity exists, Add returns that one unchanged.
+func (p *Pool) Add(identity Identity, exclusions Exclusion) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.members[identity.Name]; known != nil && known.endpoint.Identity == identity {
 		return known.endpoint
 	}
-	endpoint := newEndpoint(identity, &p.usual)
-	p.members[identity.Name] = &member{endpoint: endpoint, bars: bars}
+	endpoint := newEndpoint(identity, &p.meanOthers)
+	p.members[identity.Name] = &member{endpoint: endpoint, exclusions: exclusions}
 	p.publish()
 	return endpoint
 }
 
-// Remove forgets an endpoint.
+// Remove removes an endpoint.
 func (p *Pool) Remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,7 @@
 	p.publish()
 }
 
-// Endpoint returns the endpoint of that name, or nil.
+// Endpoint returns the endpoint with a name, or nil.
 func (p *Pool) Endpoint(name string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,26 +106,27 @@
 	return nil
 }
 
-// SetExclusion sets or lifts one reason against new work and reports whether this
+// SetExclusion sets or clears one exclusion of an endpoint and reports whether this
 // changed anything.
-func (p *Pool) SetExclusion(name string, bar Exclusion, set bool) bool {
+func (p *Pool) SetExclusion(name string, exclusion Exclusion, set bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.setBar(p.members[name], bar, set) {
+	if !p.setExclusion(p.members[name], exclusion, set) {
 		return false
 	}
 	p.publish()
 	return true
 }
 
-// Apply sets or lifts one reason for every endpoint as the rule says. It takes
-// in a new release: zones and endpoints that were taken out take effect at once.
-func (p *Pool) Apply(bar Exclusion, rule func(Identity) bool) {
+// Apply sets one exclusion of every endpoint to the result of rule. It puts a new
+// release of the configuration into force, with the zones and endpoints that operators
+// took out.
+func (p *Pool) Apply(exclusion Exclusion, rule func(Identity) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	changed := false
 	for _, known := range p.members {
-		if p.setBar(known, bar, rule(known.endpoint.Identity)) {
+		if p.setExclusion(known, exclusion, rule(known.endpoint.Identity)) {
 			changed = true
 		}
 	}
@@ -134,25 +135,25 @@
 	}
 }
 
-func (p *Pool) setBar(known *member, bar Exclusion, set bool) bool {
+func (p *Pool) setExclusion(known *member, exclusion Exclusion, set bool) bool {
 	if known == nil {
 		return false
 	}
-	next := known.bars &^ bar
+	next := known.exclusions &^ exclusion
 	if set {
-		next |= bar
+		next |= exclusion
 	}
-	changed := next != known.bars
-	known.bars = next
+	changed := next != known.exclusions
+	known.exclusions = next
 	return changed
 }
 
-// publish rebuilds the view, ordered by name so that equal pools look equal.
+// publish rebuilds the view, sorted by name so that equal pools have equal views.
 func (p *Pool) publish() {
 	view := &View{Total: len(p.members)}
 	for _, known := range p.members {
 		switch {
-		case known.bars != 0:
+		case known.exclusions != 0:
 		case known.endpoint.AvailabilityZone == p.zone:
 			view.Near = append(view.Near, known.endpoint)
 		default:
@@ -170,10 +171,11 @@
 	p.view.Store(view)
 }
 
-// Subset returns the members that an entry keeps sessions to: those with the
-// highest rendezvous weight for this entry. It is deterministic, so a restart
-// finds the same ones, and a member that leaves changes one place for each
-// entry that had it. Endpoints of the own zone come first up to three quarters.
+// Subset returns the members to which an entry keeps sessions: those with the highest
+// rendezvous weight for the entry. Members of its own zone come first, for up to three
+// quarters of the subset. The result is deterministic, so that a restarted entry finds
+// the same members, and a member that leaves is replaced by one other in each subset
+// that had it.
 func Subset(entry, zone string, members []Identity, size int) []Identity {
 	if len(members) <= size {
 		return slices.Clone(members)
@@ -194,7 +196,7 @@
 	return append(chosen, rest[:size-len(chosen)]...)
 }
 
-// Weight joins two hashes into one rendezvous weight.
+// Weight returns the rendezvous weight of two hashes.
 func Weight(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -22,42 +22,41 @@
 	// Output: 6000 875
 }
 
-// An endpoint that leaves, or that an operator took out, must not come back
-// because another reason against it was lifted. The user would notice new work
-// on a host that is being stopped.
-func TestViewHoldsExactlyUnbarredEndpoints(t *testing.T) {
+// Guards against an endpoint that leaves or was disabled by an operator, and gets work
+// again because another exclusion was cleared.
+func TestViewHoldsEndpointsWithoutExclusions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pool.New("a")
-		bars := map[string]pool.Exclusion{}
+		exclusions := map[string]pool.Exclusion{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(t, "name")
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
 				zone := map[bool]string{true: "a", false: "b"}[name < "e3"]
 				p.Add(identity(name, zone), 0)
-				bars[name] |= 0
+				exclusions[name] |= 0
 			case 1:
 				p.Remove(name)
-				delete(bars, name)
+				delete(exclusions, name)
 			default:
-				bar := rapid.SampledFrom([]pool.Exclusion{pool.ExcludeLeaving, pool.ExcludeUnreachable, pool.ExcludeZone}).Draw(t, "bar")
+				exclusion := rapid.SampledFrom([]pool.Exclusion{pool.ExcludeLeaving, pool.ExcludeUnreachable, pool.ExcludeZone}).Draw(t, "exclusion")
 				set := rapid.Bool().Draw(t, "set")
-				p.SetExclusion(name, bar, set)
-				if old, known := bars[name]; known {
-					bars[name] = old &^ bar
+				p.SetExclusion(name, exclusion, set)
+				if old, known := exclusions[name]; known {
+					exclusions[name] = old &^ exclusion
 					if set {
-						bars[name] |= bar
+						exclusions[name] |= exclusion
 					}
 				}
 			}
 			want := 0
-			for _, barred := range bars {
-				if barred == 0 {
+			for _, set := range exclusions {
+				if set == 0 {
 					want++
 				}
 			}
 			assert.Equal(t, p.View().Len(), want)
-			assert.Equal(t, p.View().Total, len(bars))
+			assert.Equal(t, p.View().Total, len(exclusions))
 			for _, endpoint := range p.View().Near {
 				assert.Equal(t, endpoint.AvailabilityZone, "a")
 			}
@@ -65,9 +64,9 @@
 	})
 }
 
-// A host is replaced under the same name: what was known of the old one must
-// not be believed of the new one, which is cold and bears little.
-func TestReplacedEndpointStartsUnknown(t *testing.T) {
+// Guards against using the state of an old host for a new one under the same name,
+// which is cold and has a low limit.
+func TestReplacedEndpointStartsWithoutReport(t *testing.T) {
 	p := pool.New("a")
 	p.Add(identity("e1", "a"), 0).SetReport(1, pool.Report{Limit: 8})
 	moved := identity("e1", "a")
@@ -76,7 +75,7 @@
 	assert.Equal(t, p.Add(moved, 0), p.Endpoint("e1"))
 }
 
-func TestLoadNeverBelowOwnWork(t *testing.T) {
+func TestLoadIsAtLeastOwnCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		endpoint := pool.NewEndpoint(identity("e", "a"))
 		own := int64(0)
@@ -123,6 +122,6 @@
 		kept[m] = true
 	}
 	for _, m := range before {
-		assert.Assert(t, m == gone || kept[m], "%s was dropped without need", m.Name)
+		assert.Assert(t, m == gone || kept[m], "%s was replaced although it did not leave", m.Name)
 	}
 }
