--- a/internal/route/affin/affin.go
+++ b/internal/route/affin/affin.go
@@ -1,6 +1,6 @@
-// Package affin prefers the endpoint that probably holds the prefix of a
-// request in its cache. It only ever hints: cache events come late and with
-// gaps, so a hint yields whenever the endpoint is fuller than its share.
+// Package affin prefers the endpoint that probably has the prefix of a request in its
+// cache. The result is only a hint: cache events arrive late or not at all, and an
+// endpoint with more than its share of the load is not preferred.
 package affin
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/jujubescale/jujubescale/internal/route/pool"
 )
 
-// levels is the number of lengths at which a prefix is looked at.
-const levels = 4
+// prefixLengths is the number of prefix lengths that are compared.
+const prefixLengths = 4
 
-// lengths are the prefixes' lengths in bytes. One length does not fit all:
-// where inputs are short, a long prefix already holds what differs between two
-// requests; where instructions are long, a short one is shared by all.
-func lengths() [levels]int { return [levels]int{32, 128, 512, 2048} }
+// lengths returns the prefix lengths in bytes. No single length fits all: with short
+// inputs, a long prefix includes what differs between two requests; with long
+// instructions, all requests share a short prefix.
+func lengths() [prefixLengths]int { return [prefixLengths]int{32, 128, 512, 2048} }
 
-// Keys stands for the prefixes of one input, the shortest first.
+// Keys holds the hashes of an input's prefixes, shortest first.
 type Keys struct {
-	hashes [levels]uint64
+	hashes [prefixLengths]uint64
 	count  int
 }
 
-// NewKeys returns the keys of an input for a model. An input that is shorter
-// than a length has no key there, but every input has one.
+// NewKeys returns the keys of an input for a model. It omits lengths that exceed the
+// input, but returns at least one key.
 func NewKeys(model string, input []byte) Keys {
 	var keys Keys
 	var digest xxhash.Digest
@@ -47,25 +47,24 @@
 	return keys
 }
 
-// boundPercent is how full the preferred endpoint may be against the mean, in
-// per cent (consistent hashing with bounded loads).
-const boundPercent = 125
+// loadBoundPercent is the highest utilisation of a preferred endpoint, in per cent of
+// the mean (consistent hashing with bounded loads).
+const loadBoundPercent = 125
 
-// candidates is how many endpoints in rendezvous order may take a prefix
-// before affinity yields to the plain choice.
-const candidates = 3
+// maxCandidates is how many endpoints in rendezvous order are considered for a prefix.
+const maxCandidates = 3
 
-// slots is the number of prefixes whose last endpoint is remembered; a power
+// tableSize is the number of prefixes whose last endpoint is remembered. It is a power
 // of two.
-const slots = 1 << 12
+const tableSize = 1 << 12
 
-// Table remembers which endpoint last answered a prefix. It is bounded: a slot
-// keeps the newest of the prefixes that share it.
+// Table remembers which endpoint last answered a prefix. Its size is fixed; prefixes
+// with the same slot replace each other.
 type Table struct {
-	seen [slots]atomic.Pointer[sight]
+	entries [tableSize]atomic.Pointer[entry]
 }
 
-type sight struct {
+type entry struct {
 	key      uint64
 	endpoint *pool.Endpoint
 	epoch    uint64
@@ -74,33 +73,34 @@
 // New returns an empty table.
 func New() *Table { return &Table{} }
 
-// Record notes that an endpoint answered an input and so holds its prefixes for now.
+// Record records that an endpoint answered an input, so that it has the input's
+// prefixes cached.
 func (t *Table) Record(keys Keys, endpoint *pool.Endpoint) {
 	epoch := endpoint.Report().PrefixEpoch
 	for _, key := range keys.hashes[:keys.count] {
-		slot := &t.seen[key%slots]
+		slot := &t.entries[key%tableSize]
 		if old := slot.Load(); old != nil && old.key == key && old.endpoint == endpoint && old.epoch == epoch {
 			continue
 		}
-		slot.Store(&sight{key: key, endpoint: endpoint, epoch: epoch})
+		slot.Store(&entry{key: key, endpoint: endpoint, epoch: epoch})
 	}
 }
 
-// Prefer returns the endpoint to try first for an input, or nil if affinity
-// yields: the one that last answered its longest known prefix, else the first
-// in rendezvous order with room. An endpoint that lost its cache (another
-// epoch), that left the view or that is too full is passed over.
+// Prefer returns the endpoint to try first for an input: the one that last answered
+// its longest known prefix, otherwise the first in rendezvous order that has room.
+// Endpoints that lost their cache (their epoch changed), that are not in the view or
+// that are too loaded are skipped. It returns nil if none is left.
 func (t *Table) Prefer(now clock.Millis, view *pool.View, keys Keys) *pool.Endpoint {
 	if view.Len() == 0 || keys.count == 0 {
 		return nil
 	}
 	bound := loadBound(now, view)
 	for i := keys.count - 1; i >= 0; i-- {
-		last := t.seen[keys.hashes[i]%slots].Load()
+		last := t.entries[keys.hashes[i]%tableSize].Load()
 		if last == nil || last.key != keys.hashes[i] || last.epoch != last.endpoint.Report().PrefixEpoch {
 			continue
 		}
-		if hasRoom(now, last.endpoint, bound) && holds(view, last.endpoint) {
+		if hasRoom(now, last.endpoint, bound) && contains(view, last.endpoint) {
 			return last.endpoint
 		}
 	}
@@ -112,32 +112,33 @@
 	return nil
 }
 
-// sampled bounds the endpoints whose utilisation makes the mean.
-const sampled = 16
+// maxSampled is about how many endpoints are sampled for the mean utilisation of a
+// large pool.
+const maxSampled = 16
 
-// loadBound is the mean utilisation times the bound, in thousandths, but no
-// more than what endpoints bear.
+// loadBound returns the highest utilisation of a preferred endpoint in thousandths:
+// loadBoundPercent of the mean, but at most the endpoint's limit.
 func loadBound(now clock.Millis, view *pool.View) int64 {
 	var sum, count int64
-	step := max(view.Len()/sampled, 1)
+	step := max(view.Len()/maxSampled, 1)
 	for i := 0; i < view.Len(); i += step {
 		sum += view.At(i).Utilisation(now)
 		count++
 	}
-	return min(sum*boundPercent/100/count, 1000)
+	return min(sum*loadBoundPercent/100/count, 1000)
 }
 
-// oneCall is one call in the unit of loads.
-const oneCall = 1000
+// callUnit is one call in the unit of Endpoint.Load.
+const callUnit = 1000
 
-// hasRoom reports whether an endpoint may take one more call. An idle one may,
-// however small its limit: a cold endpoint would otherwise never get the work
-// that warms it.
+// hasRoom reports whether an endpoint may get one more call. An idle endpoint may,
+// however small its limit: otherwise a cold endpoint would never get the work that
+// warms it up.
 func hasRoom(now clock.Millis, endpoint *pool.Endpoint, bound int64) bool {
-	return endpoint.Utilisation(now) <= bound || endpoint.Load(now) < oneCall
+	return endpoint.Utilisation(now) <= bound || endpoint.Load(now) < callUnit
 }
 
-func holds(view *pool.View, endpoint *pool.Endpoint) bool {
+func contains(view *pool.View, endpoint *pool.Endpoint) bool {
 	for _, known := range view.Near {
 		if known == endpoint {
 			return true
@@ -151,17 +152,17 @@
 	return false
 }
 
-// rendezvous returns the endpoints with the highest weight for a key, the
-// highest first: every entry finds the same ones without talking.
-func rendezvous(view *pool.View, key uint64) [candidates]*pool.Endpoint {
-	var top [candidates]*pool.Endpoint
-	var weights [candidates]uint64
+// rendezvous returns the endpoints with the highest weights for a key, highest first.
+// Every entry computes the same ones without communicating.
+func rendezvous(view *pool.View, key uint64) [maxCandidates]*pool.Endpoint {
+	var top [maxCandidates]*pool.Endpoint
+	var weights [maxCandidates]uint64
 	consider := func(endpoint *pool.Endpoint) {
 		weight := pool.Weight(key, endpoint.Hash)
 		for i := range top {
 			if top[i] == nil || weight > weights[i] {
-				copy(top[i+1:], top[i:candidates-1])
-				copy(weights[i+1:], weights[i:candidates-1])
+				copy(top[i+1:], top[i:maxCandidates-1])
+				copy(weights[i+1:], weights[i:maxCandidates-1])
 				top[i], weights[i] = endpoint, weight
 				return
 			}
--- a/internal/route/affin/affin_test.go
+++ b/internal/route/affin/affin_test.go
@@ -20,15 +20,15 @@
 	return p
 }
 
-func TestEntriesAgreeWithoutTalking(t *testing.T) {
+func TestEntriesPreferTheSameEndpoint(t *testing.T) {
 	key := affin.NewKeys("model", []byte("the same instructions"))
 	one, two := affin.New(), affin.New()
 	assert.Equal(t, one.Prefer(1, newPool(9).View(), key).Name, two.Prefer(1, newPool(9).View(), key).Name)
 }
 
-// A popular prefix pulls all its work to one endpoint, which falls over while
-// others idle. Affinity must yield before that.
-func TestPreferredIsNeverFullerThanBound(t *testing.T) {
+// Guards against a popular prefix that sends all its requests to one endpoint, which
+// is overloaded while others are idle.
+func TestPreferredEndpointStaysWithinLoadBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 10).Draw(t, "endpoints"))
 		table := affin.New()
@@ -50,9 +50,9 @@
 	})
 }
 
-// The endpoint restarted and its cache is gone, but the event that says so is
-// late. The epoch in its next report is enough to forget the hint; a removed
-// endpoint is never preferred.
+// Guards against preferring an endpoint that restarted and lost its cache when the
+// cache event is late, or one that was removed. The new epoch in its next report
+// invalidates the hint.
 func TestLostCacheAndRemovedEndpointAreForgotten(t *testing.T) {
 	p := newPool(6)
 	table := affin.New()
@@ -73,16 +73,16 @@
 	assert.Equal(t, table.Prefer(1, p.View(), key), plain)
 }
 
-// Inputs are short, so that a long prefix of them already differs. The shared
-// beginning must still lead them to the engine that has it cached.
-func TestShortInputsShareTheirBeginning(t *testing.T) {
+// Guards against short inputs whose longest prefixes already differ: their shared
+// prefix must still lead them to the engine that has it cached.
+func TestShortInputsShareTheirPrefix(t *testing.T) {
 	p := newPool(6)
 	table := affin.New()
-	begin := "instructions that are shared by all, "
+	prefix := "instructions that are shared by all, "
 	other := p.View().Near[3]
-	table.Record(affin.NewKeys("m", []byte(begin+"first")), other)
-	assert.Equal(t, table.Prefer(1, p.View(), affin.NewKeys("m", []byte(begin+"second"))), other)
-	assert.Assert(t, table.Prefer(1, p.View(), affin.NewKeys("m", nil)) != nil, "an empty input has a key too")
+	table.Record(affin.NewKeys("m", []byte(prefix+"first")), other)
+	assert.Equal(t, table.Prefer(1, p.View(), affin.NewKeys("m", []byte(prefix+"second"))), other)
+	assert.Assert(t, table.Prefer(1, p.View(), affin.NewKeys("m", nil)) != nil, "an empty input has a key")
 }
 
 func BenchmarkPrefer(b *testing.B) {
--- a/internal/route/place/place.go
+++ b/internal/route/place/place.go
@@ -1,11 +1,11 @@
-// Package place chooses the endpoint for one request. It takes numbers and
-// returns a choice, so that tests and benchmarks drive it without a network.
+// Package place chooses the endpoint for one request. It takes numbers and returns a
+// choice, so that tests and benchmarks run it without a network.
 //
-// For generations it answers loads in which long prompts delay the tokens of
-// everything beside them: it adds up the prompt tokens that still wait at each
-// engine, those of this prompt that the engine would have to read, the memory
-// that will be taken, and what it costs to bring inputs from another
-// availability zone, all in milliseconds of delay.
+// Long prompts delay the tokens of all other requests at the same engine. For
+// generations, the package therefore adds up these costs in milliseconds of delay: the
+// prompt tokens that each engine still has to read, those of this prompt that are not
+// in its cache, the memory that the request will take, and the transfer of inputs from
+// other availability zones.
 package place
 
 import (
@@ -13,67 +13,69 @@
 	"github.com/jujubescale/jujubescale/internal/route/owner"
 )
 
-// Weights of a choice between model engines, in milliseconds of delay.
+// Weights of the choice between model engines, in milliseconds of delay unless stated
+// otherwise.
 const (
-	// runningMs is what one running request adds to the time to the first token
-	// of another: a chunk of a long prompt shares each step with all of them.
-	runningMs = 1.5
-	// fullMs is the delay of a request that finds all slots taken: about the
-	// time until several of the running requests end.
-	fullMs = 5000
-	// memoryMs is the delay for each part of the memory that would be exceeded:
-	// beyond it, the newest request is stopped and read again later.
-	memoryMs = 8000
-	// memoryShare of an engine's tokens may be promised; outputs are often
-	// longer than estimated.
-	memoryShare = 0.85
-	// creditMs is the delay that weighs as much as one credit, the unit in which
-	// the users state worth and prices. A request has some hundred milliseconds
-	// of slack before its objective, and loses one to four credits beyond it.
-	creditMs = 500
-	// hotMsPerToken weighs a token that has to be read again although another
-	// engine read it a moment ago: 0.26 credits a thousand.
-	hotMsPerToken = 0.26 * creditMs / 1000
-	// crossMsPerMB weighs a megabyte of inputs from another availability zone:
-	// 84 credits a gigabyte.
-	crossMsPerMB = 84 * creditMs / 1000
-	// lateMs weighs an answer beyond its objective, which is worth a sixth of
-	// one within it.
-	lateMs = 1500
-	// plannedShare is the part of the prompts planned for an engine that counts
-	// as delay when engines are compared: they come over the next second or so,
-	// and most are read before this request is sent. Expected delays don't
-	// count them.
+	// runningDelayMs is what each running request adds to the time to the first token
+	// of another one: a chunk of a long prompt shares each step of the engine with all
+	// running requests.
+	runningDelayMs = 1.5
+	// fullDelayMs is the delay of a request that finds all slots taken. It is about
+	// the time until several running requests end.
+	fullDelayMs = 5000
+	// memoryDelayMs is the delay per unit of relative excess over the memory limit.
+	// Beyond the limit, the engine preempts the newest request and reads its prompt
+	// again later.
+	memoryDelayMs = 8000
+	// maxMemoryShare is the share of an engine's tokens that may be reserved. Outputs
+	// are often longer than estimated.
+	maxMemoryShare = 0.85
+	// msPerCredit converts credits, the unit in which users state the worth and price
+	// of requests, into delay. A request has some hundred milliseconds of slack before
+	// its objective and loses one to four credits beyond it.
+	msPerCredit = 500
+	// rereadMsPerToken is the cost of reading a token again that another engine read
+	// recently: 0.26 credits per thousand tokens.
+	rereadMsPerToken = 0.26 * msPerCredit / 1000
+	// crossZoneMsPerMB is the cost of a megabyte of inputs from another availability
+	// zone: 84 credits per gigabyte.
+	crossZoneMsPerMB = 84 * msPerCredit / 1000
+	// lateDelayMs is the cost of missing the objective: a late answer is worth a sixth
+	// of one in time.
+	lateDelayMs = 1500
+	// plannedShare is the share of the planned prompts that counts as delay when
+	// engines are compared. They arrive over the next second or so, and most are read
+	// before this request is sent. The returned delay does not include them.
 	plannedShare = 0.4
-	// hashMs is the spread of the order in which equal engines are preferred. It
-	// only has to be larger than the noise of the other figures, so that
-	// processes which know nothing of each other agree.
-	hashMs = 25
+	// tieBreakMs scales the hash that orders engines of equal cost. It only has to
+	// exceed the noise of the other terms, so that processes agree on an engine
+	// without communicating.
+	tieBreakMs = 25
 )
 
-// Prompt is what a generation needs.
+// Prompt describes the prompt of a generation.
 type Prompt struct {
-	// Tokens to read, and to generate as far as can be guessed.
+	// Tokens is the length of the prompt, Output the estimated length of the output.
 	Tokens int64
 	Output int64
-	// Hot is the tokens of the parts that were read somewhere a moment ago.
+	// Hot is the number of tokens in parts that some engine read recently.
 	Hot int64
-	// FirstPart and Group name the first and the last of the parts that other
-	// requests have too; empty without any.
+	// FirstPart and LastPart are the IDs of the first and the last part that other
+	// requests share, "" if there is none.
 	FirstPart string
 	LastPart  string
-	// TokensPerMs is how fast engines read prompts, 0 where it isn't known; see
+	// TokensPerMs is the speed at which engines read prompts, 0 if it is unknown; see
 	// Rate.
 	TokensPerMs float64
-	// Slack is the time that is left until the objective.
+	// Slack is the time left until the objective.
 	Slack clock.Millis
-	// InputBytes are the bytes of inputs by the availability zone they lie in.
+	// InputBytes is the size of the inputs by the availability zone that holds them.
 	InputBytes []ZoneBytes
 }
 
 func (p *Prompt) rate() float64 {
 	if p.TokensPerMs == 0 {
-		return firstRate
+		return initialRate
 	}
 	return p.TokensPerMs
 }
@@ -84,94 +86,97 @@
 	Bytes int64
 }
 
-// Engine is what is known of one model engine.
+// Engine is the known state of a model engine.
 type Engine struct {
 	ID   string
 	Zone string
-	// Running requests, prompt tokens that wait, and tokens of memory taken.
+	// Running counts requests, Prefill the prompt tokens still to be read, and Memory
+	// the tokens held in memory.
 	Running int64
 	Prefill int64
 	Memory  int64
-	// Planned is the prompt tokens of requests that will probably come soon.
+	// Planned counts the prompt tokens of requests that will probably arrive soon.
 	Planned int64
-	// Slots and Capacity (tokens) of the engine.
+	// Slots is the engine's limit of running requests, Capacity its memory in tokens;
+	// 0 if unknown.
 	Slots    int64
 	Capacity int64
-	// Cached is how many tokens of the prompt are believed to be there, and
-	// CachedHot how many of those are hot.
+	// Cached is the estimated number of the prompt's tokens in the engine's cache, and
+	// CachedHot the hot ones among them.
 	Cached    int64
 	CachedHot int64
-	// Excluded engines get nothing: they were tried before, are cold or failed.
+	// Excluded engines are not chosen: they were tried before, are cold or have
+	// failed.
 	Excluded bool
 }
 
-// NoEngine is the choice when every engine is shut.
+// NoEngine is the returned index if every engine or server is excluded.
 const NoEngine = -1
 
-// ChooseEngine returns the index of the engine with the least cost, and the
-// expected delay to the first token there, in milliseconds.
+// ChooseEngine returns the index of the engine with the lowest cost and the expected
+// time to the first token there, in milliseconds.
 func ChooseEngine(prompt *Prompt, engines []Engine) (int, float64) {
-	best, least, chosen := NoEngine, 0.0, 0.0
+	best, lowestCost, bestDelay := NoEngine, 0.0, 0.0
 	for i := range engines {
 		if engines[i].Excluded {
 			continue
 		}
-		delay := delayAt(prompt, &engines[i])
-		if cost := costAt(prompt, &engines[i], delay); best == NoEngine || cost < least {
-			best, least, chosen = i, cost, delay
+		delay := firstTokenDelay(prompt, &engines[i])
+		if cost := costOf(prompt, &engines[i], delay); best == NoEngine || cost < lowestCost {
+			best, lowestCost, bestDelay = i, cost, delay
 		}
 	}
-	return best, chosen
+	return best, bestDelay
 }
 
-// delayAt is the time that the first token takes.
-func delayAt(prompt *Prompt, engine *Engine) float64 {
+// firstTokenDelay returns the expected time to the first token in milliseconds.
+func firstTokenDelay(prompt *Prompt, engine *Engine) float64 {
 	unread := max(prompt.Tokens-engine.Cached, 0)
 	delay := float64(engine.Prefill+unread) / prompt.rate()
-	delay += runningMs * float64(engine.Running)
+	delay += runningDelayMs * float64(engine.Running)
 	if engine.Slots > 0 && engine.Running >= engine.Slots {
-		delay += fullMs * float64(engine.Running-engine.Slots+1) / float64(engine.Slots)
+		delay += fullDelayMs * float64(engine.Running-engine.Slots+1) / float64(engine.Slots)
 	}
 	if engine.Capacity > 0 {
-		room := memoryShare * float64(engine.Capacity)
-		if taken := float64(engine.Memory + prompt.Tokens + prompt.Output); taken > room {
-			delay += memoryMs * (taken - room) / room
+		limit := maxMemoryShare * float64(engine.Capacity)
+		if taken := float64(engine.Memory + prompt.Tokens + prompt.Output); taken > limit {
+			delay += memoryDelayMs * (taken - limit) / limit
 		}
 	}
 	return delay
 }
 
-// costAt adds to the delay what else the choice costs.
-func costAt(prompt *Prompt, engine *Engine, delay float64) float64 {
-	cost := delay + plannedShare*float64(engine.Planned)/prompt.rate() + hotMsPerToken*float64(max(prompt.Hot-engine.CachedHot, 0))
-	cost += crossMsPerMB * crossMB(prompt.InputBytes, engine.Zone)
-	cost += lateMs * lateness(delay, float64(prompt.Slack))
+// costOf adds the other costs of the choice to the delay.
+func costOf(prompt *Prompt, engine *Engine, delay float64) float64 {
+	cost := delay + plannedShare*float64(engine.Planned)/prompt.rate() + rereadMsPerToken*float64(max(prompt.Hot-engine.CachedHot, 0))
+	cost += crossZoneMsPerMB * remoteInputMB(prompt.InputBytes, engine.Zone)
+	cost += lateDelayMs * missProbability(delay, float64(prompt.Slack))
 	if prompt.LastPart != "" {
-		cost += hashMs * (unit(prompt.LastPart, engine.ID) + unit(prompt.FirstPart, engine.ID))
+		cost += tieBreakMs * (unitHash(prompt.LastPart, engine.ID) + unitHash(prompt.FirstPart, engine.ID))
 	}
 	return cost
 }
 
-// lateness is how probable a miss of the objective is: not below lateFrom of
-// the slack, certain at all of it, because delays are guessed and what arrives
-// later takes its part of each step.
-func lateness(delay, slack float64) float64 {
+// missProbability estimates the probability of missing the objective. It is 0 up to
+// the share riskFrom of the slack and 1 at the full slack, because delays are
+// estimates and requests that arrive later take part of each step.
+func missProbability(delay, slack float64) float64 {
 	if slack <= 0 {
 		return 1
 	}
-	return min(max((delay/slack-lateFrom)/(1-lateFrom), 0), 1)
+	return min(max((delay/slack-riskFrom)/(1-riskFrom), 0), 1)
 }
 
-// lateFrom is the part of the slack from which a delay becomes a risk.
-const lateFrom = 0.4
+// riskFrom is the share of the slack above which a delay is a risk.
+const riskFrom = 0.4
 
-// unit returns a number from 0 to 1 that only depends on two names.
-func unit(group, engine string) float64 {
+// unitHash returns a number from 0 to 1 that depends only on the two names.
+func unitHash(part, engine string) float64 {
 	const largest = 1 << 32
-	return float64(owner.Weight(group, engine)>>32) / largest
+	return float64(owner.Weight(part, engine)>>32) / largest
 }
 
-func crossMB(inputs []ZoneBytes, zone string) float64 {
+func remoteInputMB(inputs []ZoneBytes, zone string) float64 {
 	var bytes int64
 	for _, input := range inputs {
 		if input.Zone != zone {
@@ -181,41 +186,41 @@
 	return float64(bytes) / 1e6
 }
 
-// Server is what is known of one endpoint of a plain service.
+// Server is the known state of an endpoint of a plain service.
 type Server struct {
-	// SameZone tells whether it stands in this process's availability zone.
+	// SameZone is set if the server is in this process's availability zone.
 	SameZone bool
-	// Running requests and slots.
+	// Running is the number of requests, Slots the server's limit of them.
 	Running int64
 	Slots   int64
-	// Latency is the duration of its latest answers.
+	// Latency is the duration of the server's latest answers.
 	Latency  clock.Millis
 	Excluded bool
 }
 
-// farShare is what another availability zone weighs against a place: requests
-// of 20 ms and more lose about a tenth of that on the way.
-const farShare = 0.1
+// remotePenalty is the relative cost of another availability zone: a request of 20 ms
+// or more takes about a tenth longer on the way.
+const remotePenalty = 0.1
 
 // ChooseServer returns the index of the server that will probably answer first: the
-// one with the fewest requests for its slots, weighed by how slow it was.
-// Start is where equal ones are looked at first; callers pass a random number,
-// so that many processes with the same view don't all choose the same.
+// one with the fewest requests per slot, weighted by its latency. The first of equal
+// servers at or after index start is chosen. Callers pass a random start, so that
+// processes with the same view don't all choose the same server.
 func ChooseServer(servers []Server, start int) int {
-	best, least := NoEngine, 0.0
+	best, lowestCost := NoEngine, 0.0
 	for i := range servers {
-		at := (start + i) % len(servers)
-		server := &servers[at]
+		index := (start + i) % len(servers)
+		server := &servers[index]
 		if server.Excluded {
 			continue
 		}
 		load := float64(server.Running+1) / float64(max(server.Slots, 1))
 		cost := (1 + max(load-1, 0)*2 + load/2) * float64(max(server.Latency, 1))
 		if !server.SameZone {
-			cost *= 1 + farShare
+			cost *= 1 + remotePenalty
 		}
-		if best == NoEngine || cost < least {
-			best, least = at, cost
+		if best == NoEngine || cost < lowestCost {
+			best, lowestCost = index, cost
 		}
 	}
 	return best
--- a/internal/route/place/place_test.go
+++ b/internal/route/place/place_test.go
@@ -17,8 +17,8 @@
 	return all
 }
 
-// One engine is reading a long prompt. A request that lands beside it waits
-// until that is read, although other engines are idle.
+// Guards against sending a request to an engine that is reading a long prompt, where
+// it would wait although other engines are idle.
 func TestLongPromptsAreAvoided(t *testing.T) {
 	all := engines(2)
 	all[0].Prefill = 40_000
@@ -27,10 +27,11 @@
 	assert.Assert(t, delay < 50, delay)
 }
 
-// All processes send prompts with one beginning to one engine without a word
-// among them, and stay there while it is in memory, unless that engine is so
-// busy that reading again is better for the caller.
-func TestSharedBeginningsMeet(t *testing.T) {
+// Guards against prompts with a shared prefix that spread over all engines. Processes
+// must choose the same engine without communicating, and stay with it while it has the
+// prefix cached, unless the engine is so busy that reading the prefix elsewhere is
+// faster.
+func TestPromptsWithSharedPrefixChooseTheSameEngine(t *testing.T) {
 	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, FirstPart: "glue", LastPart: "sheet-4", Slack: 900}
 	all := engines(18)
 	home, _ := place.ChooseEngine(prompt, all)
@@ -42,9 +43,10 @@
 	assert.Assert(t, elsewhere != home)
 }
 
-// A prompt that would miss its objective behind another one goes to an idle
-// engine, although that has to read everything.
-func TestObjectiveGoesBeforeMemory(t *testing.T) {
+// Guards against a request that misses its objective because it waits behind another
+// prompt at the engine that has its prefix cached. An idle engine is chosen although
+// it has to read everything.
+func TestObjectiveOutweighsCachedPrefix(t *testing.T) {
 	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, Slack: 400}
 	all := engines(2)
 	all[0].Cached, all[0].CachedHot, all[0].Prefill = 6300, 6300, 20_000
@@ -52,9 +54,9 @@
 	assert.Equal(t, chosen, 1)
 }
 
-// Many requests leave their stages together. Those that were promised to an
-// engine count before they are sent, or all would choose the one that is idle.
-func TestPlannedPromptsCount(t *testing.T) {
+// Guards against many requests that end their stages at the same time and all choose
+// the same idle engine. Requests planned for an engine count before they are sent.
+func TestPlannedPromptsAreCounted(t *testing.T) {
 	all := engines(2)
 	all[0].Planned = 20_000
 	chosen, delay := place.ChooseEngine(&place.Prompt{Tokens: 1000, Slack: 900}, all)
@@ -62,7 +64,7 @@
 	assert.Assert(t, delay < 30, delay)
 }
 
-func TestInputsDrawARequestToTheirZone(t *testing.T) {
+func TestZoneOfInputsIsPreferred(t *testing.T) {
 	prompt := &place.Prompt{Tokens: 3000, InputBytes: []place.ZoneBytes{{Zone: "b", Bytes: 4_500_000}}}
 	all := engines(4)
 	all[1].Prefill, all[3].Prefill = 4000, 5000
@@ -70,8 +72,8 @@
 	assert.Equal(t, chosen, 1)
 }
 
-// An engine whose memory runs out stops its newest request in the middle of
-// the stream, and the caller sees a long pause.
+// Guards against an engine without free memory, which preempts its newest request
+// during the stream and makes the caller wait.
 func TestFullMemoryIsAvoided(t *testing.T) {
 	all := engines(2)
 	all[0].Memory = 290_000
@@ -80,14 +82,14 @@
 	assert.Equal(t, chosen, 1)
 }
 
-func TestShutEnginesGetNothing(t *testing.T) {
+func TestExcludedEnginesAreNotChosen(t *testing.T) {
 	all := engines(2)
 	all[0].Excluded, all[1].Excluded = true, true
 	chosen, _ := place.ChooseEngine(&place.Prompt{Tokens: 1, LastPart: "g"}, all)
 	assert.Equal(t, chosen, place.NoEngine)
 }
 
-func TestPlainGoesWhereItIsAnsweredFirst(t *testing.T) {
+func TestServerThatAnswersFirstIsChosen(t *testing.T) {
 	servers := []place.Server{
 		{SameZone: true, Running: 5, Slots: 6, Latency: 30},
 		{Running: 0, Slots: 6, Latency: 30},
--- a/internal/route/place/rate.go
+++ b/internal/route/place/rate.go
@@ -3,54 +3,54 @@
 import "sync"
 
 const (
-	// firstRate is how many prompt tokens an engine is taken to read in a
-	// millisecond before any was seen to, and firstTime for how many milliseconds
-	// of reading that counts.
-	firstRate = 40.8
-	firstTime = 500
-	// rateKeep is the part of what was seen before that still counts with each
-	// prompt.
-	rateKeep = 0.98
-	// leastRate and mostRate bound what is learned, so that a wrong clock or an
-	// engine that hangs decides nothing.
-	leastRate = 4
-	mostRate  = 1000
+	// initialRate is the assumed rate before any measurement, in prompt tokens per
+	// millisecond, and initialTime the weight of this assumption, in milliseconds of
+	// reading.
+	initialRate = 40.8
+	initialTime = 500
+	// rateDecay is the factor by which each measurement reduces the weight of the
+	// earlier ones.
+	rateDecay = 0.98
+	// minRate and maxRate limit the measured rate, so that a wrong clock or a hung
+	// engine cannot distort the choice.
+	minRate = 4
+	maxRate = 1000
 )
 
-// Rate is how fast the engines of one pool read prompts, as seen from the time
-// to the first event of long ones. With a fixed rate the wait behind a long
-// prompt is wrong by as much as engines differ, and requests are sent to engines
-// that have to read parts again which another one still holds. It is safe for use
-// by several goroutines.
+// Rate measures how fast the engines of one pool read prompts, from the time to the
+// first event of long prompts. With a fixed rate the expected wait behind a long
+// prompt would be wrong for faster and slower engines, and requests would go to
+// engines that have to read parts again that another engine has cached. It is safe for
+// concurrent use.
 type Rate struct {
 	mu     sync.Mutex
 	tokens float64
-	time   float64
+	timeMs float64
 }
 
-// Learn takes how many tokens were read, and in how many milliseconds.
-func (r *Rate) Learn(tokens int64, took float64) {
-	if tokens <= 0 || took <= 0 {
+// Learn adds a measurement: the number of tokens read and the time in milliseconds.
+func (r *Rate) Learn(tokens int64, tookMs float64) {
+	if tokens <= 0 || tookMs <= 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.start()
-	r.tokens = rateKeep*r.tokens + float64(tokens)
-	r.time = rateKeep*r.time + took
+	r.initLocked()
+	r.tokens = rateDecay*r.tokens + float64(tokens)
+	r.timeMs = rateDecay*r.timeMs + tookMs
 }
 
-// TokensPerMs returns the rate.
+// TokensPerMs returns the estimated rate in tokens per millisecond.
 func (r *Rate) TokensPerMs() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.start()
-	return min(max(r.tokens/r.time, leastRate), mostRate)
+	r.initLocked()
+	return min(max(r.tokens/r.timeMs, minRate), maxRate)
 }
 
-// start sets what is believed at first; the caller holds the lock.
-func (r *Rate) start() {
-	if r.time == 0 {
-		r.tokens, r.time = firstRate*firstTime, firstTime
+// initLocked sets the initial estimate. The caller holds the lock.
+func (r *Rate) initLocked() {
+	if r.timeMs == 0 {
+		r.tokens, r.timeMs = initialRate*initialTime, initialTime
 	}
 }
--- a/internal/route/place/rate_test.go
+++ b/internal/route/place/rate_test.go
@@ -8,9 +8,9 @@
 	"github.com/jujubescale/jujubescale/internal/route/place"
 )
 
-// Engines of another deployment read prompts half as fast again, or a quarter as
-// fast. Waits behind long prompts are estimated by what is seen.
-func TestRateIsLearned(t *testing.T) {
+// Guards against estimates from a fixed rate: engines of other deployments read
+// prompts up to five times as fast, or at a quarter of the speed.
+func TestRateIsMeasured(t *testing.T) {
 	for _, actual := range []float64{10, 62, 200} {
 		var r place.Rate
 		before := r.TokensPerMs()
@@ -19,11 +19,11 @@
 			r.Learn(6000, 6000/actual)
 		}
 		got := r.TokensPerMs()
-		assert.Assert(t, got > 0.8*actual && got < 1.25*actual, "%f for %f", got, actual)
+		assert.Assert(t, got > 0.8*actual && got < 1.25*actual, "rate %f, actual %f", got, actual)
 	}
 }
 
-// A clock jumps, or an engine hangs: the rate stays within bounds and usable.
+// Guards against a clock step or a hung engine that leaves the rate unusable.
 func TestRateStaysUsable(t *testing.T) {
 	var r place.Rate
 	r.Learn(6000, -5)
@@ -35,10 +35,10 @@
 	assert.Assert(t, r.TokensPerMs() > 0 && r.TokensPerMs() < first)
 }
 
-// An engine holds the beginning of a prompt and reads another one just now.
-// Where engines read fast, waiting for it is better than reading everything
-// again elsewhere; where they are slow, the caller would be late.
-func TestFastEnginesKeepPromptsThatBeginAlikeTogether(t *testing.T) {
+// An engine has the prefix cached and is reading another prompt. With fast engines,
+// waiting for it is better than reading everything elsewhere; with slow ones, the
+// request would be late.
+func TestFastEnginesKeepSharedPrefixesTogether(t *testing.T) {
 	all := engines(2)
 	all[0].Cached, all[0].CachedHot, all[0].Prefill = 6300, 6300, 24_000
 	prompt := &place.Prompt{Tokens: 9000, Hot: 6300, Slack: 700, TokensPerMs: 120}
