--- a/internal/route/owner/owner.go
+++ b/internal/route/owner/owner.go
@@ -1,47 +1,45 @@
-// Package owner decides which of the processes that are alive hosts a pool.
+// Package owner decides which live process owns a pool.
 //
-// Every process decides alone and by the same hash, so that they agree without
-// a message as long as they see the same processes. Where they see different
-// ones for a moment, a pool has two owners; that costs smaller batches and
-// refused calls, never a wrong answer.
+// Every process computes the same hash alone, so that all agree without messages while
+// they see the same processes. While they see different ones, a pool may have two
+// owners; that causes smaller batches and refused calls, but no wrong answers.
 package owner
 
 import "github.com/cespare/xxhash/v2"
 
-// Process is one run of a process.
+// Process is one incarnation of a process.
 type Process struct {
 	Name string
-	// Key names this run of it. A process that was restarted has another key, so
-	// that what it owned before doesn't move a second time when it returns: each
-	// move leaves results behind in the engines' memory that the new owner has
-	// not made. In a restart of all hosts one after the other, pools then move
-	// once for each restart of their owner and not twice.
+	// Key identifies the incarnation. A restarted process has a new key, so that the
+	// pools that it owned before do not return to it and move a second time. Each move
+	// leaves results in the engines' memory that the new owner does not know. In a
+	// rolling restart of all hosts, pools therefore move once per restart of their
+	// owner instead of twice.
 	Key string
-	// Capacity is what the process may use of its host, in cores.
+	// Capacity is the number of cores that the process may use on its host.
 	Capacity float64
-	// Zone is the availability zone of its host.
+	// Zone is the availability zone of the host.
 	Zone string
 }
 
-// strongShare is the part of the largest capacity from which a process may own.
-// An owner takes and sends the pieces of all processes' requests; a host with an
-// eighth of a processor and a slow link does that late in bursts.
-const strongShare = 0.5
+// eligibleShare is the share of the largest capacity that a process must have to
+// become an owner. An owner sends the pieces of the requests of all processes; during
+// bursts, a host with an eighth of a processor and a slow link would delay them.
+const eligibleShare = 0.5
 
-// Of returns the name of the process with the highest hash for a subject, ""
-// without processes. When a process leaves, only the subjects that it owned
-// move.
+// Of returns the name of the eligible process with the highest weight for a subject,
+// "" if there are no processes. When a process leaves, only its own subjects move.
 func Of(subject string, processes []Process) string {
 	best := -1
-	var top uint64
-	least := strongShare * largest(processes)
+	var topWeight uint64
+	minCapacity := eligibleShare * maxCapacity(processes)
 	for i, process := range processes {
-		if process.Capacity < least {
+		if process.Capacity < minCapacity {
 			continue
 		}
 		weight := Weight(subject, process.Key)
-		if best < 0 || weight > top || (weight == top && process.Key < processes[best].Key) {
-			best, top = i, weight
+		if best < 0 || weight > topWeight || (weight == topWeight && process.Key < processes[best].Key) {
+			best, topWeight = i, weight
 		}
 	}
 	if best < 0 {
@@ -50,42 +48,43 @@
 	return processes[best].Name
 }
 
-// InZone returns the owner of a subject whose engines stand in an availability zone:
-// a process of that zone, or any if the zone has none.
+// InZone returns the owner of a subject whose engines are in an availability zone: a
+// process in that zone, or any process if the zone has none.
 func InZone(subject, zone string, processes []Process) string {
-	var near []Process
+	var inZone []Process
 	for _, process := range processes {
 		if process.Zone == zone {
-			near = append(near, process)
+			inZone = append(inZone, process)
 		}
 	}
-	if len(near) == 0 {
-		near = processes
+	if len(inZone) == 0 {
+		inZone = processes
 	}
-	return Of(subject, near)
+	return Of(subject, inZone)
 }
 
-// Eligible returns the processes on hosts large enough to work for others.
+// Eligible returns the processes on hosts that are large enough to work for others.
 func Eligible(processes []Process) []Process {
-	least := strongShare * largest(processes)
-	var strong []Process
+	minCapacity := eligibleShare * maxCapacity(processes)
+	var eligible []Process
 	for _, process := range processes {
-		if process.Capacity >= least {
-			strong = append(strong, process)
+		if process.Capacity >= minCapacity {
+			eligible = append(eligible, process)
 		}
 	}
-	return strong
+	return eligible
 }
 
-func largest(processes []Process) float64 {
-	most := 0.0
+func maxCapacity(processes []Process) float64 {
+	largest := 0.0
 	for _, process := range processes {
-		most = max(most, process.Capacity)
+		largest = max(largest, process.Capacity)
 	}
-	return most
+	return largest
 }
 
-// Weight ranks one candidate for a subject; the highest is chosen.
+// Weight returns the rendezvous weight of a candidate for a subject. The candidate
+// with the highest weight is chosen.
 func Weight(subject, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/route/owner/owner_test.go
+++ b/internal/route/owner/owner_test.go
@@ -9,7 +9,7 @@
 	"github.com/jujubescale/jujubescale/internal/route/owner"
 )
 
-// runs returns the first run of each process.
+// runs returns the first incarnation of each process.
 func runs(names ...string) []owner.Process {
 	var all []owner.Process
 	for _, name := range names {
@@ -26,16 +26,15 @@
 	// true
 }
 
-// A process dies and its pools need a new owner. If pools of the others moved
-// too, all queues would be torn apart at once and callers would see a stall
-// everywhere.
+// Guards against pools of live processes that move when another process ends. All
+// queues would be interrupted at once and callers would wait everywhere.
 func TestOnlyPoolsOfTheLostProcessMove(t *testing.T) {
 	all := runs("a", "b", "c", "d")
-	left := runs("a", "b", "d")
+	remaining := runs("a", "b", "d")
 	moved := 0
 	for i := range 1000 {
 		pool := fmt.Sprint("pool", i)
-		before, after := owner.Of(pool, all), owner.Of(pool, left)
+		before, after := owner.Of(pool, all), owner.Of(pool, remaining)
 		if before != "c" {
 			assert.Equal(t, before, after)
 			continue
@@ -45,12 +44,12 @@
 	assert.Assert(t, moved > 150 && moved < 350, moved)
 }
 
-// Hosts are restarted one after the other. If a process took back the pools
-// that it had owned before, each pool would move twice for each restart, and
-// callers would see two stalls for one.
-func TestRestartedProcessDoesNotTakeItsPoolsBack(t *testing.T) {
+// Guards against a restarted process that takes back the pools that it owned before.
+// In a rolling restart, each pool would move twice per restart of its owner, and
+// callers would wait twice.
+func TestRestartedProcessDoesNotRegainItsPools(t *testing.T) {
 	before, without := runs("a", "b", "c", "d"), runs("a", "b", "d")
-	back := append(runs("a", "b", "d"), owner.Process{Name: "c", Key: "c/2"})
+	restarted := append(runs("a", "b", "d"), owner.Process{Name: "c", Key: "c/2"})
 	owned, returned := 0, 0
 	for i := range 1000 {
 		pool := fmt.Sprint("pool", i)
@@ -58,16 +57,16 @@
 			continue
 		}
 		owned++
-		if owner.Of(pool, back) != owner.Of(pool, without) {
+		if owner.Of(pool, restarted) != owner.Of(pool, without) {
 			returned++
 		}
 	}
 	assert.Assert(t, returned < owned/2, "%d of %d", returned, owned)
 }
 
-// Hosts differ. A process on a small one would be the owner of a pool as often
-// as any, and its callers would wait while it works for everybody.
-func TestStrongProcessesOwn(t *testing.T) {
+// Guards against processes on small hosts that own as many pools as others, so that
+// their own callers wait while they work for all processes.
+func TestOnlyEligibleProcessesOwn(t *testing.T) {
 	mixed := runs("a", "b", "c", "d")
 	for i, capacity := range []float64{0.144, 0.8, 0.5, 0.144} {
 		mixed[i].Capacity = capacity
@@ -79,5 +78,5 @@
 	assert.Assert(t, counts["b"] > 300 && counts["c"] > 300, "%v", counts)
 	assert.Equal(t, counts["b"]+counts["c"], 1000)
 	weak := runs("a", "d")
-	assert.Assert(t, owner.Of("pool", weak) != "", "somebody always owns")
+	assert.Assert(t, owner.Of("pool", weak) != "", "a pool always has an owner")
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -1,11 +1,10 @@
-// Package relay decides through which processes reports and changes of the
-// store travel, so that what one process sends and receives does not grow with
-// the fleet: each process reports to one aggregator of its availability zone,
-// aggregators exchange the sums of their groups, and a few of them watch the
-// store for all others.
+// Package relay decides through which processes reports and store changes travel, so
+// that the traffic of a process does not grow with the fleet: each process reports to
+// one aggregator in its availability zone, aggregators exchange the sums of their
+// groups, and a few of them watch the store for all others.
 //
-// Each process computes this alone from the member list. Where two processes
-// see different members for a moment, a report takes another way; none is lost.
+// Each process computes the plan alone from the list of members. While two processes
+// see different members, a report takes another route; none is lost.
 package relay
 
 import (
@@ -17,37 +16,37 @@
 )
 
 const (
-	// leastGroup is the smallest group that is worth an aggregator. Larger fleets
-	// have groups of the square root of their size, so that an aggregator has as
-	// many peers as members.
-	leastGroup = 12
-	// Watchers is how many processes watch the store.
+	// minGroup is the smallest group that has its own aggregator. In larger fleets,
+	// the group size is the square root of the number of processes, so that an
+	// aggregator has as many peers as members.
+	minGroup = 12
+	// Watchers is the number of processes that watch the store.
 	Watchers = 3
-	// watchSubject ranks aggregators as watchers.
+	// watchSubject is the hash subject that ranks aggregators as watchers.
 	watchSubject = "store watcher"
 )
 
-// Plan is who relays for whom, for one member list. It is immutable.
+// Plan assigns the aggregators and watchers for one list of members. It is immutable.
 type Plan struct {
-	// ByZone holds the aggregators of each availability zone, first choice first.
+	// ByZone holds the aggregators of each availability zone by rank.
 	ByZone map[string][]string
-	// Aggregators of all zones, by name, and those of them that watch the store,
-	// first choice first.
+	// Aggregators holds the names of the aggregators in all zones, sorted. Watchers
+	// holds those that watch the store, by rank.
 	Aggregators []string
 	Watchers    []string
 }
 
-// New returns the plan for some processes.
+// New returns the plan for a list of processes.
 func New(processes []owner.Process) *Plan {
 	plan := &Plan{ByZone: make(map[string][]string)}
 	zones := make(map[string][]owner.Process)
 	for _, process := range processes {
 		zones[process.Zone] = append(zones[process.Zone], process)
 	}
-	group := max(leastGroup, math.Sqrt(float64(len(processes))))
+	group := max(minGroup, math.Sqrt(float64(len(processes))))
 	for zone, members := range zones {
 		count := int(math.Ceil(float64(len(members)) / group))
-		names := first(ranked("aggregator/"+zone, owner.Eligible(members)), count)
+		names := firstNames(rankByWeight("aggregator/"+zone, owner.Eligible(members)), count)
 		plan.ByZone[zone] = names
 		plan.Aggregators = append(plan.Aggregators, names...)
 	}
@@ -58,7 +57,7 @@
 			candidates = append(candidates, process)
 		}
 	}
-	plan.Watchers = first(ranked(watchSubject, candidates), Watchers)
+	plan.Watchers = firstNames(rankByWeight(watchSubject, candidates), Watchers)
 	return plan
 }
 
@@ -68,18 +67,19 @@
 	return found
 }
 
-// AggregatorFor returns the aggregator that a process reports to: one of its zone, or of
-// any zone if its own has none. Avoid excludes aggregators that do not answer.
+// AggregatorFor returns the aggregator that a process reports to: one in its zone or,
+// if there is none, in any zone. It returns "" if no aggregator is left. avoid reports
+// the aggregators to skip, such as those that don't answer.
 func (p *Plan) AggregatorFor(name, zone string, avoid func(aggregator string) bool) string {
 	for _, candidates := range [][]string{p.ByZone[zone], p.Aggregators} {
 		best := ""
-		var top uint64
+		var topWeight uint64
 		for _, candidate := range candidates {
 			if candidate == name || avoid(candidate) {
 				continue
 			}
-			if weight := owner.Weight(name, candidate); best == "" || weight > top {
-				best, top = candidate, weight
+			if weight := owner.Weight(name, candidate); best == "" || weight > topWeight {
+				best, topWeight = candidate, weight
 			}
 		}
 		if best != "" {
@@ -89,8 +89,8 @@
 	return ""
 }
 
-// ranked returns processes by their weight for a subject, highest first.
-func ranked(subject string, processes []owner.Process) []owner.Process {
+// rankByWeight returns the processes by their weight for a subject, highest first.
+func rankByWeight(subject string, processes []owner.Process) []owner.Process {
 	all := slices.Clone(processes)
 	slices.SortFunc(all, func(a, b owner.Process) int {
 		return cmp.Or(cmp.Compare(owner.Weight(subject, b.Key), owner.Weight(subject, a.Key)), cmp.Compare(a.Key, b.Key))
@@ -98,7 +98,7 @@
 	return all
 }
 
-func first(processes []owner.Process, count int) []string {
+func firstNames(processes []owner.Process, count int) []string {
 	var names []string
 	for _, process := range processes[:min(count, len(processes))] {
 		names = append(names, process.Name)
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -12,8 +12,8 @@
 	"github.com/jujubescale/jujubescale/internal/route/relay"
 )
 
-// fleet returns so many processes in five availability zones, one in six of them
-// on a large host.
+// fleet returns count processes in five availability zones, one in six of them on a
+// large host.
 func fleet(count int) []owner.Process {
 	var all []owner.Process
 	for i := range count {
@@ -27,7 +27,7 @@
 	return all
 }
 
-func nobody(string) bool { return false }
+func avoidNone(string) bool { return false }
 
 func ExampleNew() {
 	plan := relay.New([]owner.Process{{Name: "a", Key: "a/1", Zone: "east"}, {Name: "b", Key: "b/1", Zone: "west"}})
@@ -38,8 +38,8 @@
 	// b
 }
 
-// Guards against a fleet in which what one process sends grows with the number of
-// processes: a process has one destination, an aggregator a square root of them.
+// Guards against traffic per process that grows with the fleet: a process has one
+// destination, an aggregator about the square root of the number of processes.
 func TestDestinationsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, count := range []int{1, 3, 10, 100, 500, 1000} {
 		all := fleet(count)
@@ -47,7 +47,7 @@
 		groups := make(map[string]int)
 		for _, process := range all {
 			if !plan.IsAggregator(process.Name) {
-				groups[plan.AggregatorFor(process.Name, process.Zone, nobody)]++
+				groups[plan.AggregatorFor(process.Name, process.Zone, avoidNone)]++
 			}
 		}
 		most := 0
@@ -63,9 +63,9 @@
 	}
 }
 
-// Guards against aggregators on small hosts, where adding up for others takes
-// what callers need.
-func TestAggregatorsStandOnLargeHosts(t *testing.T) {
+// Guards against aggregators on small hosts, where the aggregation takes capacity that
+// callers need.
+func TestAggregatorsRunOnLargeHosts(t *testing.T) {
 	all := fleet(100)
 	for _, name := range relay.New(all).Aggregators {
 		at := slices.IndexFunc(all, func(p owner.Process) bool { return p.Name == name })
@@ -73,18 +73,19 @@
 	}
 }
 
-// Guards against a fleet whose reports all move when one process ends.
+// Guards against reports of the whole fleet that change their aggregator when one
+// process ends.
 func TestOnlyReportsToTheLostAggregatorMove(t *testing.T) {
 	for _, count := range []int{10, 100, 500, 1000} {
 		all := fleet(count)
 		before := relay.New(all)
 		lost := before.Aggregators[0]
-		left := slices.DeleteFunc(slices.Clone(all), func(p owner.Process) bool { return p.Name == lost })
-		after := relay.New(left)
+		remaining := slices.DeleteFunc(slices.Clone(all), func(p owner.Process) bool { return p.Name == lost })
+		after := relay.New(remaining)
 		moved := 0
-		for _, process := range left {
-			to := before.AggregatorFor(process.Name, process.Zone, nobody)
-			if to != lost && to != after.AggregatorFor(process.Name, process.Zone, nobody) {
+		for _, process := range remaining {
+			to := before.AggregatorFor(process.Name, process.Zone, avoidNone)
+			if to != lost && to != after.AggregatorFor(process.Name, process.Zone, avoidNone) {
 				moved++
 			}
 		}
@@ -92,17 +93,17 @@
 	}
 }
 
-// Guards against a process without anybody to report to because its availability
-// zone has no other, or because the aggregators there do not answer.
-func TestProcessReportsElsewhereWhenItsZoneHasNobody(t *testing.T) {
+// Guards against a process without an aggregator because its availability zone has
+// none, or because none of them answers.
+func TestProcessWithoutAggregatorInItsZoneReportsElsewhere(t *testing.T) {
 	plan := relay.New(fleet(100))
-	assert.Assert(t, plan.AggregatorFor("new", "an empty zone", nobody) != "")
+	assert.Assert(t, plan.AggregatorFor("new", "an empty zone", avoidNone) != "")
 	own := plan.ByZone["zone-1"]
 	to := plan.AggregatorFor("new", "zone-1", func(name string) bool { return slices.Contains(own, name) })
 	assert.Assert(t, to != "" && !slices.Contains(own, to), to)
 	assert.Equal(t, plan.AggregatorFor("new", "zone-1", func(string) bool { return true }), "")
 	alone := relay.New(fleet(1))
-	assert.Equal(t, alone.AggregatorFor("gateway-0000", "zone-0", nobody), "")
+	assert.Equal(t, alone.AggregatorFor("gateway-0000", "zone-0", avoidNone), "")
 	assert.DeepEqual(t, alone.Watchers, []string{"gateway-0000"})
 	assert.Equal(t, len(relay.New(nil).Aggregators), 0)
 }
--- a/internal/route/shard/shard.go
+++ b/internal/route/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard divides the stage engines of a large pool into shards, each with
-// an owner of its own: by availability zone, and those of a large zone further.
-// The end of an owner, or of a zone, then stops one shard and not the pool, and
-// results stay in their zone.
+// Package shard divides the stage engines of a large pool into shards with one owner
+// each: by availability zone, with several shards in a large zone. The loss of an
+// owner or a zone then stops one shard instead of the pool, and results stay in their
+// zone.
 package shard
 
 import (
@@ -13,42 +13,43 @@
 )
 
 const (
-	// leastPerZone is the mean number of engines in a zone from which a pool is
-	// divided. With fewer, calls of a shard hold few pieces, and one engine that is
-	// slow is a large part of it.
-	leastPerZone = 6.5
-	// mostPerShard bounds the engines of one shard, and so the work of one owner.
-	mostPerShard = 24
-	// separator stands between the names of pool and zone, zoneEnd before the
-	// number of a further shard.
-	separator = "@zone:"
-	zoneEnd   = "#"
+	// minPerZone is the mean number of engines per zone at which a pool is divided.
+	// With fewer engines, the calls of a shard hold few pieces, and one slow engine is
+	// a large part of the shard.
+	minPerZone = 6.5
+	// maxPerShard limits the mean number of engines of a shard, and so the work of its
+	// owner.
+	maxPerShard = 24
+	// separator stands between the names of pool and zone, numberSeparator before the
+	// number of a further shard of the zone.
+	separator       = "@zone:"
+	numberSeparator = "#"
 )
 
-// Engine is one engine of a pool.
+// Engine is an engine of a pool.
 type Engine struct {
 	ID   string
 	Zone string
 }
 
-// Shard is one part of a pool.
+// Shard is a part of a pool.
 type Shard struct {
-	// Name of the shard; that of the pool if it is not divided.
+	// Name of the shard. It is the pool's name if the pool is not divided.
 	Name string
-	// Zone of all its engines, "" if the pool is not divided.
+	// Zone of all engines of the shard, "" if the pool is not divided.
 	Zone string
-	// Engines are the positions of its engines.
+	// Engines are the indexes of the shard's engines.
 	Engines []int
 }
 
-// Split divides the engines of a pool. The engines' order decides that of the
-// shards.
+// Split divides the engines of a pool into shards. The order of the engines determines
+// the order of the shards.
 func Split(pool string, engines []Engine) []Shard {
 	zones := make(map[string]int)
 	for _, engine := range engines {
 		zones[engine.Zone]++
 	}
-	if len(zones) < 2 || float64(len(engines)) < leastPerZone*float64(len(zones)) {
+	if len(zones) < 2 || float64(len(engines)) < minPerZone*float64(len(zones)) {
 		whole := Shard{Name: pool}
 		for i := range engines {
 			whole.Engines = append(whole.Engines, i)
@@ -56,13 +57,13 @@
 		return []Shard{whole}
 	}
 	var shards []Shard
-	at := make(map[string]int)
+	byName := make(map[string]int)
 	for i, engine := range engines {
 		name := nameOf(pool, engine, zones[engine.Zone])
-		index, found := at[name]
+		index, found := byName[name]
 		if !found {
 			index = len(shards)
-			at[name] = index
+			byName[name] = index
 			shards = append(shards, Shard{Name: name, Zone: engine.Zone})
 		}
 		shards[index].Engines = append(shards[index].Engines, i)
@@ -70,24 +71,24 @@
 	return shards
 }
 
-// nameOf returns the name of an engine's shard. Engines are assigned by hash, so
-// that few of them move when the number of shards changes.
+// nameOf returns the name of an engine's shard. Engines are assigned by rendezvous
+// hashing, so that few of them move when the number of shards changes.
 func nameOf(pool string, engine Engine, inZone int) string {
 	name := pool + separator + engine.Zone
-	parts := int(math.Ceil(float64(inZone) / mostPerShard))
-	best, top := 0, uint64(0)
+	parts := int(math.Ceil(float64(inZone) / maxPerShard))
+	best, topWeight := 0, uint64(0)
 	for part := range parts {
-		if weight := owner.Weight(engine.ID, strconv.Itoa(part)); weight >= top {
-			best, top = part, weight
+		if weight := owner.Weight(engine.ID, strconv.Itoa(part)); weight >= topWeight {
+			best, topWeight = part, weight
 		}
 	}
 	if best == 0 {
 		return name
 	}
-	return name + zoneEnd + strconv.Itoa(best)
+	return name + numberSeparator + strconv.Itoa(best)
 }
 
-// PoolOf returns the pool of a shard by its name.
+// PoolOf returns the pool of a shard from the shard's name.
 func PoolOf(name string) string {
 	if at := strings.LastIndex(name, separator); at > 0 {
 		return name[:at]
--- a/internal/route/shard/shard_test.go
+++ b/internal/route/shard/shard_test.go
@@ -24,15 +24,15 @@
 	// Output: ocr 2
 }
 
-// Guards against an owner whose work grows with the pool, and against shards too
-// small to fill calls.
-func TestShardsByTheSizeOfThePool(t *testing.T) {
+// Guards against an owner whose work grows with the pool, and against shards too small
+// to fill calls.
+func TestNumberOfShardsFollowsPoolSize(t *testing.T) {
 	for _, tt := range []struct{ perZone, zones, least, most int }{
 		{2, 3, 1, 1}, {6, 3, 1, 1}, {9, 5, 5, 5}, {7, 5, 5, 5}, {30, 5, 10, 10}, {137, 5, 30, 30}, {600, 5, 125, 125},
 	} {
 		all := engines(tt.perZone, tt.zones)
 		shards := shard.Split("p", all)
-		assert.Assert(t, len(shards) >= tt.least && len(shards) <= tt.most, "%d a zone: %d shards", tt.perZone, len(shards))
+		assert.Assert(t, len(shards) >= tt.least && len(shards) <= tt.most, "%d per zone: %d shards", tt.perZone, len(shards))
 		seen := make(map[int]bool)
 		for _, s := range shards {
 			assert.Equal(t, shard.PoolOf(s.Name), "p")
@@ -47,10 +47,10 @@
 	}
 }
 
-// Guards against a pool whose engines all change their owner when one leaves.
-func TestOneEngineLessMovesFewOthers(t *testing.T) {
+// Guards against engines that all change their shard when one engine leaves.
+func TestRemovedEngineMovesFewOthers(t *testing.T) {
 	all := engines(49, 5)
-	before, after := homes(all), homes(all[1:])
+	before, after := shardsByEngine(all), shardsByEngine(all[1:])
 	moved := 0
 	for id, home := range after {
 		if before[id] != home {
@@ -60,7 +60,7 @@
 	assert.Assert(t, moved*4 < len(all), "%d of %d moved", moved, len(all))
 }
 
-func homes(all []shard.Engine) map[string]string {
+func shardsByEngine(all []shard.Engine) map[string]string {
 	homes := make(map[string]string)
 	for _, s := range shard.Split("p", all) {
 		for _, i := range s.Engines {
@@ -70,8 +70,8 @@
 	return homes
 }
 
-// Guards against a pool name that holds the separator.
-func TestPoolOfAnyName(t *testing.T) {
+// Guards against pool names that contain parts of the separator.
+func TestPoolOfUnusualNames(t *testing.T) {
 	for _, pool := range []string{"p", "a@b", "@", "@zone"} {
 		for _, s := range shard.Split(pool, engines(9, 5)) {
 			assert.Equal(t, shard.PoolOf(s.Name), pool)
--- a/internal/route/subset/subset.go
+++ b/internal/route/subset/subset.go
@@ -1,10 +1,9 @@
 // Package subset chooses which endpoints of a large pool a process normally uses.
 //
-// With hundreds of processes and endpoints, a process that considers all of them
-// opens a connection to each, learns of each failure by itself, and sees an idle
-// endpoint at the same moment as all other processes, which then all send to it.
-// A subset is stable: it follows from names alone, and changes by one endpoint
-// when one joins or leaves.
+// Without subsets, each of hundreds of processes would open a connection to each of
+// hundreds of endpoints and detect each failure on its own, and all processes would
+// send to an idle endpoint at the same moment. A subset follows from names alone, and
+// changes by one endpoint when one joins or leaves.
 package subset
 
 import (
@@ -15,55 +14,55 @@
 )
 
 const (
-	// MaxWholePool is the largest pool that is used as a whole.
+	// MaxWholePool is the size of the largest pool whose endpoints are all used.
 	MaxWholePool = 30
-	// users is how many processes an endpoint should have on average, so that none
-	// is left without any.
-	users = 10
-	// least and most bound a subset. Half of it stands in the process's own
-	// availability zone.
-	least = 24
-	most  = 96
+	// usersPerEndpoint is the mean number of processes that use an endpoint. It is
+	// large enough that practically no endpoint is unused.
+	usersPerEndpoint = 10
+	// minSubset and maxSubset limit the size of a subset. Half of a subset is in the
+	// process's own availability zone.
+	minSubset = 24
+	maxSubset = 96
 )
 
-// Endpoint is one endpoint of a pool.
+// Endpoint is an endpoint of a pool.
 type Endpoint struct {
 	ID   string
 	Zone string
 }
 
-// Of returns the positions of the endpoints that one of some processes uses, by
-// its name and availability zone, in ascending order.
+// Of returns the indexes of the endpoints that a process uses, in ascending order.
+// processes is the number of processes that share the pool.
 func Of(process, zone string, processes int, endpoints []Endpoint) []int {
-	size := min(max(users*len(endpoints)/max(processes, 1), least), most)
-	near, far := size/2, size/2
+	size := min(max(usersPerEndpoint*len(endpoints)/max(processes, 1), minSubset), maxSubset)
+	nearCount, farCount := size/2, size/2
 	byZone := make(map[string][]int)
 	for i, e := range endpoints {
 		byZone[e.Zone] = append(byZone[e.Zone], i)
 	}
 	if len(endpoints) <= MaxWholePool {
-		return everyone(endpoints)
+		return allIndexes(endpoints)
 	}
-	others := len(byZone)
+	otherZoneCount := len(byZone)
 	if byZone[zone] != nil {
-		others--
+		otherZoneCount--
 	}
 	var chosen []int
 	for name, members := range byZone {
-		count := near
+		count := nearCount
 		if name != zone {
-			count = (far + others - 1) / others
+			count = (farCount + otherZoneCount - 1) / otherZoneCount
 			if byZone[zone] == nil {
-				count += near / others
+				count += nearCount / otherZoneCount
 			}
 		}
-		chosen = append(chosen, top(process, endpoints, members, count)...)
+		chosen = append(chosen, topWeighted(process, endpoints, members, count)...)
 	}
 	slices.Sort(chosen)
 	return chosen
 }
 
-func everyone(endpoints []Endpoint) []int {
+func allIndexes(endpoints []Endpoint) []int {
 	all := make([]int, len(endpoints))
 	for i := range all {
 		all[i] = i
@@ -71,22 +70,22 @@
 	return all
 }
 
-// top returns the members with the highest weights for a process.
-func top(process string, endpoints []Endpoint, members []int, count int) []int {
+// topWeighted returns the members with the highest weights for a process.
+func topWeighted(process string, endpoints []Endpoint, members []int, count int) []int {
 	type weighted struct {
-		at     int
+		index  int
 		weight uint64
 	}
 	all := make([]weighted, len(members))
-	for i, at := range members {
-		all[i] = weighted{at: at, weight: owner.Weight(process, endpoints[at].ID)}
+	for i, index := range members {
+		all[i] = weighted{index: index, weight: owner.Weight(process, endpoints[index].ID)}
 	}
 	slices.SortFunc(all, func(a, b weighted) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(endpoints[a.at].ID, endpoints[b.at].ID))
+		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(endpoints[a.index].ID, endpoints[b.index].ID))
 	})
 	chosen := make([]int, min(count, len(all)))
 	for i := range chosen {
-		chosen[i] = all[i].at
+		chosen[i] = all[i].index
 	}
 	return chosen
 }
--- a/internal/route/subset/subset_test.go
+++ b/internal/route/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/route/subset"
 )
 
-func pool(count, zones int) []subset.Endpoint {
+func endpoints(count, zones int) []subset.Endpoint {
 	var all []subset.Endpoint
 	for i := range count {
 		all = append(all, subset.Endpoint{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%zones)})
@@ -31,11 +31,11 @@
 	// Output: [0 1]
 }
 
-// Guards against connections and knowledge that grow with the pool, and against
-// endpoints that few processes use while others are used by many.
+// Guards against connections that grow with the pool, and against endpoints that few
+// processes use while others are used by many.
 func TestSubsetsAreSmallAndEven(t *testing.T) {
 	for _, tt := range []struct{ processes, endpoints int }{{10, 50}, {100, 160}, {300, 3000}, {500, 1500}, {1000, 3000}} {
-		all := pool(tt.endpoints, 5)
+		all := endpoints(tt.endpoints, 5)
 		users := make([]int, len(all))
 		total := 0
 		for p := range tt.processes {
@@ -61,10 +61,9 @@
 	}
 }
 
-// Guards against connections that are all opened anew when an endpoint or a zone
-// is lost.
+// Guards against replacing all connections when one endpoint or zone is lost.
 func TestSubsetIsStable(t *testing.T) {
-	all := pool(160, 5)
+	all := endpoints(160, 5)
 	before := names(subset.Of("g", "z1", 100, all), all)
 	without := slices.DeleteFunc(slices.Clone(all), func(e subset.Endpoint) bool { return e.ID == before[0] })
 	after := names(subset.Of("g", "z1", 100, without), without)
@@ -76,6 +75,6 @@
 	}
 	assert.Equal(t, kept, len(before)-1)
 	lost := slices.DeleteFunc(slices.Clone(all), func(e subset.Endpoint) bool { return e.Zone == "z1" })
-	assert.Assert(t, len(subset.Of("g", "z1", 100, lost)) >= 24, "a process without engines in its zone uses as many of others")
+	assert.Assert(t, len(subset.Of("g", "z1", 100, lost)) >= 24, "a process without endpoints in its zone uses as many in other zones")
 	assert.Equal(t, len(subset.Of("g", "z1", 100, nil)), 0)
 }
