--- a/internal/route/canary/plan.go
+++ b/internal/route/canary/plan.go
@@ -28,10 +28,10 @@
 	preferredLead = 1500 * clock.Millis(1)
 	maxLead       = 4 * clock.Second
 	leadFactor    = 2.5
-	// completionLead is how long before the deadline a rollout is completed; the rest
-	// of the time allows another attempt at the store. It is minCompletionLead if the
-	// bounds allow too few requests, and lastCompletionLead if more requests were
-	// spent than planned.
+	// completionLead is how long before the deadline a rollout is completed, so that a
+	// failed write to the store can be repeated. It is minCompletionLead if the bounds
+	// allow too few requests, and lastCompletionLead if more requests were spent than
+	// planned.
 	completionLead     = 800 * clock.Millis(1)
 	minCompletionLead  = 450 * clock.Millis(1)
 	lastCompletionLead = 200 * clock.Millis(1)
