--- a/internal/cli/daemon/gateway.go
+++ b/internal/cli/daemon/gateway.go
@@ -241,18 +241,18 @@
 	grace := clock.Millis(r.settings.GraceSeconds * float64(clock.Second))
 	limit, cancel := context.WithTimeout(context.Background(), clock.Millis((1-endShare)*float64(grace)).Duration())
 	defer cancel()
-	r.Log.Info("leaving", "graceMs", int64(grace), "open", r.gateway.Open())
-	r.gateway.Leave()
+	r.Log.Info("leaving", "graceMs", int64(grace), "open", r.gateway.OpenRequests())
+	r.gateway.StartDrain()
 	_ = r.Clock.Sleep(limit, r.settings.BalancerLagMs) // the limit ends the stop, too
-	r.gateway.Refuse()
-	r.Log.Info("callers' port closing", "open", r.gateway.Open(), "tookMs", int64(r.Clock.Since(began)))
+	r.gateway.RefuseNew()
+	r.Log.Info("callers' port closing", "open", r.gateway.OpenRequests(), "tookMs", int64(r.Clock.Since(began)))
 	var cut int64
 	if err := r.callers.Shutdown(limit); err != nil {
 		cut = r.gateway.Wait(limit)
 		r.Log.Info("callers' connections left open", "error", err, "cut", cut)
 		within(answerTime, func(ctx context.Context) { _ = r.callers.Shutdown(ctx) }) // logged already
 	}
-	within(withdrawTime, r.gateway.Withdraw)
+	within(withdrawTime, r.gateway.Deregister)
 	r.Log.Info("stopped", "cut", cut, "tookMs", int64(r.Clock.Since(began)))
 }
 
--- a/internal/serve/router/fault_test.go
+++ b/internal/serve/router/fault_test.go
@@ -171,13 +171,13 @@
 			}
 		}()
 		if i == 10 || i == 25 {
-			b.gateways[i/25].Leave()
+			b.gateways[i/25].StartDrain()
 		}
 		time.Sleep(15 * time.Millisecond)
 	}
 	group.Wait()
 	assert.Assert(t, len(b.gateways[2].Alive()) == 1)
-	assert.Equal(t, b.gateways[0].Peers(), 2)
+	assert.Equal(t, b.gateways[0].Sessions(), 2)
 }
 
 // All hosts are restarted one after the other: a process leaves, and still has
@@ -189,7 +189,7 @@
 func TestProcessThatLeavesStillMeetsNewOnes(t *testing.T) {
 	b := start(t, 1)
 	leaving := b.gateways[0]
-	leaving.Leave()
+	leaving.StartDrain()
 	b.named("gateway-0")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if alive := leaving.Alive(); slices.Equal(alive, []string{"gateway-0"}) {
@@ -264,9 +264,9 @@
 	b := start(t, 2)
 	leaving := b.gateways[0]
 	b.eventually(leaving, booking, func(got stand.Got) bool { return got.Whole })
-	leaving.Leave()
+	leaving.StartDrain()
 	assert.Assert(t, b.do(leaving, booking()).Whole, "the balancer has not noticed yet")
-	leaving.Refuse()
+	leaving.RefuseNew()
 	for _, request := range []func() *stand.Sent{booking, lookup, draft, summary} {
 		s := request()
 		got := b.do(leaving, s)
--- a/internal/serve/router/members.go
+++ b/internal/serve/router/members.go
@@ -147,9 +147,9 @@
 	g.member.Store(true)
 }
 
-// Withdraw removes this process from the list at the end of a planned stop. If
+// Deregister removes this process from the list at the end of a planned stop. If
 // that fails, peers notice the end of the sessions all the same.
-func (g *Gateway) Withdraw(ctx context.Context) {
+func (g *Gateway) Deregister(ctx context.Context) {
 	name := g.Dialect.MemberKind + "/" + g.Name
 	object, err := g.Store.Get(ctx, name)
 	if err == nil && object.Version > 0 {
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -34,7 +34,7 @@
 	Spelling *spell.Spelling
 	// Kinds of objects: the configuration, the endpoints, the availability zones
 	// that operators have emptied, and the gateways themselves.
-	ConfigKind, EndpointKind, EmptiedKind, MemberKind string
+	ConfigKind, EndpointKind, EvacuatedKind, MemberKind string
 	// QuarantineKind is the kind of requests that reach no endpoint any more.
 	QuarantineKind string
 	// RolloutKind is the kind of operators' orders that a pool go to another version,
@@ -191,11 +191,11 @@
 // Owner returns the process that owns a subject as this one sees it.
 func (g *Gateway) Owner(subject string) string { return g.mesh.Owner(subject) }
 
-// Peers returns the number of open sessions with other processes.
-func (g *Gateway) Peers() int { return g.mesh.Sessions() }
+// Sessions returns the number of open sessions with other processes.
+func (g *Gateway) Sessions() int { return g.mesh.Sessions() }
 
-// Open returns the number of requests that are not finished.
-func (g *Gateway) Open() int64 { return g.gate.OpenRequests() }
+// OpenRequests returns the number of requests that are not finished.
+func (g *Gateway) OpenRequests() int64 { return g.gate.OpenRequests() }
 
 // SetBounds changes what may change while the process runs.
 func (g *Gateway) SetBounds(bounds gate.Bounds) { g.gate.SetBounds(bounds) }
@@ -234,7 +234,7 @@
 	g.feeds.endpoints = with(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithRest(func() clock.Millis { return rest }),
 		feed.WithList(g.listEndpoints), feed.WithChanges(g.changeEndpoints))
 	zones := newNames(func(names []string) { g.setEmptied(names) })
-	g.feeds.emptied = with(g.Dialect.EmptiedKind, g.ChangeWithin, feed.WithList(zones.list), feed.WithChanges(zones.change))
+	g.feeds.emptied = with(g.Dialect.EvacuatedKind, g.ChangeWithin, feed.WithList(zones.list), feed.WithChanges(zones.change))
 	members := newMembers(g.setMembers)
 	g.feeds.members = with(g.Dialect.MemberKind, g.ChangeWithin, feed.WithRest(func() clock.Millis { return memberRest }),
 		feed.WithList(members.list), feed.WithChanges(members.change))
@@ -357,18 +357,18 @@
 	g.group.Wait()
 }
 
-// Leave begins a planned stop: not ready any more, and no owner of pools. The
-// process stays listed until Withdraw: one that starts meanwhile finds it, and
+// StartDrain begins a planned stop: not ready any more, and no owner of pools. The
+// process stays listed until Deregister: one that starts meanwhile finds it, and
 // serves as owner for the requests that are still open here.
-func (g *Gateway) Leave() {
+func (g *Gateway) StartDrain() {
 	g.gate.StartDrain()
 	g.mesh.Leave()
 	g.host.Retire()
 }
 
-// Refuse has requests refused that still come, after Leave: callers are to go
+// RefuseNew has requests refused that still come, after StartDrain: callers are to go
 // elsewhere, where nothing cuts them.
-func (g *Gateway) Refuse() { g.gate.RefuseNew() }
+func (g *Gateway) RefuseNew() { g.gate.RefuseNew() }
 
 // Wait returns once no request is open; those that are left when the context
 // ends are cut, and counted.
--- a/internal/serve/router/store_test.go
+++ b/internal/serve/router/store_test.go
@@ -121,7 +121,7 @@
 func TestPlannedStopServesWhatStillArrives(t *testing.T) {
 	b := start(t, 2)
 	g := b.gateways[0]
-	g.Leave()
+	g.StartDrain()
 	assert.Assert(t, !b.isReady(g))
 	b.awaitPeers(b.gateways[1], 1)
 	assert.Assert(t, b.do(g, booking()).Whole)
