--- a/internal/serve/router/export_test.go
+++ b/internal/serve/router/export_test.go
@@ -2,8 +2,8 @@
 
 import "github.com/jujubescale/jujubescale/internal/serve/gate"
 
-// Gate returns the gate, so that tests can play reports that reach one process alone.
+// Gate returns the gate, so that a test can pass a report to a single process.
 func (g *Gateway) Gate() *gate.Gate { return g.gate }
 
-// Watches reports whether this process watches the store for the others.
+// Watches reports whether this process reads the store for the others.
 func (g *Gateway) Watches() bool { return g.mesh.Watches() }
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -8,117 +8,118 @@
 )
 
 const (
-	// patience is how long entries may be missing that lapsed while the store
-	// was away; endpoints that live write them again within two seconds.
-	patience = 1800 * clock.Millis(1)
-	// blindAfter is the shortest absence of the store in which entries lapse.
-	blindAfter = 500 * clock.Millis(1)
+	// entryReturnTime is the time after an outage of the store for which endpoints
+	// whose entries expired during the outage are kept. Running endpoints write their
+	// entries again within two seconds.
+	entryReturnTime = 1800 * clock.Millis(1)
+	// minOutage is the shortest outage of the store in which entries can expire.
+	minOutage = 500 * clock.Millis(1)
 )
 
-// listConfig takes the configuration as it is.
-func (g *Gateway) listConfig(objects []store.Object, _ clock.Millis) {
+// onConfigList applies the configuration from a list of the store.
+func (g *Gateway) onConfigList(objects []store.Object, _ clock.Millis) {
 	for _, object := range objects {
-		g.takeConfig(object)
+		g.applyConfig(object)
 	}
 }
 
-func (g *Gateway) changeConfig(changes []store.Change) {
+func (g *Gateway) onConfigChanges(changes []store.Change) {
 	for _, change := range changes {
 		if !change.Deleted {
-			g.takeConfig(change.Object)
+			g.applyConfig(change.Object)
 		}
 	}
 }
 
-// takeConfig puts a newer configuration in force. An older one, which may come
-// by a slower way, never replaces a newer one.
-func (g *Gateway) takeConfig(object store.Object) {
+// applyConfig puts a configuration in force if it is newer than the current one. An
+// older one may arrive later, through a slower peer.
+func (g *Gateway) applyConfig(object store.Object) {
 	if object.Name != g.Dialect.ConfigKind+"/"+g.Dialect.ConfigName {
 		return
 	}
 	routes, err := g.Dialect.TableFunc(object.Value)
 	if err != nil {
-		g.Log.Error("configuration not usable, the old one stays", "revision", object.Version, logs.KeyError, err)
+		g.Log.Error("configuration is not usable, keeping the current one", "revision", object.Version, logs.KeyError, err)
 		return
 	}
-	if routes.Version <= g.release() {
+	if routes.Version <= g.configVersion() {
 		return
 	}
 	g.table.Store(routes)
 	g.Log.Info("configuration in force", "configuration", routes.Version, "revision", object.Version, "bytes", len(object.Value))
-	g.openIfReady()
+	g.startOwningIfReady()
 }
 
-func (g *Gateway) listEndpoints(objects []store.Object, away clock.Millis) {
+func (g *Gateway) onEndpointList(objects []store.Object, away clock.Millis) {
 	entries := make([]view.Entry, 0, len(objects))
 	for _, object := range objects {
 		if entry, ok := g.decodeEntry(object); ok {
 			entries = append(entries, entry)
 		}
 	}
-	g.bookLock.Lock()
+	g.endpointsMu.Lock()
 	now := g.Clock.Now()
 	wait := clock.Millis(0)
-	if away >= blindAfter {
-		g.back, wait = now, patience
+	if away >= minOutage {
+		g.storeBackAt, wait = now, entryReturnTime
 	}
-	first := !g.book.Snapshot().Complete()
-	changes := g.book.Sync(entries, now, wait)
-	g.book.Publish()
-	g.bookLock.Unlock()
+	first := !g.endpoints.Snapshot().Complete()
+	changes := g.endpoints.Sync(entries, now, wait)
+	g.endpoints.Publish()
+	g.endpointsMu.Unlock()
 	if first {
 		g.Log.Info("endpoints listed", "endpoints", len(entries), "awayMs", int64(away))
 	} else {
-		g.logChanges(changes)
+		g.handleChanges(changes)
 	}
-	g.openIfReady()
+	g.startOwningIfReady()
 }
 
-// openIfReady lets this process own pools once it knows routes and endpoints.
-func (g *Gateway) openIfReady() {
+// startOwningIfReady lets this process own pools once it has read routes and endpoints.
+func (g *Gateway) startOwningIfReady() {
 	if g.gate.Ready() {
 		g.mesh.Open()
 	}
 }
 
-func (g *Gateway) changeEndpoints(events []store.Change) {
-	g.bookLock.Lock()
+func (g *Gateway) onEndpointChanges(events []store.Change) {
+	g.endpointsMu.Lock()
 	var changes []view.Change
 	now := g.Clock.Now()
 	for _, event := range events {
 		id := nameOf(event.Object.Name)
 		entry, ok := g.decodeEntry(event.Object)
 		if event.Deleted || !ok {
-			changes = append(changes, g.book.Remove(id, now, g.patienceAt(now))...)
+			changes = append(changes, g.endpoints.Remove(id, now, g.entryReturnLeft(now))...)
 			continue
 		}
-		changes = append(changes, g.book.Put(entry, now)...)
+		changes = append(changes, g.endpoints.Put(entry, now)...)
 	}
 	if len(changes) > 0 {
-		g.book.Publish()
+		g.endpoints.Publish()
 	}
-	g.bookLock.Unlock()
-	g.logChanges(changes)
+	g.endpointsMu.Unlock()
+	g.handleChanges(changes)
 }
 
-// patienceAt returns what is left of the time in which lapsed entries return.
-func (g *Gateway) patienceAt(now clock.Millis) clock.Millis {
-	if g.back == 0 {
+// entryReturnLeft returns the rest of entryReturnTime, 0 if it is over.
+func (g *Gateway) entryReturnLeft(now clock.Millis) clock.Millis {
+	if g.storeBackAt == 0 {
 		return 0
 	}
-	return max(g.back+patience-now, 0)
+	return max(g.storeBackAt+entryReturnTime-now, 0)
 }
 
 func (g *Gateway) decodeEntry(object store.Object) (view.Entry, bool) {
 	entry, err := g.Dialect.EntryFunc(nameOf(object.Name), object.Value)
 	if err != nil {
-		g.Log.Debug("entry names no endpoint", "revision", object.Version, logs.KeyError, err)
+		g.Log.Debug("entry is not a valid endpoint", "revision", object.Version, logs.KeyError, err)
 		return view.Entry{}, false
 	}
 	return entry, true
 }
 
-func (g *Gateway) logChanges(changes []view.Change) {
+func (g *Gateway) handleChanges(changes []view.Change) {
 	for _, change := range changes {
 		e := change.Endpoint
 		switch {
@@ -132,24 +133,25 @@
 	}
 }
 
-// setRollouts puts in force which versions get work.
+// setRollouts puts the rollouts in force that decide which versions get requests.
 func (g *Gateway) setRollouts(rollouts []view.Rollout) {
-	g.bookLock.Lock()
-	g.book.SetRollouts(rollouts)
-	g.book.Publish()
-	g.bookLock.Unlock()
-	g.openIfReady()
+	g.endpointsMu.Lock()
+	g.endpoints.SetRollouts(rollouts)
+	g.endpoints.Publish()
+	g.endpointsMu.Unlock()
+	g.startOwningIfReady()
 }
 
-// knowsPool reports whether the configuration names a pool.
+// knowsPool reports whether the configuration contains a pool.
 func (g *Gateway) knowsPool(pool string) bool {
 	routes := g.table.Load()
 	return routes != nil && routes.Pool(pool) != nil
 }
 
-// repeats reports whether requests of a route, by the name under which a pool's
-// requests are counted, may run again.
-func (g *Gateway) repeats(pool, route string) bool {
+// isRepeatable reports whether requests of a route may run again. The route is the
+// name under which a pool's requests are counted. Calls of stage pools may always be
+// repeated.
+func (g *Gateway) isRepeatable(pool, route string) bool {
 	routes := g.table.Load()
 	if routes == nil {
 		return false
@@ -157,14 +159,14 @@
 	if routes.Batching(pool) != nil {
 		return true
 	}
-	named := routes.Route(route)
-	return named != nil && named.Idempotent()
+	found := routes.Route(route)
+	return found != nil && found.Idempotent()
 }
 
-func (g *Gateway) setEmptied(zones []string) {
-	g.bookLock.Lock()
-	g.book.SetEvacuated(zones)
-	g.book.Publish()
-	g.bookLock.Unlock()
+func (g *Gateway) setEvacuated(zones []string) {
+	g.endpointsMu.Lock()
+	g.endpoints.SetEvacuated(zones)
+	g.endpoints.Publish()
+	g.endpointsMu.Unlock()
 	g.Log.Info("emptied availability zones", "zones", zones)
 }
--- a/internal/serve/router/handed.go
+++ b/internal/serve/router/handed.go
@@ -9,64 +9,64 @@
 )
 
 const (
-	// handedFor is how long results that a peer was handed are remembered: about as
-	// long as engines keep them.
-	handedFor = 5 * clock.Second
-	// mostHanded bounds what is remembered for one peer.
-	mostHanded = 4096
+	// deliveredMaxAge is how long results that were sent to a peer are remembered:
+	// about as long as engines keep them.
+	deliveredMaxAge = 5 * clock.Second
+	// maxDeliveredPerPeer bounds the number of remembered deliveries to one peer.
+	maxDeliveredPerPeer = 4096
 )
 
-// handed remembers which results peers were handed, so that those of one that
-// was killed can be given back.
-type handed struct {
+// deliveredResults remembers which results were sent to which peer, so that the
+// results of a peer that was killed can be freed.
+type deliveredResults struct {
 	mu     sync.Mutex
-	byPeer map[string][]handedOver
+	byPeer map[string][]delivery
 }
 
-// handedOver is the results of one request.
-type handedOver struct {
+// delivery holds the results of one request.
+type delivery struct {
 	at     clock.Millis
 	unused *wire.Unused
 }
 
-// add remembers the results of a request, if there are any.
-func (h *handed) add(peer string, asked *wire.Pieces, outcome host.Outcome, now clock.Millis) {
+// add remembers the results of a request. A failed request has none.
+func (d *deliveredResults) add(peer string, request *wire.Pieces, outcome host.Outcome, now clock.Millis) {
 	if outcome.Reason != "" {
 		return
 	}
 	bytes := make([]int64, len(outcome.References))
 	for i := range bytes {
-		bytes[i] = asked.Bytes
+		bytes[i] = request.Bytes
 	}
-	over := handedOver{at: now, unused: &wire.Unused{
-		Pool: asked.Pool, References: outcome.References, Endpoints: outcome.Endpoints, Bytes: bytes,
+	added := delivery{at: now, unused: &wire.Unused{
+		Pool: request.Pool, References: outcome.References, Endpoints: outcome.Endpoints, Bytes: bytes,
 	}}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.byPeer == nil {
-		h.byPeer = make(map[string][]handedOver)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.byPeer == nil {
+		d.byPeer = make(map[string][]delivery)
 	}
-	h.byPeer[peer] = append(recent(h.byPeer[peer], now), over)
+	d.byPeer[peer] = append(recent(d.byPeer[peer], now), added)
 }
 
-// recent leaves out what engines have dropped by now, and the oldest beyond the
-// bound.
-func recent(all []handedOver, now clock.Millis) []handedOver {
-	old := max(len(all)-mostHanded, 0)
-	for old < len(all) && now-all[old].at > handedFor {
-		old++
+// recent returns the deliveries without those whose results engines have dropped by
+// now, and without the oldest ones beyond maxDeliveredPerPeer.
+func recent(all []delivery, now clock.Millis) []delivery {
+	first := max(len(all)-maxDeliveredPerPeer, 0)
+	for first < len(all) && now-all[first].at > deliveredMaxAge {
+		first++
 	}
-	return all[old:]
+	return all[first:]
 }
 
-// take returns what a peer was handed, and forgets it.
-func (h *handed) take(peer string, now clock.Millis) []*wire.Unused {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// remove forgets the deliveries to a peer and returns their results.
+func (d *deliveredResults) remove(peer string, now clock.Millis) []*wire.Unused {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var all []*wire.Unused
-	for _, over := range recent(h.byPeer[peer], now) {
-		all = append(all, over.unused)
+	for _, recentDelivery := range recent(d.byPeer[peer], now) {
+		all = append(all, recentDelivery.unused)
 	}
-	delete(h.byPeer, peer)
+	delete(d.byPeer, peer)
 	return all
 }
--- a/internal/serve/router/handed_test.go
+++ b/internal/serve/router/handed_test.go
@@ -11,29 +11,30 @@
 	"github.com/jujubescale/jujubescale/internal/serve/host"
 )
 
-func TestWhatPeersWereHandedIsRemembered(t *testing.T) {
-	var h handed
-	asked := &wire.Pieces{Pool: "encode", Bytes: 10}
-	over := func(reference string) host.Outcome {
+func TestDeliveredResultsAreRememberedPerPeer(t *testing.T) {
+	var d deliveredResults
+	request := &wire.Pieces{Pool: "encode", Bytes: 10}
+	outcome := func(reference string) host.Outcome {
 		return host.Outcome{References: []string{reference}, Endpoints: []string{"e1"}}
 	}
-	h.add("b", asked, over("old"), 1000)
-	h.add("b", asked, over("new"), 5000)
-	h.add("b", asked, host.Outcome{Reason: fault.Overloaded}, 5000)
-	h.add("c", asked, over("other"), 5000)
-	got := h.take("b", 1000+handedFor+1)
-	assert.Equal(t, len(got), 1, "engines have dropped the old one")
+	d.add("b", request, outcome("old"), 1000)
+	d.add("b", request, outcome("new"), 5000)
+	d.add("b", request, host.Outcome{Reason: fault.Overloaded}, 5000)
+	d.add("c", request, outcome("other"), 5000)
+	got := d.remove("b", 1000+deliveredMaxAge+1)
+	assert.Equal(t, len(got), 1, "engines have dropped the older results")
 	assert.DeepEqual(t, got[0], &wire.Unused{Pool: "encode", References: []string{"new"}, Endpoints: []string{"e1"}, Bytes: []int64{10}})
-	assert.Equal(t, len(h.take("b", 6000)), 0)
-	assert.Equal(t, len(h.take("c", 6000)), 1)
+	assert.Equal(t, len(d.remove("b", 6000)), 0)
+	assert.Equal(t, len(d.remove("c", 6000)), 1)
 }
 
-// A peer asks for thousands of results a second and is never restarted.
-func TestWhatIsRememberedOfAPeerIsBounded(t *testing.T) {
-	var h handed
+// Guards against memory that grows without bound when a peer requests thousands of
+// results a second and is never restarted.
+func TestDeliveredResultsOfAPeerAreBounded(t *testing.T) {
+	var d deliveredResults
 	outcome := host.Outcome{References: []string{"r"}, Endpoints: []string{"e1"}}
-	for range 3 * mostHanded {
-		h.add("b", &wire.Pieces{Pool: "encode"}, outcome, clock.Millis(1000))
+	for range 3 * maxDeliveredPerPeer {
+		d.add("b", &wire.Pieces{Pool: "encode"}, outcome, clock.Millis(1000))
 	}
-	assert.Assert(t, len(h.take("b", 1000)) <= mostHanded+1)
+	assert.Assert(t, len(d.remove("b", 1000)) <= maxDeliveredPerPeer+1)
 }
--- a/internal/serve/router/harness_test.go
+++ b/internal/serve/router/harness_test.go
@@ -27,7 +27,7 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// Services of the deployment that the tests play on.
+// Services of the deployment under test.
 const (
 	orders    = "orders"
 	models    = "models"
@@ -42,34 +42,34 @@
 	org   = "one"
 )
 
-// bench is a deployment with gateways in this process.
+// bench is a deployment with gateways that run in the test process.
 type bench struct {
 	*stand.Deployment
 	t        *testing.T
 	client   *stand.Client
 	gateways []*gateway
-	// rollouts has the gateways carry out rollouts.
+	// rollouts enables rollouts at the gateways.
 	rollouts bool
 }
 
-// gateway is one of them, with the ports that a daemon gives it.
+// gateway is a router.Gateway with the listeners that a daemon opens for it.
 type gateway struct {
 	*router.Gateway
 	address  string
 	ready    string
 	registry *prometheus.Registry
 	stop     func()
-	// cut says that it doesn't reach the store.
-	cut atomic.Bool
-	// quiet counts how often it changed whom it follows the store through, or found
-	// that nobody passes changes on.
-	quiet atomic.Int64
-	// rollouts are the lines of its log about rollouts, for tests that fail.
+	// cutOff makes all calls to the store fail.
+	cutOff atomic.Bool
+	// upstreamEvents counts how often it changed its upstream or logged that no peer
+	// relays changes.
+	upstreamEvents atomic.Int64
+	// rollouts are its log lines about rollouts, which failed tests print.
 	mu       sync.Mutex
 	rollouts []string
 }
 
-// Write implements io.Writer for its log.
+// Write implements io.Writer for the gateway's log.
 func (g *gateway) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(`msg="rollout `)) {
 		g.mu.Lock()
@@ -77,13 +77,13 @@
 		g.mu.Unlock()
 	}
 	if bytes.Contains(line, []byte("store followed through")) || bytes.Contains(line, []byte("peer relays no changes")) {
-		g.quiet.Add(1)
+		g.upstreamEvents.Add(1)
 	}
 	return len(line), nil
 }
 
-// showRollouts logs what the gateway did about rollouts if the test has failed.
-func (g *gateway) showRollouts(t *testing.T) {
+// logRollouts prints the gateway's log lines about rollouts if the test has failed.
+func (g *gateway) logRollouts(t *testing.T) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t.Failed() && len(g.rollouts) > 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-func config() stand.Config {
+func testConfig() stand.Config {
 	return stand.Config{
 		Services: []stand.Service{
 			{Name: orders, Kind: stand.Plain, MaxConns: 64},
@@ -113,9 +113,9 @@
 	}
 }
 
-// engines starts the engines that most tests need: two of each service, one in
+// addEngines starts the engines that most tests need: two of each service, one in
 // each zone.
-func (b *bench) engines() {
+func (b *bench) addEngines() {
 	for _, zone := range []string{zoneA, zoneB} {
 		for _, e := range []*stand.Engine{
 			{Service: orders, Kind: stand.Plain, Work: 5 * time.Millisecond},
@@ -130,18 +130,18 @@
 	}
 }
 
-// start returns a deployment with so many gateways that are ready.
+// start returns a deployment with a number of ready gateways.
 func start(t *testing.T, gateways int) *bench {
 	t.Helper()
 	return startWith(t, gateways, false)
 }
 
-// startWith is start with gateways that carry out rollouts, or don't.
+// startWith is start with rollouts enabled or disabled.
 func startWith(t *testing.T, gateways int, rollouts bool) *bench {
 	t.Helper()
-	c := config()
+	c := testConfig()
 	if rollouts {
-		c.Services[1].ColdPerS = 200 // none is cold, and the bound would hold the load back
+		c.Services[1].ColdPerS = 200 // the engines are not cold, and the bound of cold engines would limit the load
 	}
 	d, err := stand.New(c)
 	assert.NilError(t, err)
@@ -150,16 +150,16 @@
 		b.client.Close()
 		for _, g := range b.gateways {
 			g.stop()
-			g.showRollouts(t)
+			g.logRollouts(t)
 		}
 		d.Close()
 		for _, breach := range d.Ledger.Breaches() {
 			t.Errorf("breach: %s", breach)
 		}
 	})
-	b.engines()
+	b.addEngines()
 	for range gateways {
-		b.gateway()
+		b.startGateway()
 	}
 	for _, g := range b.gateways {
 		b.awaitPeers(g, gateways)
@@ -167,10 +167,10 @@
 	return b
 }
 
-// gateway starts one more and waits until it is ready.
-func (b *bench) gateway() *gateway {
+// startGateway starts another gateway and waits until it is ready.
+func (b *bench) startGateway() *gateway {
 	b.t.Helper()
-	g := b.unready()
+	g := b.startUnreadyGateway()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
 		if b.isReady(g) {
 			return poll.Success()
@@ -180,15 +180,15 @@
 	return g
 }
 
-// unready starts one more.
-func (b *bench) unready() *gateway {
+// startUnreadyGateway starts another gateway and does not wait until it is ready.
+func (b *bench) startUnreadyGateway() *gateway {
 	b.t.Helper()
-	return b.named(fmt.Sprintf("gateway-%d", len(b.gateways)+1))
+	return b.startNamedGateway(fmt.Sprintf("gateway-%d", len(b.gateways)+1))
 }
 
-// named starts one more under a name. Of two gateways, the one whose name comes
-// first opens the session.
-func (b *bench) named(name string) *gateway {
+// startNamedGateway is startUnreadyGateway with a name. Of two gateways, the one whose
+// name sorts first opens the session.
+func (b *bench) startNamedGateway(name string) *gateway {
 	b.t.Helper()
 	sessions, callers, ready := listen(b.t), listen(b.t), listen(b.t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -196,8 +196,8 @@
 	log, err := logs.New(g, "debug")
 	assert.NilError(b.t, err)
 	transport := &http.Transport{DialContext: conn.Dial}
-	toStore := roundTrip(func(r *http.Request) (*http.Response, error) {
-		if g.cut.Load() {
+	storeTransport := roundTripFunc(func(r *http.Request) (*http.Response, error) {
+		if g.cutOff.Load() {
 			return nil, errors.New("cut off from the store")
 		}
 		return transport.RoundTrip(r)
@@ -205,9 +205,9 @@
 	g.Gateway = router.New(ctx, router.Settings{
 		Name: name, Zone: []string{zoneA, zoneB}[len(b.gateways)%2], Address: sessions.Addr().String(), ChangeWithin: 2 * clock.Second, LeaveWithin: 2 * clock.Second, Clock: clock.New(), Log: log,
 		Registry: g.registry, Dialect: platform.Dialect(),
-		Store:    platform.NewStore("http://"+b.Address, &http.Client{Transport: toStore}, clock.Second, 300),
+		Store:    platform.NewStore("http://"+b.Address, &http.Client{Transport: storeTransport}, clock.Second, 300),
 		Bounds:   gate.Bounds{ExtraShare: 0.2, ExtraSpare: 50, ExtraWindow: 10 * clock.Second, ColdShare: 1.5, ColdSpare: 5},
-		Rollouts: b.rollouts, RolloutBounds: canary.Bounds{Share: rolloutShare, Base: rolloutSpare},
+		Rollouts: b.rollouts, RolloutBounds: canary.Bounds{Share: rolloutShare, Base: rolloutBase},
 	})
 	servers := []*http.Server{
 		serve(sessions, g.SessionHandler()), serve(callers, g.Handler()), serve(ready, g.ReadyHandler()),
@@ -225,19 +225,19 @@
 	return g
 }
 
-// Bounds of what a version gets before it is decided.
+// Bounds of the requests that a candidate gets before its rollout is decided.
 const (
 	rolloutShare = 0.1
-	rolloutSpare = 50.0
+	rolloutBase  = 50.0
 )
 
-// roundTrip is a transport.
-type roundTrip func(*http.Request) (*http.Response, error)
+// roundTripFunc is a function that implements http.RoundTripper.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// awaitPeers waits until a gateway sees so many, itself among them.
+// awaitPeers waits until a gateway can reach count gateways, itself included.
 func (b *bench) awaitPeers(g *gateway, count int) {
 	b.t.Helper()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
@@ -270,18 +270,18 @@
 	return s
 }
 
-// do sends a request to a gateway.
-func (b *bench) do(g *gateway, s *stand.Sent) stand.Got {
+// send sends a request to a gateway and returns its answer.
+func (b *bench) send(g *gateway, s *stand.Sent) stand.Got {
 	b.t.Helper()
 	return b.client.Do(b.t.Context(), g.address, s)
 }
 
-// eventually sends requests until one fulfils a condition.
-func (b *bench) eventually(g *gateway, request func() *stand.Sent, holds func(stand.Got) bool) stand.Got {
+// sendUntil sends requests until an answer fulfils a condition, and returns that answer.
+func (b *bench) sendUntil(g *gateway, request func() *stand.Sent, done func(stand.Got) bool) stand.Got {
 	b.t.Helper()
 	var got stand.Got
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
-		if got = b.do(g, request()); holds(got) {
+		if got = b.send(g, request()); done(got) {
 			return poll.Success()
 		}
 		return poll.Continue("got %+v", got)
@@ -317,8 +317,8 @@
 	}
 }
 
-// counted returns the sum of a counter over its labels.
-func (g *gateway) counted(t *testing.T, name string) float64 {
+// counterSum returns the sum of a counter over all its labels.
+func (g *gateway) counterSum(t *testing.T, name string) float64 {
 	t.Helper()
 	families, err := g.registry.Gather()
 	assert.NilError(t, err)
--- a/internal/serve/router/members.go
+++ b/internal/serve/router/members.go
@@ -20,7 +20,7 @@
 	return name
 }
 
-// names follows a kind of objects of which only the names matter.
+// names follows a kind of objects whose values are not used.
 type names struct {
 	known   map[string]bool
 	setFunc func([]string)
@@ -28,7 +28,7 @@
 
 func newNames(set func([]string)) *names { return &names{known: make(map[string]bool), setFunc: set} }
 
-func (n *names) list(objects []store.Object, _ clock.Millis) {
+func (n *names) onList(objects []store.Object, _ clock.Millis) {
 	n.known = make(map[string]bool, len(objects))
 	for _, object := range objects {
 		n.known[nameOf(object.Name)] = true
@@ -36,7 +36,7 @@
 	n.set()
 }
 
-func (n *names) change(changes []store.Change) {
+func (n *names) onChanges(changes []store.Change) {
 	for _, change := range changes {
 		name := nameOf(change.Object.Name)
 		if change.Deleted {
@@ -50,7 +50,7 @@
 
 func (n *names) set() { n.setFunc(slices.Sorted(maps.Keys(n.known))) }
 
-// members follows the list of gateways.
+// members follows the member list, which holds all gateways.
 type members struct {
 	known   map[string]mesh.Member
 	setFunc func([]mesh.Member)
@@ -60,7 +60,7 @@
 	return &members{known: make(map[string]mesh.Member), setFunc: set}
 }
 
-func (m *members) list(objects []store.Object, _ clock.Millis) {
+func (m *members) onList(objects []store.Object, _ clock.Millis) {
 	m.known = make(map[string]mesh.Member, len(objects))
 	for _, object := range objects {
 		m.put(object)
@@ -68,7 +68,7 @@
 	m.set()
 }
 
-func (m *members) change(changes []store.Change) {
+func (m *members) onChanges(changes []store.Change) {
 	for _, change := range changes {
 		if change.Deleted {
 			delete(m.known, nameOf(change.Object.Name))
@@ -79,7 +79,7 @@
 	m.set()
 }
 
-// put takes an entry; one that can't be read names nobody.
+// put adds an entry. An entry that can't be decoded is left out.
 func (m *members) put(object store.Object) {
 	var member mesh.Member
 	if err := json.Unmarshal(object.Value, &member); err != nil || member.Name != nameOf(object.Name) {
@@ -91,7 +91,8 @@
 
 func (m *members) set() { m.setFunc(slices.Collect(maps.Values(m.known))) }
 
-// setMembers takes the list of gateways.
+// setMembers passes the member list to the mesh and records whether it holds this
+// process.
 func (g *Gateway) setMembers(members []mesh.Member) {
 	listed := false
 	for _, member := range members {
@@ -99,56 +100,58 @@
 			listed = true
 		}
 	}
-	g.member.Store(listed)
+	g.listed.Store(listed)
 	g.mesh.SetMembers(members)
 }
 
 const (
-	// enlistEvery is how often a process looks whether it is still listed.
-	enlistEvery = 500 * clock.Millis(1)
-	// readyLook is how often a process that starts looks whether it is ready.
-	readyLook = 20 * clock.Millis(1)
+	// registerInterval is the interval at which a process checks that it is listed.
+	registerInterval = 500 * clock.Millis(1)
+	// readyPollInterval is the interval at which a starting process checks that it is
+	// ready.
+	readyPollInterval = 20 * clock.Millis(1)
 )
 
-// enlist lists this process once it can serve, and does so again when its entry
-// was removed: whoever is listed may be asked for pieces.
-func (g *Gateway) enlist(ctx context.Context) {
+// register adds this process to the member list once it is ready, and again whenever
+// its entry was removed. It waits until the process is ready because peers may
+// request pieces from every listed process.
+func (g *Gateway) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := enlistEvery
+		pause := registerInterval
 		switch {
 		case !g.gate.Ready():
-			pause = readyLook
-		case !g.member.Load():
-			g.enlistOnce(ctx)
+			pause = readyPollInterval
+		case !g.listed.Load():
+			g.registerOnce(ctx)
 		}
-		_ = g.Clock.Sleep(ctx, pause) // the loop sees the end of the context
+		_ = g.Clock.Sleep(ctx, pause) // the loop checks the context
 	}
 }
 
-func (g *Gateway) enlistOnce(ctx context.Context) {
+func (g *Gateway) registerOnce(ctx context.Context) {
 	name := g.Dialect.MemberKind + "/" + g.Name
 	self := mesh.Member{Name: g.Name, Address: g.Address, Incarnation: g.incarnation, Zone: g.Zone, Capacity: g.Capacity}
 	value, err := json.Marshal(self)
 	if err != nil {
-		g.Log.Error("not listed", logs.KeyError, err)
+		g.Log.Error("member entry not encoded", logs.KeyError, err)
 		return
 	}
 	_, err = g.Store.Put(ctx, name, g.feeds.members.Version(name), value)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		// An entry of the process that ran here before, or this one's own, whose
-		// answer was lost.
+		// The entry belongs to an earlier run of this process, or this run wrote it
+		// and the answer was lost.
 		_, err = g.Store.Put(ctx, name, conflict.Current.Version, value)
 	}
 	if err != nil {
-		g.Log.Info("not listed yet", logs.KeyError, err)
+		g.Log.Info("member entry not written yet", logs.KeyError, err)
 		return
 	}
-	g.member.Store(true)
+	g.listed.Store(true)
 }
 
-// Deregister removes this process from the list at the end of a planned stop. If
-// that fails, peers notice the end of the sessions all the same.
+// Deregister removes this process from the member list at the end of a planned stop.
+// If that fails, peers still detect the stop by the end of the sessions.
 func (g *Gateway) Deregister(ctx context.Context) {
 	name := g.Dialect.MemberKind + "/" + g.Name
 	object, err := g.Store.Get(ctx, name)
@@ -156,6 +159,6 @@
 		err = g.Store.Delete(ctx, name, object.Version)
 	}
 	if err != nil {
-		g.Log.Info("still listed", logs.KeyError, err)
+		g.Log.Info("member entry not removed", logs.KeyError, err)
 	}
 }
--- a/internal/serve/router/meter.go
+++ b/internal/serve/router/meter.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// meter counts what peers send that is not used.
+// meter counts the reports of peers that were ignored.
 type meter struct {
 	reports *prometheus.CounterVec
 }
@@ -15,4 +15,4 @@
 	return m
 }
 
-func (m *meter) ignored(reason string) { m.reports.WithLabelValues(reason).Inc() }
+func (m *meter) countIgnored(reason string) { m.reports.WithLabelValues(reason).Inc() }
--- a/internal/serve/router/path_test.go
+++ b/internal/serve/router/path_test.go
@@ -24,23 +24,23 @@
 		for name, request := range map[string]func() *stand.Sent{
 			"booking": booking, "lookup": lookup, "draft": draft, "summary": summary,
 		} {
-			got := b.do(g, request())
+			got := b.send(g, request())
 			assert.Equal(t, got.Status, http.StatusOK, "%s: %+v", name, got)
 			assert.Assert(t, got.Whole, "%s: %+v", name, got)
 		}
 	}
 }
 
-func TestStagesWithoutPiecesAreLeftOut(t *testing.T) {
+func TestStagesWithoutPiecesAreSkipped(t *testing.T) {
 	b := start(t, 1)
 	s := draft()
 	s.Pieces = []int{0, 0}
-	got := b.do(b.gateways[0], s)
+	got := b.send(b.gateways[0], s)
 	assert.Assert(t, got.Whole, "%+v", got)
 }
 
-// Many requests need pieces at once. Each must get its own, all of them, once;
-// the ledger looks at every call and every input.
+// Guards against missing, repeated or foreign pieces when many requests need pieces at
+// the same time. The ledger checks every call and every input.
 func TestPiecesOfManyRequestsAreNotMixed(t *testing.T) {
 	b := start(t, 3)
 	var group sync.WaitGroup
@@ -50,7 +50,7 @@
 			defer group.Done()
 			s := draft()
 			s.Pieces = []int{1 + i%4, 1 + i%3}
-			if got := b.do(b.gateways[i%3], s); !got.Whole && got.Status != http.StatusServiceUnavailable {
+			if got := b.send(b.gateways[i%3], s); !got.Whole && got.Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -58,7 +58,7 @@
 	group.Wait()
 }
 
-func TestWhatIsRefusedReachesNoEngine(t *testing.T) {
+func TestRefusedRequestsReachNoEngine(t *testing.T) {
 	b := start(t, 1)
 	for _, tt := range []struct {
 		name   string
@@ -74,20 +74,20 @@
 	} {
 		s := booking()
 		tt.change(s)
-		got := b.do(b.gateways[0], s)
+		got := b.send(b.gateways[0], s)
 		assert.Equal(t, got.Status, tt.want, "%s: %+v", tt.name, got)
 		assert.Equal(t, len(b.Ledger.Runs(s.ID)), 0, tt.name)
 	}
 	s := draft()
 	s.Pieces = []int{1}
-	assert.Equal(t, b.do(b.gateways[0], s).Status, http.StatusBadRequest)
+	assert.Equal(t, b.send(b.gateways[0], s).Status, http.StatusBadRequest)
 	open := lookup()
 	open.Path, open.Key, open.Tenant = "/open/x", "", ""
-	assert.Assert(t, b.do(b.gateways[0], open).Whole)
+	assert.Assert(t, b.send(b.gateways[0], open).Whole)
 }
 
-// raw sends bytes on a connection of its own and returns what comes back until
-// it closes or a moment passes.
+// raw sends text on a new connection and returns what it receives until the connection
+// closes or 700 ms have passed.
 func (b *bench) raw(text string) string {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.gateways[0].address)
@@ -100,9 +100,9 @@
 	return string(raw)
 }
 
-// A caller frames its body in two ways at once, and hides a request in it for
-// whoever believes the other one. The hidden request must not run.
-func TestHiddenRequestsDoNotRun(t *testing.T) {
+// Guards against request smuggling: the framing of a body is ambiguous or invalid, and
+// the body contains another request. The hidden request must not run.
+func TestSmuggledRequestsDoNotRun(t *testing.T) {
 	b := start(t, 1)
 	head := func(id string) string {
 		return "POST /book/reel HTTP/1.1\r\nHost: orders.example\r\n" + stand.HeadLines(id, key, 2000)
@@ -118,24 +118,24 @@
 		b.raw(tt.text)
 		assert.Equal(t, len(b.Ledger.Runs("hidden")), 0, tt.name)
 	}
-	// The engines' own ledger also complains of ids that nobody sent, so the
-	// outer ones are accounted for here.
+	// The ledger also reports the outer request, because it was not sent through
+	// the client. The test accepts only that report and removes it.
 	for _, breach := range b.Ledger.Breaches() {
 		assert.Assert(t, strings.Contains(breach, "outer"), breach)
 	}
 	b.Ledger.Forgive("outer")
 }
 
-// A caller gives up in the middle of a stream. The engine must stop: others
-// wait for its place.
-func TestCallerThatLeavesStopsTheEngine(t *testing.T) {
+// Guards against an engine that goes on generating for a caller that has cancelled its
+// request, while other requests wait for the engine.
+func TestCancelledRequestStopsTheEngine(t *testing.T) {
 	b := start(t, 1)
 	for _, e := range b.Engines(models) {
 		b.Remove(e)
 	}
 	slow, err := b.Add(&stand.Engine{Service: models, Kind: stand.Model, Zone: zoneA, Pause: 50 * time.Millisecond, Events: 200})
 	assert.NilError(t, err)
-	time.Sleep(500 * time.Millisecond) // the entry is read by then
+	time.Sleep(500 * time.Millisecond) // the gateway has read the entry by then
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -160,8 +160,8 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second)
 }
 
-// Chunked bodies arrive without a length; the engine gets all of them.
-func TestChunkedBodiesArriveWhole(t *testing.T) {
+// Guards against chunked bodies, which have no length, that reach the engine truncated.
+func TestChunkedBodiesArriveComplete(t *testing.T) {
 	b := start(t, 1)
 	s := booking()
 	s.Body = "kraft reel"
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -11,34 +11,36 @@
 	"github.com/jujubescale/jujubescale/internal/serve/mesh"
 )
 
-// jobKey names a request of a peer.
+// jobKey identifies a request of a peer.
 type jobKey struct {
 	from   string
 	callID uint64
 }
 
-// takePieces answers a peer that asks this process as the owner of a pool.
-func (g *Gateway) takePieces(from string, pieces *wire.Pieces, reply mesh.Reply) {
+// acceptPieces submits a peer's request for pieces to the host of this process, which
+// owns the pool, and sends the outcome to the peer.
+func (g *Gateway) acceptPieces(from string, pieces *wire.Pieces, reply mesh.Reply) {
 	key := jobKey{from: from, callID: pieces.CallID}
 	g.jobs.Store(key, (*host.Job)(nil))
 	job := g.host.Submit(pieces, reply.FetchedFunc, func(outcome host.Outcome) {
 		g.jobs.Delete(key)
-		g.handed.add(from, pieces, outcome, g.Clock.Now())
+		g.delivered.add(from, pieces, outcome, g.Clock.Now())
 		reply.MadeFunc(outcome.Made())
 	})
 	g.jobs.CompareAndSwap(key, (*host.Job)(nil), job)
 }
 
-func (g *Gateway) dropPieces(from string, callID uint64) {
+func (g *Gateway) cancelPieces(from string, callID uint64) {
 	known, found := g.jobs.LoadAndDelete(jobKey{from: from, callID: callID})
 	if job, _ := known.(*host.Job); found && job != nil {
 		g.host.Drop(job)
 	}
 }
 
-// abandon ends the requests of a peer whose session ended. If it still runs, it
-// has asked another owner by now; if not, engines would go on working for nobody.
-func (g *Gateway) abandon(peer string) {
+// abandonRequests ends the requests of a peer whose session ended. A peer that still
+// runs has sent them to another owner by now; one that does not run no longer needs
+// the results, and engines would waste work on them.
+func (g *Gateway) abandonRequests(peer string) {
 	count := 0
 	g.jobs.Range(func(key, value any) bool {
 		if key.(jobKey).from != peer {
@@ -56,12 +58,13 @@
 	}
 }
 
-// clear gives back what was handed to the run of a peer that has ended. Nobody
-// else knows of these results; they would lie in the engines' memory until they
-// expire, for seconds in which calls are small.
-func (g *Gateway) clear(peer string) {
+// reclaimResults frees the results that were sent to a run of a peer that has ended.
+// No other process has references to these results. They would occupy the engines'
+// memory for seconds until they expire, and engines could only take small batches
+// meanwhile.
+func (g *Gateway) reclaimResults(peer string) {
 	results := 0
-	for _, unused := range g.handed.take(peer, g.Clock.Now()) {
+	for _, unused := range g.delivered.remove(peer, g.Clock.Now()) {
 		results += len(unused.References)
 		g.host.Reclaim(unused)
 	}
@@ -70,14 +73,14 @@
 	}
 }
 
-// owns reports whether this process owns a pool that is not divided, or a shard.
+// owns reports whether this process owns a shard, or a pool that is not divided.
 func (g *Gateway) owns(name string) bool {
-	part := g.book.Snapshot().Shard(name)
-	return part != nil && g.mesh.OwnerIn(name, part.Zone) == g.Name
+	shard := g.endpoints.Snapshot().Shard(name)
+	return shard != nil && g.mesh.OwnerIn(name, shard.Zone) == g.Name
 }
 
-// loads is what this process reports.
-func (g *Gateway) loads() *wire.Loads {
+// collectLoads returns the load that this process reports to its peers.
+func (g *Gateway) collectLoads() *wire.Loads {
 	loads := &wire.Loads{Pools: g.host.Loads(g.owns), Prefixes: g.gate.UnsentPrefixes(), Refused: g.gate.UnsentRefusals(), Crashes: g.gate.UnsentCrashes()}
 	loads.Interest = g.gate.SubsetEndpoints()
 	if g.deploy != nil {
@@ -98,9 +101,10 @@
 	return loads
 }
 
-// setWork takes what peers have running at endpoints: what changed, or all.
-func (g *Gateway) setWork(work []wire.Work, whole bool) {
-	endpoints := g.book.Snapshot()
+// setPeerWork sets the load that the requests of peers put on endpoints. If whole is
+// set, work replaces all earlier values, otherwise it holds only the changes.
+func (g *Gateway) setPeerWork(work []wire.Work, whole bool) {
+	endpoints := g.endpoints.Snapshot()
 	if whole {
 		endpoints.Each(func(e *view.Endpoint) { e.Load.SetPeers(view.Work{}) })
 	}
@@ -111,9 +115,10 @@
 	}
 }
 
-// follower is how peers and this process follow the store through each other.
+// follower returns the functions through which this process and its peers relay
+// changes of the store to each other.
 func (g *Gateway) follower() mesh.Follower {
-	each := func(kind string, do func(*feed.Feed) bool) []string {
+	withFeed := func(kind string, do func(*feed.Feed) bool) []string {
 		for _, f := range g.feeds.all() {
 			if f.Kind() == kind && do(f) {
 				return []string{kind}
@@ -130,21 +135,21 @@
 			return seen
 		},
 		WholeFunc: func(kind string) (whole *wire.Update) {
-			each(kind, func(f *feed.Feed) bool { whole = f.Whole(); return false })
+			withFeed(kind, func(f *feed.Feed) bool { whole = f.Whole(); return false })
 			return whole
 		},
 		TakeFunc: func(update *wire.Update, now clock.Millis) []string {
-			return each(update.Kind, func(f *feed.Feed) bool { return f.Take(update, now) })
+			return withFeed(update.Kind, func(f *feed.Feed) bool { return f.Take(update, now) })
 		},
 		ConfirmFunc: func(seen []wire.Seen, now clock.Millis) []string {
 			var missing []string
 			for _, s := range seen {
-				missing = append(missing, each(s.Kind, func(f *feed.Feed) bool { return f.Confirm(s, now) })...)
+				missing = append(missing, withFeed(s.Kind, func(f *feed.Feed) bool { return f.Confirm(s, now) })...)
 			}
 			return missing
 		},
-		Fresh:    clock.Millis(freshShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
-		Lost:     clock.Millis(lostShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		Fresh:    clock.Millis(upstreamAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		Lost:     clock.Millis(watcherAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
 		DownFunc: func() bool { return slices.ContainsFunc(g.feeds.all(), (*feed.Feed).Down) },
 		AloneFunc: func() {
 			for _, f := range g.feeds.all() {
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -18,8 +18,8 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// stopAll ends engines at the same moment and starts others at their addresses.
-func (b *bench) stopAll(engines []*stand.Engine) {
+// replaceEngines ends engines at the same moment and then starts as many new ones.
+func (b *bench) replaceEngines(engines []*stand.Engine) {
 	b.t.Helper()
 	var group sync.WaitGroup
 	for _, e := range engines {
@@ -33,30 +33,30 @@
 	}
 }
 
-// Guards against a lookup that all callers send alike and that is refused for a quarter of
-// an hour because the engines that worked on it lost power together.
-func TestLookupAtEnginesThatStopTogetherIsServedAfterwards(t *testing.T) {
-	b := startTwo(t)
+// Guards against a lookup that many callers send with the same key and that is refused
+// for a quarter of an hour because all engines that ran it lost power together.
+func TestLookupIsServedAfterItsEnginesStopTogether(t *testing.T) {
+	b := startTwoTenants(t)
 	engines := b.Engines(orders)
 	for _, e := range engines {
 		e.SetFault(stand.Fault{Every: 1, Slow: 1500 * time.Millisecond})
 	}
 	var group sync.WaitGroup
 	for i := range 36 {
-		group.Go(func() { b.do(b.gateways[i%3], lookup()) })
+		group.Go(func() { b.send(b.gateways[i%3], lookup()) })
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if slices.ContainsFunc(engines, func(e *stand.Engine) bool { return e.Running() == 0 }) {
-			return poll.Continue("some engines don't work on it")
+			return poll.Continue("some engines do not run it")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
-	b.stopAll(engines)
+	b.replaceEngines(engines)
 	group.Wait()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		var refused []int
-		for i, g := range b.gateways { // one of them lets a trial through
-			if !b.do(g, lookup()).Whole {
+		for i, g := range b.gateways { // one of them may let a single request through as a test
+			if !b.send(g, lookup()).Whole {
 				refused = append(refused, i+1)
 			}
 		}
@@ -67,16 +67,16 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-// Guards against a long stream that is refused because the engines that it ran at were
-// replaced one after the other as planned.
-func TestStreamAtEnginesThatAreReplacedOneByOneIsServedAfterwards(t *testing.T) {
-	b := startTwo(t)
+// Guards against a long stream that is refused because its engines were replaced one
+// after the other as planned.
+func TestStreamIsServedAfterPlannedReplacementOfEngines(t *testing.T) {
+	b := startTwoTenants(t)
 	for _, e := range b.Engines(models) {
 		e.SetFault(stand.Fault{Every: 1, Slow: 1500 * time.Millisecond})
 	}
 	for range 3 {
 		done := make(chan struct{})
-		go func() { defer close(done); b.do(b.gateways[0], summary()) }()
+		go func() { defer close(done); b.send(b.gateways[0], summary()) }()
 		var busy *stand.Engine
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			for _, e := range b.Engines(models) {
@@ -85,10 +85,10 @@
 					return poll.Success()
 				}
 			}
-			return poll.Continue("runs nowhere")
+			return poll.Continue("no engine runs it")
 		}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 		b.Drain(busy)
-		time.Sleep(400 * time.Millisecond) // until the gateways know
+		time.Sleep(400 * time.Millisecond) // the gateways have read the entry by then
 		b.Remove(busy)
 		<-done
 	}
@@ -96,14 +96,14 @@
 		e.SetFault(stand.Fault{})
 	}
 	for _, g := range b.gateways {
-		b.eventually(g, fromOther(summary), func(got stand.Got) bool { return got.Whole })
-		got := b.do(g, summary())
+		b.sendUntil(g, fromOther(summary), func(got stand.Got) bool { return got.Whole })
+		got := b.send(g, summary())
 		assert.Check(t, got.Whole, "%+v", got)
 	}
 }
 
-// reportsOf are crashes under a summary.
-func reportsOf(body string, crashes int) (crash.Key, []wire.Crash) {
+// crashReports returns the key of a summary and a number of reports of crashes under it.
+func crashReports(body string, crashes int) (crash.Key, []wire.Crash) {
 	k := crash.KeyOf(org, http.MethodPost, "models.example", "/sum/log", []byte(body))
 	var reports []wire.Crash
 	for i := range crashes {
@@ -112,12 +112,12 @@
 	return k, reports
 }
 
-// Guards against a quarantine that only one process knows, which neither owns its key nor is
-// a deputy: the reports to the others were lost.
-func TestQuarantineThatOneProcessKnowsReachesAll(t *testing.T) {
-	b := startTwo(t)
+// Guards against a quarantine that is known to a single process, neither the owner of its
+// key nor a deputy, because the reports to all other processes were lost.
+func TestQuarantineKnownToOneProcessReachesAll(t *testing.T) {
+	b := startTwoTenants(t)
 	var body string
-	owned := func(k crash.Key) bool {
+	isOwner := func(k crash.Key) bool {
 		for rank := range 3 {
 			if b.gateways[0].Owner(gate.QuarantineSubject(k, rank)) == "gateway-1" {
 				return true
@@ -127,92 +127,93 @@
 	}
 	for i := 0; ; i++ {
 		body = fmt.Sprint("crashes ", i)
-		if k, _ := reportsOf(body, 0); !owned(k) {
+		if k, _ := crashReports(body, 0); !isOwner(k) {
 			break
 		}
 	}
-	k, reports := reportsOf(body, 3)
+	k, reports := crashReports(body, 3)
 	b.gateways[0].Gate().AddPeerCrashes(reports)
-	// No request is sent meanwhile: it would be answered, and end the quarantine.
+	// The test sends no request meanwhile, because a complete answer would end the
+	// quarantine.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, g := range b.gateways {
 			if g.Gate().Quarantines().QuarantineLeft(k, g.Clock.Now()) == 0 {
-				return poll.Continue("gateway %d does not know", i+1)
+				return poll.Continue("the quarantine is unknown to gateway %d", i+1)
 			}
 		}
 		return poll.Success()
 	}, poll.WithTimeout(15*time.Second), poll.WithDelay(10*time.Millisecond))
-	got := b.do(b.gateways[1], withBody(summary, body)())
+	got := b.send(b.gateways[1], withBody(summary, body)())
 	assert.Assert(t, got.Status == http.StatusServiceUnavailable && got.RetryAfter > time.Minute, "%+v", got)
 }
 
-// Guards against a request that goes on crashing engines because its callers spell the name
-// of the host in several ways, all of which lead to the same route.
-func TestPoisonRequestIsKnownHoweverItsHostIsSpelled(t *testing.T) {
-	p := startPoisoning(t, summary, false)
+// Guards against a poison request that is not recognised because its callers spell the
+// host name in different ways that match the same route.
+func TestPoisonRequestIsRecognisedForAllHostSpellings(t *testing.T) {
+	p := startPoison(t, summary, false)
 	hosts := []string{"models.example", "Models.example", "MODELS.EXAMPLE", "models.example:80", "models.example:8080", "modelS.example"}
 	for i := range 24 {
 		s := p.request()
 		s.Host = hosts[i%len(hosts)]
-		p.do(p.gateways[i%3], s)
+		p.send(p.gateways[i%3], s)
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, len(p.poison.Reached()) <= 3+poisonMost, "%d", len(p.poison.Reached()))
+	assert.Assert(t, len(p.poison.Reached()) <= 3+maxReached, "%d", len(p.poison.Reached()))
 }
 
-// Guards against crashes that are forgotten because all processes are replaced between the
-// returns of a request.
-func TestCrashesBeforeAReleaseCountAfterIt(t *testing.T) {
-	p := startPoisoning(t, summary, false)
+// Guards against crashes that are forgotten because all processes are replaced between
+// two attempts of a request.
+func TestCrashesCountAfterRestartOfAllProcesses(t *testing.T) {
+	p := startPoison(t, summary, false)
 	for i := 0; len(p.poison.Crashes()) < 2; i++ {
-		p.do(p.gateways[i%3], p.request())
+		p.send(p.gateways[i%3], p.request())
 		time.Sleep(100 * time.Millisecond)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(p.quarantined()) == 1 {
+		if len(p.quarantinedKeys()) == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("the store holds %v", p.quarantined())
+		return poll.Continue("the store holds %v", p.quarantinedKeys())
 	}, poll.WithTimeout(15*time.Second), poll.WithDelay(10*time.Millisecond))
 	p.restart(0, 1, 2)
-	time.Sleep(poisonWindow)
+	time.Sleep(recognitionTime)
 	for i := range 12 {
-		p.do(p.gateways[i%3], p.request())
+		p.send(p.gateways[i%3], p.request())
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, len(p.poison.Reached()) <= 2+poisonMost, "%d", len(p.poison.Reached()))
+	assert.Assert(t, len(p.poison.Reached()) <= 2+maxReached, "%d", len(p.poison.Reached()))
 }
 
-// Guards against a request that is not recognised because its callers leave before the
-// engine crashes, or because the engine answers a failure first.
-func TestPoisonRequestIsKnownHoweverItsAttemptsEnd(t *testing.T) {
+// Guards against a poison request that is not recognised because its callers cancel it
+// before the engine crashes, or because the engine answers with an error first.
+func TestPoisonRequestIsRecognisedAfterCancelOrFailure(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after    time.Duration
 		fails    bool
 		deadline int
 	}{
-		"callers leave first":   {after: 200 * time.Millisecond, deadline: 120},
-		"a failure comes first": {fails: true, deadline: callersWait},
+		"callers cancel first": {after: 200 * time.Millisecond, deadline: 120},
+		"an error comes first": {fails: true, deadline: callerDeadlineMs},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := startPoisoning(t, lookup, false)
+			p := startPoison(t, lookup, false)
 			p.poison.After, p.poison.Fails = tt.after, tt.fails
 			for i := range 50 {
 				s := p.request()
 				s.DeadlineMs = tt.deadline
-				p.do(p.gateways[i%3], s)
+				p.send(p.gateways[i%3], s)
 				time.Sleep(60 * time.Millisecond)
 			}
 			assert.Assert(t, len(p.poison.Crashes()) >= 3)
-			p.check()
+			p.checkReached()
 		})
 	}
 }
 
-// Guards against calls to the store that are made again and again while it is away.
-func TestQuarantinesCostFewCallsWhileTheStoreIsAway(t *testing.T) {
-	b := startTwo(t)
-	const span, many = 3 * time.Second, 20
+// Guards against repeated calls for each quarantine while the store is unreachable.
+func TestQuarantinesCauseFewCallsDuringStoreOutage(t *testing.T) {
+	b := startTwoTenants(t)
+	const span, keys = 3 * time.Second, 20
 	calls := func() int {
 		before := b.Store.Calls()
 		time.Sleep(span)
@@ -221,18 +222,18 @@
 	b.Store.SetTrouble(stand.Trouble{Status: http.StatusServiceUnavailable})
 	time.Sleep(time.Second)
 	without := calls()
-	for i := range many {
-		_, reports := reportsOf(fmt.Sprint("body ", i), 3)
+	for i := range keys {
+		_, reports := crashReports(fmt.Sprint("body ", i), 3)
 		for _, g := range b.gateways {
 			g.Gate().AddPeerCrashes(reports)
 		}
 	}
 	time.Sleep(2 * time.Second)
 	with := calls()
-	assert.Assert(t, with <= without+3*many*3, "%d calls without quarantines, %d with them", without, with)
+	assert.Assert(t, with <= without+3*keys*3, "%d calls without quarantines, %d with them", without, with)
 	b.Store.SetTrouble(stand.Trouble{})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if held := b.Store.Names("quarantines"); len(held) != many {
+		if held := b.Store.Names("quarantines"); len(held) != keys {
 			return poll.Continue("the store holds %s", strings.Join(held, " "))
 		}
 		return poll.Success()
--- a/internal/serve/router/poison_test.go
+++ b/internal/serve/router/poison_test.go
@@ -21,33 +21,34 @@
 	otherOrg = "two"
 	otherKey = "secret-of-two"
 	poisoned = "poisoned"
-	// poisonWindow is how long after its third crash a request may go on reaching
-	// engines, and poisonMost how often it may later.
-	poisonWindow = time.Second
-	poisonMost   = 3
-	// poisonWatch is how long each test looks whether the request still arrives.
-	poisonWatch = 1500 * time.Millisecond
-	// callersWait is the callers' deadline in milliseconds.
-	callersWait = 2000
+	// recognitionTime is how long after its third crash a request may still reach
+	// engines, and maxReached how often it may after that.
+	recognitionTime = time.Second
+	maxReached      = 3
+	// observationTime is how long each test checks whether the request still reaches
+	// engines.
+	observationTime = 1500 * time.Millisecond
+	// callerDeadlineMs is the deadline of each request.
+	callerDeadlineMs = 2000
 )
 
-// poisoning is a deployment with a request that crashes engines.
-type poisoning struct {
+// poisonBench is a deployment with a request that crashes engines.
+type poisonBench struct {
 	*bench
 	poison  *stand.Poison
 	request func() *stand.Sent
 }
 
-// withBody returns a kind of request with another body.
+// withBody returns a request constructor that sets another body.
 func withBody(request func() *stand.Sent, body string) func() *stand.Sent {
 	return func() *stand.Sent {
 		s := request()
-		s.Body, s.DeadlineMs = body, callersWait
+		s.Body, s.DeadlineMs = body, callerDeadlineMs
 		return s
 	}
 }
 
-// fromOther returns a kind of request of the other organisation.
+// fromOther returns a request constructor that uses the key of the other organisation.
 func fromOther(request func() *stand.Sent) func() *stand.Sent {
 	return func() *stand.Sent {
 		s := request()
@@ -56,12 +57,12 @@
 	}
 }
 
-// startTwo starts three gateways before six engines of each service that tests
-// crash, for two organisations.
-func startTwo(t *testing.T) *bench {
+// startTwoTenants starts three gateways and six engines of each service whose engines
+// the tests crash. The configuration has two organisations.
+func startTwoTenants(t *testing.T) *bench {
 	t.Helper()
 	b := start(t, 3)
-	b.Config.Services[1].ColdPerS = 200 // none is cold, and the bound would hold the load back
+	b.Config.Services[1].ColdPerS = 200 // the engines are not cold, and the bound of cold engines would limit the load
 	b.Config.Tenants = append(b.Config.Tenants, stand.Tenant{Name: otherOrg, Keys: []string{otherKey}})
 	b.Publish()
 	for i := range 4 {
@@ -75,28 +76,28 @@
 		}
 	}
 	for _, g := range b.gateways {
-		b.eventually(g, fromOther(lookup), func(got stand.Got) bool { return got.Whole })
+		b.sendUntil(g, fromOther(lookup), func(got stand.Got) bool { return got.Whole })
 	}
 	return b
 }
 
-// startPoisoning is startTwo with a kind of request that crashes engines, which start
-// again under other ids or under those that they had.
-func startPoisoning(t *testing.T, request func() *stand.Sent, sameID bool) *poisoning {
+// startPoison is startTwoTenants with a request that crashes engines. The engines start
+// again with the same ID if sameID is set, otherwise with a new one.
+func startPoison(t *testing.T, request func() *stand.Sent, sameID bool) *poisonBench {
 	t.Helper()
-	p := &poisoning{bench: startTwo(t), request: withBody(request, poisoned), poison: &stand.Poison{
+	p := &poisonBench{bench: startTwoTenants(t), request: withBody(request, poisoned), poison: &stand.Poison{
 		Tenant: org, Body: poisoned, Lapse: 450 * time.Millisecond, Away: 700 * time.Millisecond, SameID: sameID,
 	}}
 	if sameID {
-		p.poison.Lapse, p.poison.Away = p.poison.Away, p.poison.Lapse // the entry stays
+		p.poison.Lapse, p.poison.Away = p.poison.Away, p.poison.Lapse // the entry stays in the store during the restart
 	}
 	p.Ledger.Poison(p.poison)
 	return p
 }
 
-// repeat sends the request to all gateways again and again until it is told to stop,
-// to all at the same moment and to one after the other in turn.
-func (p *poisoning) repeat() (stop func()) {
+// sendRepeatedly sends the request until stop is called, in turn to all gateways at the
+// same moment and to a single one.
+func (p *poisonBench) sendRepeatedly() (stop func()) {
 	gateways := slices.Clone(p.gateways)
 	done := make(chan struct{})
 	var group sync.WaitGroup
@@ -109,7 +110,7 @@
 				to = gateways[round/2%len(gateways):][:1]
 			}
 			for _, g := range to {
-				group.Go(func() { p.do(g, p.request()) })
+				group.Go(func() { p.send(g, p.request()) })
 			}
 			select {
 			case <-done:
@@ -124,9 +125,9 @@
 	})
 }
 
-// third waits for the third crash and returns when it was, or the time at which the
-// wait ended: the request may have been stopped before.
-func (p *poisoning) third() time.Time {
+// awaitThirdCrash returns the time of the third crash. If there is none within 5 s,
+// because the request was stopped before, it returns the current time.
+func (p *poisonBench) awaitThirdCrash() time.Time {
 	for limit := time.Now().Add(5 * time.Second); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		if crashes := p.poison.Crashes(); len(crashes) >= 3 {
 			return crashes[2]
@@ -135,27 +136,27 @@
 	return time.Now()
 }
 
-// span is a time in which the request may reach engines.
-type span struct{ from, to time.Time }
+// interval is a period of time in which the request may reach engines.
+type interval struct{ from, to time.Time }
 
-// check counts how often the request reached engines later than the window after its
-// third crash, outside some spans.
-func (p *poisoning) check(allowed ...span) {
+// checkReached fails the test if the request reached engines more than maxReached times
+// later than recognitionTime after its third crash and outside the allowed intervals.
+func (p *poisonBench) checkReached(allowed ...interval) {
 	p.t.Helper()
 	reached, crashes := p.poison.Reached(), p.poison.Crashes()
 	p.t.Logf("reached engines %d times, %d crashed", len(reached), len(crashes))
 	if len(crashes) < 3 {
 		return
 	}
-	allowed = append(allowed, span{to: crashes[2].Add(poisonWindow)})
+	allowed = append(allowed, interval{to: crashes[2].Add(recognitionTime)})
 	late := slices.DeleteFunc(reached, func(at time.Time) bool {
-		return slices.ContainsFunc(allowed, func(s span) bool { return at.Before(s.to) && !at.Before(s.from) })
+		return slices.ContainsFunc(allowed, func(s interval) bool { return at.Before(s.to) && !at.Before(s.from) })
 	})
-	assert.Assert(p.t, len(late) <= poisonMost, "reached engines %d times more", len(late))
+	assert.Assert(p.t, len(late) <= maxReached, "reached engines %d times more", len(late))
 }
 
-// Guards against a request that crashes engine after engine because nothing
-// recognises it when it comes again.
+// Guards against a request that crashes engine after engine because it is not
+// recognised when it is sent again.
 func TestPoisonRequestReachesFewEngines(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -167,26 +168,26 @@
 		{"booking", booking, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := startPoisoning(t, tt.request, tt.sameID)
-			stop := p.repeat()
+			p := startPoison(t, tt.request, tt.sameID)
+			stop := p.sendRepeatedly()
 			defer stop()
-			time.Sleep(time.Until(p.third().Add(poisonWindow + poisonWatch)))
+			time.Sleep(time.Until(p.awaitThirdCrash().Add(recognitionTime + observationTime)))
 			stop()
-			p.check()
+			p.checkReached()
 		})
 	}
 }
 
-// restart kills gateways, starts them again under their names with nothing in memory,
-// and returns the span in which they may not know the request.
-func (p *poisoning) restart(gateways ...int) span {
+// restart kills gateways and starts them again with the same names and no state. It
+// returns the interval in which they may not recognise the request.
+func (p *poisonBench) restart(gateways ...int) interval {
 	p.t.Helper()
 	from := time.Now()
 	for _, i := range gateways {
 		p.gateways[i].stop()
 	}
 	for _, i := range gateways {
-		p.again(i)
+		p.startAgain(i)
 	}
 	started := time.Now()
 	for _, g := range p.gateways {
@@ -194,24 +195,24 @@
 			if p.isReady(g) && len(g.Alive()) == len(p.gateways) {
 				return poll.Success()
 			}
-			return poll.Continue("sees %v", g.Alive())
+			return poll.Continue("can reach %v", g.Alive())
 		}, poll.WithTimeout(15*time.Second), poll.WithDelay(10*time.Millisecond))
 	}
-	return span{from: from, to: started.Add(poisonWindow)}
+	return interval{from: from, to: started.Add(recognitionTime)}
 }
 
-// again starts the gateway of a place once more, under its name.
-func (p *poisoning) again(place int) {
+// startAgain starts the gateway at an index again, with the same name.
+func (p *poisonBench) startAgain(place int) {
 	p.t.Helper()
 	last := len(p.gateways)
-	started := p.named(fmt.Sprintf("gateway-%d", place+1))
+	started := p.startNamedGateway(fmt.Sprintf("gateway-%d", place+1))
 	p.gateways[place] = started
 	p.gateways = p.gateways[:last]
 }
 
-// Guards against gateways that forget the request when one of them, or all, start
-// again.
-func TestPoisonRequestIsKnownAfterRestarts(t *testing.T) {
+// Guards against gateways that no longer recognise the request after one or all of them
+// were restarted.
+func TestPoisonRequestIsRecognisedAfterRestarts(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		rounds [][]int
@@ -220,31 +221,31 @@
 		{"all at once", [][]int{{0, 1, 2}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := startPoisoning(t, summary, false)
-			stop := p.repeat()
+			p := startPoison(t, summary, false)
+			stop := p.sendRepeatedly()
 			defer func() { stop() }()
-			time.Sleep(time.Until(p.third().Add(poisonWindow + poisonWatch*2/3)))
-			var allowed []span
+			time.Sleep(time.Until(p.awaitThirdCrash().Add(recognitionTime + observationTime*2/3)))
+			var allowed []interval
 			for _, round := range tt.rounds {
 				stop()
 				restarted := p.restart(round...)
-				stop = p.repeat()
-				time.Sleep(max(time.Until(restarted.to), 0) + poisonWatch*2/3)
+				stop = p.sendRepeatedly()
+				time.Sleep(max(time.Until(restarted.to), 0) + observationTime*2/3)
 				allowed = append(allowed, restarted)
 			}
 			stop()
-			p.check(allowed...)
+			p.checkReached(allowed...)
 		})
 	}
 }
 
-// Guards against a request that takes others down with it: with the same path, or with
-// the same body of another organisation.
-func TestOthersAreServedBesideAPoisonRequest(t *testing.T) {
-	p := startPoisoning(t, summary, false)
-	stop := p.repeat()
+// Guards against a quarantine that also affects requests with the same path, or with the
+// same body of another organisation.
+func TestOtherRequestsAreServedDuringPoisonRequest(t *testing.T) {
+	p := startPoison(t, summary, false)
+	stop := p.sendRepeatedly()
 	defer stop()
-	time.Sleep(time.Until(p.third().Add(poisonWindow + p.poison.Away + 500*time.Millisecond)))
+	time.Sleep(time.Until(p.awaitThirdCrash().Add(recognitionTime + p.poison.Away + 500*time.Millisecond)))
 	for name, request := range map[string]func() *stand.Sent{
 		"another body": withBody(summary, "sound"), "another organisation": fromOther(p.request),
 	} {
@@ -253,11 +254,11 @@
 		var group sync.WaitGroup
 		for i := range sent {
 			group.Go(func() {
-				got := p.do(p.gateways[i%len(p.gateways)], request())
+				got := p.send(p.gateways[i%len(p.gateways)], request())
 				if !got.Whole {
 					repeated.Add(1)
 					time.Sleep(max(got.RetryAfter, 50*time.Millisecond))
-					got = p.do(p.gateways[(i+1)%len(p.gateways)], request())
+					got = p.send(p.gateways[(i+1)%len(p.gateways)], request())
 				}
 				if got.Whole {
 					served.Add(1)
@@ -266,17 +267,17 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		group.Wait()
-		t.Logf("%s: %d of %d were served, %d came again", name, served.Load(), sent, repeated.Load())
+		t.Logf("%s: %d of %d were served, %d were sent twice", name, served.Load(), sent, repeated.Load())
 		assert.Check(t, served.Load()*100 >= sent*95, "%s: %d of %d", name, served.Load(), sent)
 	}
 }
 
-// Guards against requests that are taken for such a one because engines reset their
-// connections or break their answers off, while none crashes.
-func TestBrokenAnswersMakeNoPoisonRequest(t *testing.T) {
+// Guards against quarantines of requests whose connections engines reset, or whose
+// answers they broke off, without a crash.
+func TestBrokenAnswersCauseNoQuarantine(t *testing.T) {
 	for name, fault := range map[string]stand.Fault{"reset": {Every: 1, Reset: true}, "break": {Every: 1, Break: true}} {
 		t.Run(name, func(t *testing.T) {
-			b := startTwo(t)
+			b := startTwoTenants(t)
 			engines := append(b.Engines(orders), b.Engines(models)...)
 			for _, e := range engines {
 				e.SetFault(fault)
@@ -284,7 +285,7 @@
 			requests := []func() *stand.Sent{booking, lookup, draft, summary}
 			for _, request := range requests {
 				for round := range 4 {
-					got := b.do(b.gateways[round%3], request())
+					got := b.send(b.gateways[round%3], request())
 					assert.Assert(t, !got.Whole)
 				}
 			}
@@ -293,9 +294,9 @@
 			}
 			for _, request := range requests {
 				for _, g := range b.gateways {
-					// Engines that failed are left alone for a while, whatever is asked.
-					b.eventually(g, withBody(request, "sound"), func(got stand.Got) bool { return got.Whole })
-					got := b.do(g, request())
+					// Engines that failed are blocked for a while for all requests.
+					b.sendUntil(g, withBody(request, "sound"), func(got stand.Got) bool { return got.Whole })
+					got := b.send(g, request())
 					assert.Check(t, got.Whole, "%s: %+v", request().Path, got)
 				}
 			}
@@ -303,23 +304,23 @@
 	}
 }
 
-// Guards against a request that is known and yet kept till its deadline, or refused as
+// Guards against a quarantined request that is held until its deadline, or refused as
 // if it might have run.
 func TestPoisonRequestIsRefusedAtOnce(t *testing.T) {
 	for name, request := range map[string]func() *stand.Sent{"stream": draft, "booking": booking} {
 		t.Run(name, func(t *testing.T) {
-			p := startPoisoning(t, request, false)
-			stop := p.repeat()
+			p := startPoison(t, request, false)
+			stop := p.sendRepeatedly()
 			defer stop()
-			p.third()
+			p.awaitThirdCrash()
 			stop()
-			p.backAgain()
+			p.awaitRecovery()
 			before := len(p.poison.Reached())
 			const sent = 20
 			refused, slowest := 0, time.Duration(0)
 			for i := range sent {
 				s := p.request()
-				got := p.do(p.gateways[i%len(p.gateways)], s)
+				got := p.send(p.gateways[i%len(p.gateways)], s)
 				if got.Status == http.StatusServiceUnavailable {
 					refused++
 					slowest = max(slowest, got.Took)
@@ -330,29 +331,29 @@
 			}
 			reached := len(p.poison.Reached()) - before
 			t.Logf("%d of %d refused, the slowest in %v; reached engines %d times", refused, sent, slowest, reached)
-			assert.Check(t, reached <= poisonMost, "reached engines %d times", reached)
-			assert.Check(t, refused >= sent-poisonMost, "%d of %d", refused, sent)
+			assert.Check(t, reached <= maxReached, "reached engines %d times", reached)
+			assert.Check(t, refused >= sent-maxReached, "%d of %d", refused, sent)
 			assert.Check(t, slowest < 500*time.Millisecond, "%v", slowest)
 		})
 	}
 }
 
-// backAgain waits until all engines that crashed have started again and serve others
-// through every gateway.
-func (p *poisoning) backAgain() {
+// awaitRecovery waits until all engines that crashed have started again and every
+// gateway gets answers from them for the other organisation.
+func (p *poisonBench) awaitRecovery() {
 	p.t.Helper()
 	if crashes := p.poison.Crashes(); len(crashes) > 0 {
 		time.Sleep(time.Until(crashes[len(crashes)-1].Add(p.poison.Away + 500*time.Millisecond)))
 	}
 	for _, g := range p.gateways {
-		p.eventually(g, fromOther(p.request), func(got stand.Got) bool { return got.Whole })
+		p.sendUntil(g, fromOther(p.request), func(got stand.Got) bool { return got.Whole })
 	}
 }
 
-// Guards against sound requests that are refused because they ran again and again at
-// the same engines as a request that crashes them.
-func TestRequestsBesideAPoisonRequestAreNotTakenForIt(t *testing.T) {
-	p := startPoisoning(t, draft, false)
+// Guards against valid requests that are quarantined because they repeatedly ran at the
+// same engines as a request that crashes them.
+func TestRequestsAtCrashingEnginesAreNotQuarantined(t *testing.T) {
+	p := startPoison(t, draft, false)
 	others := make([]func() *stand.Sent, 40)
 	done := make(chan struct{})
 	var group sync.WaitGroup
@@ -360,7 +361,7 @@
 		others[i] = withBody(draft, fmt.Sprint("sound ", i))
 		group.Go(func() {
 			for round := i; ; round++ {
-				p.do(p.gateways[round%len(p.gateways)], others[i]())
+				p.send(p.gateways[round%len(p.gateways)], others[i]())
 				select {
 				case <-done:
 					return
@@ -369,43 +370,43 @@
 			}
 		})
 	}
-	stop := p.repeat()
+	stop := p.sendRepeatedly()
 	defer stop()
-	p.third()
-	time.Sleep(poisonWindow)
+	p.awaitThirdCrash()
+	time.Sleep(recognitionTime)
 	close(done)
 	group.Wait()
 	stop()
 	assert.Assert(t, len(p.poison.Crashes()) >= 3)
-	p.backAgain()
+	p.awaitRecovery()
 	for i, request := range others {
-		p.eventually(p.gateways[i%len(p.gateways)], request, func(got stand.Got) bool { return got.Whole })
+		p.sendUntil(p.gateways[i%len(p.gateways)], request, func(got stand.Got) bool { return got.Whole })
 	}
-	assert.Equal(t, len(p.quarantined()), 1)
+	assert.Equal(t, len(p.quarantinedKeys()), 1)
 }
 
-// quarantined returns the keys that stand in the store.
-func (p *poisoning) quarantined() []string { return p.Store.Names(platform.KindQuarantines) }
+// quarantinedKeys returns the keys of the quarantines in the store.
+func (p *poisonBench) quarantinedKeys() []string { return p.Store.Names(platform.KindQuarantines) }
 
-// Guards against a quarantine that operators can't end.
+// Guards against a quarantine that operators can't end by deleting its object.
 func TestQuarantineEndsWhenItsObjectIsDeleted(t *testing.T) {
-	p := startPoisoning(t, lookup, false)
-	stop := p.repeat()
+	p := startPoison(t, lookup, false)
+	stop := p.sendRepeatedly()
 	defer stop()
-	p.third()
+	p.awaitThirdCrash()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(p.quarantined()) == 1 {
+		if len(p.quarantinedKeys()) == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("%v", p.quarantined())
+		return poll.Continue("%v", p.quarantinedKeys())
 	}, poll.WithTimeout(15*time.Second), poll.WithDelay(10*time.Millisecond))
 	stop()
-	p.backAgain()
+	p.awaitRecovery()
 	before := len(p.poison.Reached())
-	p.Store.PutRaw(platform.KindQuarantines, "other", json.RawMessage(`7`)) // nobody's
-	p.Store.Delete(platform.KindQuarantines, p.quarantined()[0])
+	p.Store.PutRaw(platform.KindQuarantines, "other", json.RawMessage(`7`)) // an invalid object
+	p.Store.Delete(platform.KindQuarantines, p.quarantinedKeys()[0])
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		p.do(p.gateways[0], p.request())
+		p.send(p.gateways[0], p.request())
 		if len(p.poison.Reached()) > before {
 			return poll.Success()
 		}
--- a/internal/serve/router/quarantine.go
+++ b/internal/serve/router/quarantine.go
@@ -14,29 +14,33 @@
 )
 
 const (
-	// quarantineRead is the time within which a change of what the store holds has to
-	// be known where nothing tells of it. Processes learn of crashes from each other;
-	// the store serves those that start or were cut off, and operators.
-	quarantineRead = 25 * clock.Second
-	// quarantineEvery is the pause between two looks for what is to be written or removed.
-	quarantineEvery = 250 * clock.Millis(1)
-	// quarantineTurn is how long a process leaves that to the owner of a request's key,
-	// and anyTurn to the owner and the deputies: they may not know of the crashes.
-	quarantineTurn     = 500 * clock.Millis(1)
-	anyTurn            = 2 * clock.Second
+	// quarantineChangeWithin is the time within which a process has to detect a change
+	// of the stored quarantines. It is long because processes report crashes to each
+	// other; the store serves processes that start or were cut off, and operators.
+	quarantineChangeWithin = 25 * clock.Second
+	// quarantineInterval is the pause between two checks for quarantines that have to
+	// be written or removed.
+	quarantineInterval = 250 * clock.Millis(1)
+	// The owner of a request's key writes and removes its quarantine. After
+	// deputyDelay for each rank, its deputies do so as well, and after anyProcessDelay
+	// any process: the owner and the deputies may not have received the reports of
+	// the crashes.
+	deputyDelay        = 500 * clock.Millis(1)
+	anyProcessDelay    = 2 * clock.Second
 	quarantineDeputies = 2
-	// quarantineTimeout bounds a call to the store, maxQuarantinePause the growing
-	// pause after one that failed.
-	quarantineTimeout  = clock.Second
-	maxQuarantinePause = 8 * clock.Second
+	// quarantineTimeout bounds a call to the store, maxQuarantineBackoff the
+	// exponential backoff after calls that failed.
+	quarantineTimeout    = clock.Second
+	maxQuarantineBackoff = 8 * clock.Second
 )
 
-// Quarantine is a request under which endpoints crashed, as it is written to the
-// platform's store under its key. It reaches no endpoint from three crashes on.
+// Quarantine is the object in the platform's store that records which endpoints
+// crashed under a request. Its name is the request's key. From three crashes on, the
+// request is sent to no endpoint.
 type Quarantine struct {
-	// SinceMs is the wall clock's millisecond of the last crash.
+	// SinceMs is the time of the last crash in milliseconds since the Unix epoch.
 	SinceMs int64 `json:"sinceMs"`
-	// Endpoints that crashed under the request.
+	// Endpoints are the IDs of the endpoints that crashed under the request.
 	Endpoints []string `json:"endpoints"`
 }
 
@@ -48,7 +52,7 @@
 
 func newQuarantines(set func([]crash.Stored)) *quarantines { return &quarantines{setFunc: set} }
 
-func (q *quarantines) list(objects []store.Object, _ clock.Millis) {
+func (q *quarantines) onList(objects []store.Object, _ clock.Millis) {
 	q.known = make(map[string]crash.Stored, len(objects))
 	for _, object := range objects {
 		q.put(object)
@@ -56,7 +60,7 @@
 	q.set()
 }
 
-func (q *quarantines) change(changes []store.Change) {
+func (q *quarantines) onChanges(changes []store.Change) {
 	for _, change := range changes {
 		if change.Deleted {
 			delete(q.known, change.Object.Name)
@@ -67,7 +71,7 @@
 	q.set()
 }
 
-// put takes an entry; one that can't be read quarantines nothing.
+// put adds an entry. An entry that can't be decoded is left out.
 func (q *quarantines) put(object store.Object) {
 	key, err := crash.ParseKey(nameOf(object.Name))
 	var entry Quarantine
@@ -80,62 +84,64 @@
 }
 
 func (q *quarantines) set() {
-	listed := make([]crash.Stored, 0, len(q.known))
+	all := make([]crash.Stored, 0, len(q.known))
 	for _, entry := range q.known {
-		listed = append(listed, entry)
+		all = append(all, entry)
 	}
-	q.setFunc(listed)
+	q.setFunc(all)
 }
 
-// keepQuarantines writes crashes to the platform's store, and removes what is over, as
-// far as that falls to this process, until the context ends.
-func (g *Gateway) keepQuarantines(ctx context.Context) {
-	due := make(map[crash.Key]*dueQuarantine)
-	for g.Clock.Sleep(ctx, quarantineEvery) == nil {
-		now, book := g.Clock.Now(), g.gate.Quarantines()
-		open := make(map[crash.Key]*dueQuarantine)
-		for _, entry := range book.Unwritten(now) {
-			g.keep(entry.Key, due, open, func() error { return g.writeQuarantine(ctx, entry) })
+// syncQuarantines writes crashes to the platform's store and removes expired
+// quarantines for which this process is responsible, until the context ends.
+func (g *Gateway) syncQuarantines(ctx context.Context) {
+	previous := make(map[crash.Key]*pendingChange)
+	for g.Clock.Sleep(ctx, quarantineInterval) == nil {
+		now, tracker := g.Clock.Now(), g.gate.Quarantines()
+		pending := make(map[crash.Key]*pendingChange)
+		for _, entry := range tracker.Unwritten(now) {
+			g.applyWhenDue(entry.Key, previous, pending, func() error { return g.writeQuarantine(ctx, entry) })
 		}
-		for _, key := range book.Expire(now) {
-			g.keep(key, due, open, func() error { return g.removeQuarantine(ctx, key) })
+		for _, key := range tracker.Expire(now) {
+			g.applyWhenDue(key, previous, pending, func() error { return g.removeQuarantine(ctx, key) })
 		}
-		due = open
+		previous = pending
 	}
 }
 
-// dueQuarantine is a change of one object that is to be made.
-type dueQuarantine struct {
-	// since when, and when the next try may come after a pause.
-	since, next, pause clock.Millis
+// pendingChange is an outstanding change of one object in the store.
+type pendingChange struct {
+	// since is when the change was first needed, nextTry when it may be tried again,
+	// and backoff the pause after the last failure.
+	since, nextTry, backoff clock.Millis
 }
 
-// keep makes a change of one object if that falls to this process now.
-func (g *Gateway) keep(key crash.Key, due, open map[crash.Key]*dueQuarantine, change func() error) {
+// applyWhenDue makes the change of one object if this process is responsible for it
+// and no backoff is running.
+func (g *Gateway) applyWhenDue(key crash.Key, previous, pending map[crash.Key]*pendingChange, change func() error) {
 	now := g.Clock.Now()
-	d := due[key]
-	if d == nil {
-		d = &dueQuarantine{since: now}
+	p := previous[key]
+	if p == nil {
+		p = &pendingChange{since: now}
 	}
-	open[key] = d
-	if now < d.next || !g.isMine(key, now-d.since) {
+	pending[key] = p
+	if now < p.nextTry || !g.isResponsible(key, now-p.since) {
 		return
 	}
 	if err := change(); err != nil {
-		d.pause = min(max(2*d.pause, quarantineEvery), maxQuarantinePause)
-		d.next = g.Clock.Now() + d.pause
-		g.Log.Info("quarantine not kept yet", "key", key, "dueMs", int64(now-d.since), logs.KeyError, err)
+		p.backoff = min(max(2*p.backoff, quarantineInterval), maxQuarantineBackoff)
+		p.nextTry = g.Clock.Now() + p.backoff
+		g.Log.Info("quarantine not kept yet", "key", key, "dueMs", int64(now-p.since), logs.KeyError, err)
 	}
 }
 
-// isMine reports whether this process makes a change that has been due so long: as the
-// owner of the key, as a deputy, or as any process that knows of it.
-func (g *Gateway) isMine(key crash.Key, due clock.Millis) bool {
-	if due >= anyTurn {
+// isResponsible reports whether this process has to make a change that has been
+// outstanding for a time: as the owner of the key, as a deputy, or as any process.
+func (g *Gateway) isResponsible(key crash.Key, dueFor clock.Millis) bool {
+	if dueFor >= anyProcessDelay {
 		return true
 	}
 	for rank := range clock.Millis(quarantineDeputies + 1) {
-		if due >= rank*quarantineTurn && g.mesh.Owns(gate.QuarantineSubject(key, int(rank))) {
+		if dueFor >= rank*deputyDelay && g.mesh.Owns(gate.QuarantineSubject(key, int(rank))) {
 			return true
 		}
 	}
@@ -146,7 +152,8 @@
 	return g.Dialect.QuarantineKind + "/" + key.String()
 }
 
-// writeQuarantine writes a request's crashes beside those that the store holds.
+// writeQuarantine writes a request's crashes to the store, unless the store already
+// holds as many.
 func (g *Gateway) writeQuarantine(ctx context.Context, entry crash.Stored) error {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout.Duration())
 	defer cancel()
@@ -158,9 +165,9 @@
 	_, err = g.Store.Put(ctx, name, g.feeds.quarantines.Version(name), value)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		var stands Quarantine
-		if json.Unmarshal(conflict.Current.Value, &stands) == nil && len(stands.Endpoints) >= len(entry.Endpoints) {
-			err = nil // another process was first
+		var stored Quarantine
+		if json.Unmarshal(conflict.Current.Value, &stored) == nil && len(stored.Endpoints) >= len(entry.Endpoints) {
+			err = nil // another process has written these crashes
 		} else {
 			_, err = g.Store.Put(ctx, name, conflict.Current.Version, value)
 		}
--- a/internal/serve/router/rollout_test.go
+++ b/internal/serve/router/rollout_test.go
@@ -17,16 +17,17 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// kind is a service to which a version is rolled out, and the traffic that reaches it.
-type kind struct {
+// serviceKind is a service to which a version is rolled out, with its requests and their
+// rate per second.
+type serviceKind struct {
 	service  string
 	engine   func() *stand.Engine
 	requests []func() *stand.Sent
 	perS     int
 }
 
-func kinds() map[string]kind {
-	return map[string]kind{
+func serviceKinds() map[string]serviceKind {
+	return map[string]serviceKind{
 		"plain": {
 			service: orders, engine: func() *stand.Engine {
 				return &stand.Engine{Service: orders, Kind: stand.Plain, Work: 5 * time.Millisecond}
@@ -49,15 +50,15 @@
 	}
 }
 
-// load sends a kind of service's requests until it is stopped.
+// load counts the requests that are sent until it is stopped, and the complete answers.
 type load struct {
 	sent, whole atomic.Int64
 	group       sync.WaitGroup
 	done        chan struct{}
 }
 
-// play sends requests to the gateways that are at hand.
-func (b *bench) play(k kind, to func() []*gateway) *load {
+// startLoad sends requests of a service, in turn to the gateways that to returns.
+func (b *bench) startLoad(k serviceKind, to func() []*gateway) *load {
 	l := &load{done: make(chan struct{})}
 	l.group.Add(1)
 	go func() {
@@ -90,8 +91,8 @@
 	l.group.Wait()
 }
 
-// next starts the engines of another version beside those that a service has.
-func (b *bench) next(k kind, version string, fault stand.Fault) []*stand.Engine {
+// addVersion starts three engines of another version in addition to the existing ones.
+func (b *bench) addVersion(k serviceKind, version string, fault stand.Fault) []*stand.Engine {
 	b.t.Helper()
 	var added []*stand.Engine
 	for _, zone := range []string{zoneA, zoneB, zoneA} {
@@ -105,55 +106,56 @@
 	return added
 }
 
-func (b *bench) order(k kind, duration time.Duration, bad bool) *stand.Rollout {
+func (b *bench) orderRollout(k serviceKind, duration time.Duration, bad bool) *stand.Rollout {
 	r := &stand.Rollout{
-		Service: k.service, Version: "v2", Duration: duration, Bad: bad, Share: rolloutShare, Spare: rolloutSpare, Rollback: 3 * time.Second,
+		Service: k.service, Version: "v2", Duration: duration, Bad: bad, Share: rolloutShare, Spare: rolloutBase, Rollback: 3 * time.Second,
 	}
 	b.Order(r)
 	return r
 }
 
-// all returns the gateways that run now.
-func all(b *bench) func() []*gateway {
+// runningGateways returns a function that returns the gateways that run now, without
+// later ones.
+func runningGateways(b *bench) func() []*gateway {
 	gateways := slices.Clone(b.gateways)
 	return func() []*gateway { return gateways }
 }
 
-const orderTime = 6 * time.Second
+const rolloutTime = 6 * time.Second
 
-// settled is how long after their start processes follow the store through each
-// other.
-const settled = 2 * time.Second
+// settleTime is the time after their start in which processes choose the peers through
+// which they follow the store.
+const settleTime = 2 * time.Second
 
-// orderAll orders the next version of all kinds of services at the same time, while
-// all get requests.
-func (b *bench) orderAll(fault stand.Fault, duration time.Duration, bad bool) (orders map[string]*stand.Rollout, loads []*load) {
+// orderAllRollouts orders the rollout of v2 at all kinds of services at the same time,
+// while all of them get requests.
+func (b *bench) orderAllRollouts(fault stand.Fault, duration time.Duration, bad bool) (orders map[string]*stand.Rollout, loads []*load) {
 	orders = make(map[string]*stand.Rollout)
-	for name, k := range kinds() {
-		loads = append(loads, b.play(k, all(b)))
+	for name, k := range serviceKinds() {
+		loads = append(loads, b.startLoad(k, runningGateways(b)))
 		orders[name] = nil
 	}
-	time.Sleep(settled)
-	for name, k := range kinds() {
-		b.next(k, "v2", fault)
-		orders[name] = b.order(k, duration, bad)
+	time.Sleep(settleTime)
+	for name, k := range serviceKinds() {
+		b.addVersion(k, "v2", fault)
+		orders[name] = b.orderRollout(k, duration, bad)
 	}
 	return orders, loads
 }
 
-// Guards against sound versions that aren't promoted in time, get more than their
-// share before, or cost a caller an answer when the old engines stop.
+// Guards against good versions that are not promoted in time, that get more than their
+// share before, or whose promotion loses answers when the old engines stop.
 func TestSoundVersionsArePromoted(t *testing.T) {
 	t.Parallel()
 	b := startWith(t, 3, true)
-	began := time.Now().Add(settled)
-	ordered, loads := b.orderAll(stand.Fault{}, orderTime, false)
-	time.Sleep(orderTime / 2)
-	for _, k := range kinds() {
+	began := time.Now().Add(settleTime)
+	ordered, loads := b.orderAllRollouts(stand.Fault{}, rolloutTime, false)
+	time.Sleep(rolloutTime / 2)
+	for _, k := range serviceKinds() {
 		half := b.Ledger.Arrived(k.service, "v2", began)
 		sum := half + b.Ledger.Arrived(k.service, "v1", began)
 		t.Logf("%d of %d at the new version of %s at half time", half, sum, k.service)
-		assert.Assert(t, half > 0 && float64(half) <= rolloutShare*float64(sum)+rolloutSpare)
+		assert.Assert(t, half > 0 && float64(half) <= rolloutShare*float64(sum)+rolloutBase)
 	}
 	var group sync.WaitGroup
 	for _, r := range ordered {
@@ -178,7 +180,7 @@
 	assert.Assert(t, whole >= sent-3, "%d of %d answered", whole, sent)
 }
 
-// Guards against bad versions that stay: too many callers meet them.
+// Guards against bad versions that are not rolled back and affect too many requests.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, fault := range map[string]stand.Fault{
 		"fail": {Every: 3, Fail: true}, "reset": {Every: 3, Reset: true}, "slow": {Every: 1, Slow: 250 * time.Millisecond},
@@ -186,7 +188,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := startWith(t, 3, true)
-			ordered, loads := b.orderAll(fault, orderTime+2*time.Second, true)
+			ordered, loads := b.orderAllRollouts(fault, rolloutTime+2*time.Second, true)
 			var group sync.WaitGroup
 			for _, r := range ordered {
 				group.Go(func() { b.Await(r, time.Second) })
@@ -208,14 +210,14 @@
 	}
 }
 
-// Guards against a version that gets requests though no order names it.
-func TestVersionWithoutOrderGetsNothing(t *testing.T) {
+// Guards against a version that gets requests although no order names it.
+func TestVersionWithoutOrderGetsNoRequest(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 2, true)
-	l := b.play(k, all(b))
-	b.next(k, "v2", stand.Fault{})
-	late := b.gateway()
+	l := b.startLoad(k, runningGateways(b))
+	b.addVersion(k, "v2", stand.Fault{})
+	late := b.startGateway()
 	b.awaitPeers(late, 3)
 	time.Sleep(time.Second)
 	l.stop()
@@ -223,21 +225,21 @@
 	assert.Equal(t, l.whole.Load(), l.sent.Load())
 }
 
-// Guards against an order that can't be carried out and changes something: the
-// version in force goes on.
-func TestOrdersThatCannotBeCarriedOutChangeNothing(t *testing.T) {
+// Guards against an invalid order, or one for a version without engines, that changes
+// which version gets requests.
+func TestInvalidOrdersChangeNothing(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 2, true)
-	l := b.play(k, all(b))
-	b.next(k, "v2", stand.Fault{})
+	l := b.startLoad(k, runningGateways(b))
+	b.addVersion(k, "v2", stand.Fault{})
 	nameless := k.engine()
 	nameless.Version = stand.NoVersion
 	_, err := b.Add(nameless)
 	assert.NilError(t, err)
 	for name, raw := range map[string]string{
 		"in force":     `{"service":"orders","to":"v1","durationS":5}`,
-		"nobody has":   `{"service":"orders","to":"v9","durationS":0.4}`,
+		"no engine":    `{"service":"orders","to":"v9","durationS":0.4}`,
 		"no time":      `{"service":"orders","to":"v2","durationS":0}`,
 		"negative":     `{"service":"orders","to":"v2","durationS":-3}`,
 		"huge":         `{"service":"orders","to":"v2","durationS":1e12}`,
@@ -251,7 +253,7 @@
 		b.WriteOrder(orders, raw)
 		time.Sleep(250 * time.Millisecond)
 		state, _ := b.RolloutState(orders)
-		if name != "nobody has" {
+		if name != "no engine" {
 			assert.Equal(t, state, "", name)
 		}
 		b.WithdrawOrder(orders)
@@ -266,30 +268,29 @@
 	assert.Equal(t, l.whole.Load(), l.sent.Load())
 }
 
-// Guards against a status of another writer that is believed, though nothing of it
-// can be read.
-func TestUnreadableStatusCountsAsNone(t *testing.T) {
+// Guards against an undecodable status of another writer that affects the rollout.
+func TestUnreadableStatusIsIgnored(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 2, true)
-	l := b.play(k, all(b))
-	b.next(k, "v2", stand.Fault{})
-	r := b.order(k, 5*time.Second, false)
+	l := b.startLoad(k, runningGateways(b))
+	b.addVersion(k, "v2", stand.Fault{})
+	r := b.orderRollout(k, 5*time.Second, false)
 	b.WriteRolloutStatus(orders, `{"state":"splendid","to":7}`)
 	assert.Equal(t, b.Await(r, time.Second), "completed")
 	l.stop()
 }
 
-// Guards against a first order that goes on beside the one that replaced it, and
-// against an order that was removed and still has its version tried.
+// Guards against an order that continues after another one replaced it, and against a
+// candidate that still gets requests after its order was removed.
 func TestReplacedOrderEnds(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 2, true)
-	l := b.play(k, all(b))
-	b.next(k, "v2", stand.Fault{})
-	b.next(k, "v3", stand.Fault{})
-	b.order(k, 20*time.Second, false)
+	l := b.startLoad(k, runningGateways(b))
+	b.addVersion(k, "v2", stand.Fault{})
+	b.addVersion(k, "v3", stand.Fault{})
+	b.orderRollout(k, 20*time.Second, false)
 	time.Sleep(1500 * time.Millisecond)
 	assert.Assert(t, b.Ledger.Arrived(orders, "v2", time.Time{}) > 0)
 	b.WithdrawOrder(orders)
@@ -297,7 +298,7 @@
 	gone := time.Now()
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, b.Ledger.Arrived(orders, "v2", gone), 0)
-	b.order(k, 20*time.Second, false)
+	b.orderRollout(k, 20*time.Second, false)
 	time.Sleep(time.Second)
 	r := &stand.Rollout{Service: orders, Version: "v3", Duration: 6 * time.Second}
 	b.Order(r)
@@ -320,15 +321,15 @@
 	}
 }
 
-// trouble is what happens during an order.
-type trouble struct {
+// disruption is a fault or change that happens while an order is carried out.
+type disruption struct {
 	name string
-	// at is the part of the order's time after which it happens.
-	at float64
-	do func(b *bench)
+	// after is the fraction of the order's duration after which it happens.
+	after float64
+	do    func(b *bench)
 }
 
-// stopOwner stops the gateway that records what becomes of orders.
+// stopOwner stops the gateway that writes the status of the order.
 func stopOwner(b *bench) {
 	owner := b.gateways[0].Owner(deploy.Subject(orders, 0))
 	for i, g := range b.gateways {
@@ -340,11 +341,11 @@
 	}
 }
 
-// Guards against an order whose end depends on one process, on a store that always
-// answers, or on what nobody holds after all were killed.
-func TestOrdersAreDecidedThroughTroubles(t *testing.T) {
-	k := kinds()["plain"]
-	troubles := []trouble{
+// Guards against an order whose decision depends on a single process, on a store without
+// faults, or on state that is lost when all processes are killed.
+func TestOrdersAreDecidedDuringFaults(t *testing.T) {
+	k := serviceKinds()["plain"]
+	disruptions := []disruption{
 		{"owner ends at once", 0.02, stopOwner},
 		{"owner ends in the middle", 0.5, stopOwner},
 		{"owner ends before the deadline", 0.88, stopOwner},
@@ -356,7 +357,7 @@
 			b.Store.SetTrouble(stand.Trouble{Status: 503})
 			time.AfterFunc(2*time.Second, func() { b.Store.SetTrouble(stand.Trouble{}) })
 		}},
-		{"a process starts", 0.3, func(b *bench) { b.unready() }},
+		{"a process starts", 0.3, func(b *bench) { b.startUnreadyGateway() }},
 		{"all processes are killed", 0.4, func(b *bench) {
 			old := b.gateways
 			b.gateways = nil
@@ -364,33 +365,33 @@
 				g.stop()
 			}
 			for i := range old {
-				b.named(fmt.Sprintf("again-%d", i))
+				b.startNamedGateway(fmt.Sprintf("again-%d", i))
 			}
 		}},
 	}
 	for _, bad := range []bool{false, true} {
-		for _, tr := range troubles {
-			t.Run(fmt.Sprintf("%s, bad %v", tr.name, bad), func(t *testing.T) {
+		for _, d := range disruptions {
+			t.Run(fmt.Sprintf("%s, bad %v", d.name, bad), func(t *testing.T) {
 				t.Parallel()
 				b := startWith(t, 3, true)
-				var hold sync.Mutex
-				l := b.play(k, func() []*gateway {
-					hold.Lock()
-					defer hold.Unlock()
+				var lock sync.Mutex
+				l := b.startLoad(k, func() []*gateway {
+					lock.Lock()
+					defer lock.Unlock()
 					return b.gateways
 				})
-				time.Sleep(settled)
+				time.Sleep(settleTime)
 				fault := stand.Fault{}
 				if bad {
 					fault = stand.Fault{Every: 2, Fail: true}
 				}
-				b.next(k, "v2", fault)
+				b.addVersion(k, "v2", fault)
 				const length = 7 * time.Second
-				r := b.order(k, length, bad)
-				time.AfterFunc(time.Duration(tr.at*float64(length)), func() {
-					hold.Lock()
-					defer hold.Unlock()
-					tr.do(b)
+				r := b.orderRollout(k, length, bad)
+				time.AfterFunc(time.Duration(d.after*float64(length)), func() {
+					lock.Lock()
+					defer lock.Unlock()
+					d.do(b)
 				})
 				b.Await(r, time.Second)
 				l.stop()
@@ -402,15 +403,15 @@
 	}
 }
 
-// Guards against a store that is away at the deadline: the order is decided once it
-// is back.
-func TestOrderIsDecidedWhenTheStoreIsBack(t *testing.T) {
+// Guards against an order that stays undecided because the store is unreachable at its
+// deadline. It is decided when the store is reachable again.
+func TestOrderIsDecidedAfterStoreOutage(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 3, true)
-	l := b.play(k, all(b))
-	b.next(k, "v2", stand.Fault{})
-	r := b.order(k, 5*time.Second, false)
+	l := b.startLoad(k, runningGateways(b))
+	b.addVersion(k, "v2", stand.Fault{})
+	r := b.orderRollout(k, 5*time.Second, false)
 	time.Sleep(4200 * time.Millisecond)
 	b.Store.SetTrouble(stand.Trouble{Status: 503})
 	time.Sleep(3 * time.Second)
@@ -419,12 +420,13 @@
 	l.stop()
 }
 
-// Guards against calls to the store that grow with the processes during an order.
-func TestOrderCostsFewCalls(t *testing.T) {
+// Guards against a rate of store calls that grows with the number of processes while an
+// order is carried out.
+func TestOrderCausesFewStoreCalls(t *testing.T) {
 	t.Parallel()
-	k := kinds()["plain"]
+	k := serviceKinds()["plain"]
 	b := startWith(t, 6, true)
-	l := b.play(k, all(b))
+	l := b.startLoad(k, runningGateways(b))
 	time.Sleep(2 * time.Second)
 	calls := func(span time.Duration) int {
 		before := b.Store.Calls()
@@ -432,12 +434,12 @@
 		return b.Store.Calls() - before
 	}
 	calm := calls(4 * time.Second)
-	b.next(k, "v2", stand.Fault{})
-	b.order(k, 20*time.Second, false)
+	b.addVersion(k, "v2", stand.Fault{})
+	b.orderRollout(k, 20*time.Second, false)
 	during := calls(4 * time.Second)
 	l.stop()
-	// An order and its status wake a watch of each of three watchers, and so does
-	// each of three entries of endpoints.
+	// An order and its status wake a watch at each of three watchers, as do each of
+	// the three new endpoint entries.
 	assert.Assert(t, during <= calm+30, "%d calls, %d before", during, calm)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if state, _ := b.RolloutState(orders); state == "running" {
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -1,6 +1,6 @@
-// Package router puts a process together that takes callers by host and path:
-// what it follows in the platform's store, its sessions with its peers, the
-// pools that it hosts, and the gate that serves callers.
+// Package router assembles the process that routes requests by host and path: it
+// connects the feeds that follow the platform's store, the sessions with peers,
+// the pools that this process owns, and the gate that serves callers.
 package router
 
 import (
@@ -29,35 +29,37 @@
 	"github.com/jujubescale/jujubescale/internal/serve/mesh"
 )
 
-// Dialect is how a platform writes what the gateway follows in its store.
+// Dialect describes how a platform's store names and encodes the objects that a Gateway
+// follows.
 type Dialect struct {
 	Spelling *spell.Spelling
 	// Kinds of objects: the configuration, the endpoints, the availability zones
-	// that operators have emptied, and the gateways themselves.
+	// that operators have evacuated, and the gateways.
 	ConfigKind, EndpointKind, EvacuatedKind, MemberKind string
-	// QuarantineKind is the kind of requests that reach no endpoint any more.
+	// QuarantineKind is the kind of the objects that record crashes under a request.
 	QuarantineKind string
-	// RolloutKind is the kind of operators' orders that a pool go to another version,
-	// and Rollouts how they are written.
+	// RolloutKind is the kind of operators' orders to roll out another version to a
+	// pool; Rollouts decodes and encodes them.
 	RolloutKind string
 	Rollouts    deploy.Codec
-	// ConfigName is the object that holds the newest configuration.
+	// ConfigName is the name of the object that holds the newest configuration.
 	ConfigName string
 	TableFunc  func(raw []byte) (*table.Table, error)
 	EntryFunc  func(name string, raw []byte) (view.Entry, error)
 }
 
-// Settings are what a Gateway needs.
+// Settings configures a Gateway.
 type Settings struct {
 	Name string
 	Zone string
-	// Address is where peers open sessions (IP:port).
+	// Address is the IP:port at which this process accepts the sessions of peers.
 	Address string
-	// Capacity is what this process may use of its host, in parts of a processor;
-	// it decides which processes own pools.
+	// Capacity is the number of processors of its host that this process may use, which
+	// may be a fraction. It decides which processes own pools.
 	Capacity float64
-	// ChangeWithin is the time within which a change in the store must be in force,
-	// LeaveWithin that after which an endpoint that leaves gets nothing more.
+	// ChangeWithin is the time within which a change in the store must be in force.
+	// LeaveWithin is the time after which an endpoint that is drained must get no new
+	// requests.
 	ChangeWithin clock.Millis
 	LeaveWithin  clock.Millis
 	Clock        *clock.Clock
@@ -66,129 +68,133 @@
 	Store        *store.Store
 	Dialect      Dialect
 	Bounds       gate.Bounds
-	// Rollouts says that endpoints get work by their version, which rollouts change
-	// within RolloutBounds.
+	// Rollouts enables rollouts: endpoints then get requests by their version. A
+	// candidate gets at most RolloutBounds before the rollout is decided.
 	Rollouts      bool
 	RolloutBounds canary.Bounds
 }
 
 const (
-	// memberRest is the pause between two reads of the members' changes: each is
-	// paid for.
-	memberRest = 250 * clock.Millis(1)
-	sweepEvery = 250 * clock.Millis(1)
+	// memberReadPause is the pause between two reads of changes of the member list. It
+	// limits the number of calls, because each call to the store is charged for.
+	memberReadPause = 250 * clock.Millis(1)
+	sweepInterval   = 250 * clock.Millis(1)
 )
 
-// feeds are what a gateway follows in the store.
+// feeds holds one feed for each kind of objects that a gateway follows in the store.
 type feeds struct {
-	config, endpoints, emptied, members, quarantines *feed.Feed
-	// rollouts is nil where endpoints get work whatever their version is.
+	config, endpoints, evacuated, members, quarantines *feed.Feed
+	// rollouts is nil if rollouts are disabled.
 	rollouts *feed.Feed
 }
 
 func (f *feeds) all() []*feed.Feed {
-	all := []*feed.Feed{f.config, f.endpoints, f.emptied, f.members, f.quarantines}
+	all := []*feed.Feed{f.config, f.endpoints, f.evacuated, f.members, f.quarantines}
 	if f.rollouts != nil {
 		all = append(all, f.rollouts)
 	}
 	return all
 }
 
-// Gateway is one such process.
+// Gateway is a process that routes requests by host and path.
 type Gateway struct {
 	Settings
 	incarnation token.Incarnation
-	began       clock.Millis
+	startedAt   clock.Millis
 	table       atomic.Pointer[table.Table]
-	book        *view.Registry
-	bookLock    sync.Mutex
-	back        clock.Millis // when the store came back last
-	member      atomic.Bool  // whether this process is listed
+	endpoints   *view.Registry
+	endpointsMu sync.Mutex
+	storeBackAt clock.Millis // when the store was reachable again after its last outage
+	listed      atomic.Bool  // whether the store's member list holds this process
 
 	gate  *gate.Gate
 	mesh  *mesh.Mesh
 	host  *host.Host
 	meter *meter
-	// deploy carries out rollouts, nil where there are none.
+	// deploy carries out rollouts; nil if they are disabled.
 	deploy *deploy.Controller
 	feeds  feeds
 
 	jobs sync.Map // requests of peers: jobKey to *host.Job
-	// handed holds the results that peers were handed lately.
-	handed handed
-	group  sync.WaitGroup
-	stop   context.CancelFunc
-	base   context.Context
+	// delivered holds the results that were recently sent to peers.
+	delivered deliveredResults
+	group     sync.WaitGroup
+	stop      context.CancelFunc
+	baseCtx   context.Context
 }
 
-// New builds a gateway; Start sets it to work. Its calls end with the context.
+// New returns a gateway that is not running yet. Its calls to endpoints and peers end
+// with the context.
 func New(ctx context.Context, settings Settings) *Gateway {
-	g := &Gateway{Settings: settings, incarnation: token.NewIncarnation(), began: settings.Clock.Now(), base: ctx, meter: newMeter(settings.Registry)}
-	g.makeBook()
+	g := &Gateway{Settings: settings, incarnation: token.NewIncarnation(), startedAt: settings.Clock.Now(), baseCtx: ctx, meter: newMeter(settings.Registry)}
+	g.makeEndpoints()
 	g.gate = gate.New(gate.Settings{
 		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Registry: g.Registry, Name: g.Name, Zone: g.Zone,
-		Table: g.table.Load, View: g.book.Snapshot, Starting: g.starting, Deploy: g.deploy,
+		Table: g.table.Load, View: g.endpoints.Snapshot, Starting: g.starting, Deploy: g.deploy,
 	})
 	g.SetBounds(settings.Bounds)
 	g.host = host.New(ctx, host.Settings{
-		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.book.Snapshot,
+		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.endpoints.Snapshot,
 		Conns: g.gate.Conns, Retry: g.gate.PieceRetryBudget().Take, Earn: g.gate.PieceRetryBudget().Earn, Meter: host.NewMeter(g.Registry),
 		Deploy: g.deploy,
 	})
 	g.mesh = mesh.New(ctx, mesh.Member{Name: g.Name, Address: g.Address, Incarnation: g.incarnation, Zone: g.Zone, Capacity: g.Capacity},
-		mesh.WithClock(g.Clock), mesh.WithLog(g.Log), mesh.WithPieces(g.takePieces, g.dropPieces),
+		mesh.WithClock(g.Clock), mesh.WithLog(g.Log), mesh.WithPieces(g.acceptPieces, g.cancelPieces),
 		mesh.WithUnused(g.host.Unused),
-		mesh.WithLoads(g.loads, g.setWork), mesh.WithPrefixes(g.gate.AddPeerPrefixes), mesh.WithRefused(g.gate.AddPeerRefusals),
+		mesh.WithLoads(g.collectLoads, g.setPeerWork), mesh.WithPrefixes(g.gate.AddPeerPrefixes), mesh.WithRefused(g.gate.AddPeerRefusals),
 		mesh.WithCrashes(g.gate.AddPeerCrashes),
-		mesh.WithLost(g.abandon, g.clear), mesh.WithIgnored(g.meter.ignored), mesh.WithFollower(g.follower()),
-		mesh.WithRelease(g.release, g.newerRelease))
+		mesh.WithLost(g.abandonRequests, g.reclaimResults), mesh.WithIgnored(g.meter.countIgnored), mesh.WithFollower(g.follower()),
+		mesh.WithRelease(g.configVersion, g.refreshConfig))
 	g.gate.Attach(g.mesh, g.host)
 	g.makeFeeds()
 	return g
 }
 
-// makeBook makes the book of endpoints, and what carries out rollouts if there may
-// be any.
-func (g *Gateway) makeBook() {
+// makeEndpoints creates the registry of endpoints and, if rollouts are enabled, the
+// controller that carries them out.
+func (g *Gateway) makeEndpoints() {
 	if !g.Rollouts {
-		g.book = view.New()
+		g.endpoints = view.New()
 		return
 	}
-	g.book = view.New(view.WithVersions())
+	g.endpoints = view.New(view.WithVersions())
 	g.deploy = deploy.New(g.Dialect.RolloutKind, g.Store, g.Dialect.Rollouts,
 		deploy.WithClock(g.Clock), deploy.WithLog(g.Log), deploy.WithRegistry(g.Registry), deploy.WithBounds(g.RolloutBounds),
-		deploy.WithView(g.book.Snapshot, g.setRollouts),
-		deploy.WithPools(g.knowsPool, g.repeats),
+		deploy.WithView(g.endpoints.Snapshot, g.setRollouts),
+		deploy.WithPools(g.knowsPool, g.isRepeatable),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
 			InTouchFunc: func() bool { return g.mesh.InTouch() },
 		}))
 }
 
-// startSpan is how long after its start a process may still be reading what it
-// needs, with the store in reach: processes that start together share it.
-const startSpan = 1500 * clock.Millis(1)
+// startupTime is the time that a process may take after its start to read routes and
+// endpoints while the store is reachable. Processes that start at the same time
+// share the store's capacity.
+const startupTime = 1500 * clock.Millis(1)
 
 func (g *Gateway) starting() bool {
-	return g.Clock.Since(g.began) < startSpan && !g.feeds.config.Down() && !g.feeds.endpoints.Down()
+	return g.Clock.Since(g.startedAt) < startupTime && !g.feeds.config.Down() && !g.feeds.endpoints.Down()
 }
 
-// Incarnation tells two runs of a process apart.
+// Incarnation returns the identifier of this run of the process.
 func (g *Gateway) Incarnation() string { return g.incarnation.String() }
 
-// Handler serves callers.
+// Handler returns the handler of callers' requests.
 func (g *Gateway) Handler() http.Handler { return g.gate.Handler() }
 
-// ReadyHandler tells the balancer whether this process takes callers.
+// ReadyHandler returns the handler that reports to the load balancer whether this
+// process takes requests.
 func (g *Gateway) ReadyHandler() http.Handler { return g.gate.ReadyHandler() }
 
-// SessionHandler accepts the sessions of peers.
+// SessionHandler returns the handler that accepts the sessions of peers.
 func (g *Gateway) SessionHandler() http.Handler { return g.mesh.Handler() }
 
-// Alive returns the names of the processes that this one sees.
+// Alive returns the names of the processes that this one can reach.
 func (g *Gateway) Alive() []string { return g.mesh.Alive() }
 
-// Owner returns the process that owns a subject as this one sees it.
+// Owner returns the name of the process that owns a subject, as computed from the
+// processes that this one can reach.
 func (g *Gateway) Owner(subject string) string { return g.mesh.Owner(subject) }
 
 // Sessions returns the number of open sessions with other processes.
@@ -197,19 +203,20 @@
 // OpenRequests returns the number of requests that are not finished.
 func (g *Gateway) OpenRequests() int64 { return g.gate.OpenRequests() }
 
-// SetBounds changes what may change while the process runs.
+// SetBounds replaces the bounds, also while the process runs.
 func (g *Gateway) SetBounds(bounds gate.Bounds) { g.gate.SetBounds(bounds) }
 
-func (g *Gateway) release() uint64 {
+func (g *Gateway) configVersion() uint64 {
 	if routes := g.table.Load(); routes != nil {
 		return routes.Version
 	}
 	return 0
 }
 
-// newerRelease is called when a peer has a newer configuration. Mostly it is on
-// its way here.
-func (g *Gateway) newerRelease() {
+// refreshConfig is called when a peer has a newer configuration. It reads the
+// configuration from the store unless a peer relays changes, because then the newer
+// one usually arrives without a call.
+func (g *Gateway) refreshConfig() {
 	if !g.feeds.config.Relayed() {
 		g.feeds.config.Again()
 	}
@@ -217,122 +224,129 @@
 
 func (g *Gateway) makeFeeds() {
 	common := []feed.Option{
-		feed.WithClock(g.Clock), feed.WithLog(g.Log), feed.WithOutage(feed.NewOutage()), feed.WithBackoff(g.storeBackoff),
+		feed.WithClock(g.Clock), feed.WithLog(g.Log), feed.WithOutage(feed.NewOutage()), feed.WithBackoff(g.longestStoreBackoff),
 		feed.WithForward(g.mesh.Forward),
 	}
-	with := func(kind string, bound clock.Millis, more ...feed.Option) *feed.Feed {
-		wait := clock.Millis(watchShare * float64(bound))
+	newFeed := func(kind string, limit clock.Millis, more ...feed.Option) *feed.Feed {
+		wait := clock.Millis(watchWaitShare * float64(limit))
 		own := []feed.Option{
-			feed.WithMaxAge(clock.Millis(maxAgeShare * float64(bound))),
-			feed.WithWait(func() clock.Millis { return watchSpan(wait, rand.Float64()) }),
-			feed.WithPeers(func() clock.Millis { return g.relayGrace(wait) }, g.firstWait),
+			feed.WithMaxAge(clock.Millis(maxAgeShare * float64(limit))),
+			feed.WithWait(func() clock.Millis { return randomWatchWait(wait, rand.Float64()) }),
+			feed.WithPeers(func() clock.Millis { return g.relayTimeout(wait) }, g.firstListDelay),
 		}
 		return feed.New(kind, g.Store, slices.Concat(common, own, more)...)
 	}
-	rest := clock.Millis(restShare * float64(g.LeaveWithin))
-	g.feeds.config = with(g.Dialect.ConfigKind, g.ChangeWithin, feed.WithList(g.listConfig), feed.WithChanges(g.changeConfig))
-	g.feeds.endpoints = with(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithRest(func() clock.Millis { return rest }),
-		feed.WithList(g.listEndpoints), feed.WithChanges(g.changeEndpoints))
-	zones := newNames(func(names []string) { g.setEmptied(names) })
-	g.feeds.emptied = with(g.Dialect.EvacuatedKind, g.ChangeWithin, feed.WithList(zones.list), feed.WithChanges(zones.change))
+	pause := clock.Millis(readPauseShare * float64(g.LeaveWithin))
+	g.feeds.config = newFeed(g.Dialect.ConfigKind, g.ChangeWithin, feed.WithList(g.onConfigList), feed.WithChanges(g.onConfigChanges))
+	g.feeds.endpoints = newFeed(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithRest(func() clock.Millis { return pause }),
+		feed.WithList(g.onEndpointList), feed.WithChanges(g.onEndpointChanges))
+	zones := newNames(func(names []string) { g.setEvacuated(names) })
+	g.feeds.evacuated = newFeed(g.Dialect.EvacuatedKind, g.ChangeWithin, feed.WithList(zones.onList), feed.WithChanges(zones.onChanges))
 	members := newMembers(g.setMembers)
-	g.feeds.members = with(g.Dialect.MemberKind, g.ChangeWithin, feed.WithRest(func() clock.Millis { return memberRest }),
-		feed.WithList(members.list), feed.WithChanges(members.change))
+	g.feeds.members = newFeed(g.Dialect.MemberKind, g.ChangeWithin, feed.WithRest(func() clock.Millis { return memberReadPause }),
+		feed.WithList(members.onList), feed.WithChanges(members.onChanges))
 	quarantines := newQuarantines(g.gate.SetQuarantines)
-	g.feeds.quarantines = with(g.Dialect.QuarantineKind, quarantineRead, feed.WithoutAge(),
-		feed.WithList(quarantines.list), feed.WithChanges(quarantines.change))
+	g.feeds.quarantines = newFeed(g.Dialect.QuarantineKind, quarantineChangeWithin, feed.WithoutAge(),
+		feed.WithList(quarantines.onList), feed.WithChanges(quarantines.onChanges))
 	if g.deploy != nil {
-		g.feeds.rollouts = with(g.Dialect.RolloutKind, g.ChangeWithin, feed.WithList(g.deploy.List), feed.WithChanges(g.deploy.Change))
+		g.feeds.rollouts = newFeed(g.Dialect.RolloutKind, g.ChangeWithin, feed.WithList(g.deploy.List), feed.WithChanges(g.deploy.Change))
 	}
 }
 
-// Shares of the time within which a change must be in force. A store that has
-// forgotten a watch shows only when its wait is over; the list is read then.
+// Shares of the time within which a change must be in force. If the store loses its
+// watches, a process can only detect that when the wait of its watch is over; it
+// reads the list then.
 const (
-	// watchShare is how long a watch waits on average, restShare the pause between
+	// watchWaitShare is the mean wait of a watch, readPauseShare the pause between
 	// two reads of changes of endpoints.
-	watchShare = 0.4
-	restShare  = 0.1
-	// freshShare is how old the word of a peer that is followed may be, maxAgeShare
-	// how old it counts at all, and lostShare how old a watcher's own is once it is
-	// cut off. The first is longer than a watch and a pause together: a follower
-	// would change its peer all the time otherwise.
-	freshShare  = 0.65
-	maxAgeShare = 0.75
-	lostShare   = 0.9
+	watchWaitShare = 0.4
+	readPauseShare = 0.1
+	// upstreamAgeShare is the highest age of the progress of a peer that is used as
+	// upstream, and maxAgeShare the age above which relayed progress is not used at
+	// all. A watcher whose own progress is older than watcherAgeShare is cut off from
+	// the store. upstreamAgeShare is longer than a watch and a pause together;
+	// otherwise a process would change its upstream all the time.
+	upstreamAgeShare = 0.65
+	maxAgeShare      = 0.75
+	watcherAgeShare  = 0.9
 )
 
 const (
-	// backoffEach is what each process of the fleet adds to the longest pause
-	// after a failed call: a store that is away is asked as often by three hundred
-	// processes as by thirty.
-	backoffEach   = 60 * clock.Millis(1)
-	leastBackoff  = 800 * clock.Millis(1)
-	longestPauses = 6 * clock.Second
-	// peersFirst is how long a process that starts waits for what its peers know
-	// before it reads the lists, peersLook how often it looks for them.
-	peersFirst = 350 * clock.Millis(1)
-	peersLook  = 10 * clock.Millis(1)
-	// settleWait is the pause after a list while a process starts: the others have
-	// listed themselves by then.
-	settleWait = 400 * clock.Millis(1)
+	// backoffPerProcess is the time that each process of the fleet adds to the longest
+	// pause after a failed call, within minLongestBackoff and maxLongestBackoff. It
+	// keeps the total rate of calls to an unreachable store the same for 30 and for
+	// 300 processes.
+	backoffPerProcess = 60 * clock.Millis(1)
+	minLongestBackoff = 800 * clock.Millis(1)
+	maxLongestBackoff = 6 * clock.Second
+	// firstPeerWait is the time for which a starting process waits for the lists from
+	// its peers before it reads them from the store. It checks for the member list
+	// every peerPollInterval.
+	firstPeerWait    = 350 * clock.Millis(1)
+	peerPollInterval = 10 * clock.Millis(1)
+	// startupPeerWait is the pause after the first read of a list while a process
+	// starts. Processes that start at the same time have registered by then.
+	startupPeerWait = 400 * clock.Millis(1)
 )
 
-// watchSpan returns how long one watch waits, by a number from 0 to 1. A change
-// wakes all watches at once, and the next one may come while the store forgets
-// them: drawn from a span, some watch ends soon.
-func watchSpan(mean clock.Millis, draw float64) clock.Millis {
-	return mean*3/4 + clock.Millis(draw*float64(mean/2))
+// randomWatchWait returns the wait of one watch, between 3/4 and 5/4 of the mean, for
+// a random number from 0 to 1. A change wakes all watches at once. If the store loses
+// the watches that follow, a change after that shows only when a watch ends. Waits of
+// different lengths let some watch end soon.
+func randomWatchWait(mean clock.Millis, random float64) clock.Millis {
+	return mean*3/4 + clock.Millis(random*float64(mean/2))
 }
 
-// relayGrace is how long a process awaits its peers' word before it asks the store
-// itself. Watchers do not: all others hear from them. When all processes start at
-// once, each seems to be alone at first; it looks again who is there before it
-// watches anything.
-func (g *Gateway) relayGrace(wait clock.Millis) clock.Millis {
+// relayTimeout returns how long this process waits for changes from its peers before
+// it reads the store. Watchers do not wait, because all others read changes through
+// them. When all processes start at once, each finds no other one in the member list
+// at first, so that a starting process waits for the others before it watches.
+func (g *Gateway) relayTimeout(wait clock.Millis) clock.Millis {
 	switch {
-	case g.Clock.Since(g.began) < startSpan:
-		return settleWait
+	case g.Clock.Since(g.startedAt) < startupTime:
+		return startupPeerWait
 	case g.mesh.Watches():
 		return 0
 	}
 	return wait
 }
 
-// firstWait is how long a feed waits for what peers know when its process starts.
-// It reads who they are at once. When many start at once, those that others will
-// hear from read the other lists at once, too.
-func (g *Gateway) firstWait(kind string) clock.Millis {
+// firstListDelay returns how long a feed waits for its list from peers when its
+// process starts. It blocks until the member list was read, at most firstPeerWait.
+// The member list itself is read at once. When many processes start at once, those
+// that relay changes to others read the other lists without delay, too.
+func (g *Gateway) firstListDelay(kind string) clock.Millis {
 	if kind == g.Dialect.MemberKind {
 		return 0
 	}
-	for began := g.Clock.Now(); g.Clock.Since(began) < peersFirst; {
+	for start := g.Clock.Now(); g.Clock.Since(start) < firstPeerWait; {
 		if g.feeds.members.Listed() {
 			if g.mesh.Relays() {
 				return 0
 			}
-			return peersFirst - g.Clock.Since(began)
+			return firstPeerWait - g.Clock.Since(start)
 		}
-		if g.Clock.Sleep(g.base, peersLook) != nil {
+		if g.Clock.Sleep(g.baseCtx, peerPollInterval) != nil {
 			return 0
 		}
 	}
 	return 0
 }
 
-// storeBackoff is the longest pause after a failed call to the store. Watchers
-// ask often, because all others hear from them.
-func (g *Gateway) storeBackoff() clock.Millis {
+// longestStoreBackoff returns the longest pause after a failed call to the store. It
+// is short for watchers, because all others read changes through them.
+func (g *Gateway) longestStoreBackoff() clock.Millis {
 	if g.mesh.Watches() {
-		return leastBackoff
+		return minLongestBackoff
 	}
-	return min(max(backoffEach*clock.Millis(g.mesh.Count()), leastBackoff), longestPauses)
+	return min(max(backoffPerProcess*clock.Millis(g.mesh.Count()), minLongestBackoff), maxLongestBackoff)
 }
 
-// Start begins to follow the store and to work. Stop ends it.
+// Start follows the store and runs the gateway in the background until Stop is called
+// or the context ends.
 func (g *Gateway) Start(ctx context.Context) {
 	ctx, g.stop = context.WithCancel(ctx)
-	runs := []func(context.Context){g.host.Run, g.mesh.Run, g.sweep, g.enlist, g.gate.WatchCrashes, g.keepQuarantines}
+	runs := []func(context.Context){g.host.Run, g.mesh.Run, g.sweep, g.register, g.gate.WatchCrashes, g.syncQuarantines}
 	for _, f := range g.feeds.all() {
 		runs = append(runs, f.Run)
 	}
@@ -348,7 +362,7 @@
 	}
 }
 
-// Stop ends everything at once.
+// Stop ends the gateway at once, without a drain.
 func (g *Gateway) Stop() {
 	if g.stop != nil {
 		g.stop()
@@ -357,33 +371,34 @@
 	g.group.Wait()
 }
 
-// StartDrain begins a planned stop: not ready any more, and no owner of pools. The
-// process stays listed until Deregister: one that starts meanwhile finds it, and
-// serves as owner for the requests that are still open here.
+// StartDrain begins a planned stop: the process is no longer ready and owns no pools.
+// It stays in the member list until Deregister, so that a process that starts
+// meanwhile connects to it and can be the owner for the requests that are still open
+// here.
 func (g *Gateway) StartDrain() {
 	g.gate.StartDrain()
 	g.mesh.Leave()
 	g.host.Retire()
 }
 
-// RefuseNew has requests refused that still come, after StartDrain: callers are to go
-// elsewhere, where nothing cuts them.
+// RefuseNew refuses all new requests. It is called after StartDrain, so that callers
+// use another process, where the stop does not cut their requests.
 func (g *Gateway) RefuseNew() { g.gate.RefuseNew() }
 
-// Wait returns once no request is open; those that are left when the context
-// ends are cut, and counted.
+// Wait returns when no request is open. It cuts the requests that are still open when
+// the context ends, and returns their number.
 func (g *Gateway) Wait(ctx context.Context) int64 { return g.gate.Wait(ctx) }
 
-// sweep does from time to time what no event asks for.
+// sweep periodically removes expired endpoints and the gate's state of removed ones.
 func (g *Gateway) sweep(ctx context.Context) {
-	for g.Clock.Sleep(ctx, sweepEvery) == nil {
-		g.bookLock.Lock()
-		changes := g.book.Expire(g.Clock.Now())
+	for g.Clock.Sleep(ctx, sweepInterval) == nil {
+		g.endpointsMu.Lock()
+		changes := g.endpoints.Expire(g.Clock.Now())
 		if len(changes) > 0 {
-			g.book.Publish()
+			g.endpoints.Publish()
 		}
-		g.bookLock.Unlock()
-		g.logChanges(changes)
+		g.endpointsMu.Unlock()
+		g.handleChanges(changes)
 		g.gate.Sweep()
 	}
 }
--- a/internal/serve/router/store_test.go
+++ b/internal/serve/router/store_test.go
@@ -10,9 +10,10 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// The store misbehaves for a while. Callers go on being served by what is
-// known, and what changed meanwhile is in force soon after.
-func TestTroubleOfTheStore(t *testing.T) {
+// Guards against refused requests while the store fails, and against changes made
+// meanwhile that are not in force soon after. Gateways use the last state that they
+// read.
+func TestRequestsAreServedDuringStoreFaults(t *testing.T) {
 	for name, trouble := range map[string]stand.Trouble{
 		"busy": {Status: http.StatusServiceUnavailable}, "limited": {Status: http.StatusTooManyRequests},
 		"silent": {Silent: true}, "slow": {Slow: 200 * time.Millisecond}, "deaf": {Deaf: true}, "lost answers": {LoseAnswers: true},
@@ -22,23 +23,23 @@
 			b.Store.SetTrouble(trouble)
 			time.Sleep(500 * time.Millisecond)
 			for _, g := range b.gateways {
-				assert.Assert(t, b.do(g, booking()).Whole)
+				assert.Assert(t, b.send(g, booking()).Whole)
 				assert.Assert(t, b.isReady(g))
 			}
 			b.Config.Tenants[0].Keys = []string{"new-key"}
 			b.Publish()
 			b.Store.SetTrouble(stand.Trouble{})
 			for _, g := range b.gateways {
-				got := b.eventually(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+				got := b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
 				assert.Equal(t, got.Status, http.StatusUnauthorized)
 			}
 		})
 	}
 }
 
-// The store forgets its history while a watch hears nothing. A key that was
-// taken away must stop working within two seconds all the same.
-func TestForgottenHistoryHidesNoChange(t *testing.T) {
+// Guards against a revoked key that works for longer than ChangeWithin because watches
+// get no notification of the change and the store drops its change history.
+func TestLostWatchHistoryHidesNoChange(t *testing.T) {
 	b := start(t, 2)
 	b.Store.SetTrouble(stand.Trouble{Deaf: true})
 	b.Config.Tenants[0].Keys = nil
@@ -47,14 +48,14 @@
 	changed := time.Now()
 	b.Store.SetTrouble(stand.Trouble{})
 	for _, g := range b.gateways {
-		b.eventually(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+		b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
 	}
 	assert.Assert(t, time.Since(changed) < 4*time.Second, "%v", time.Since(changed))
 }
 
-// Somebody else writes among the entries of engines. What can't be read names
-// nobody and disturbs nobody.
-func TestEntriesOfStrangersAreLeftOut(t *testing.T) {
+// Guards against failed requests when another writer stores invalid objects among the
+// entries of engines.
+func TestInvalidEndpointEntriesAreIgnored(t *testing.T) {
 	b := start(t, 1)
 	for name, raw := range map[string]string{
 		"no-json": `"text"`, "no-address": `{"service":"orders","zone":"a","state":"ready"}`,
@@ -65,66 +66,66 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 10 {
-		assert.Assert(t, b.do(b.gateways[0], booking()).Whole)
+		assert.Assert(t, b.send(b.gateways[0], booking()).Whole)
 	}
 }
 
-// A process starts while the store can't be used. It is not ready and says 503,
-// never that a route or a key is unknown.
-func TestStartWithoutTheStoreRefusesTruthfully(t *testing.T) {
+// Guards against a process that starts while the store is unreachable and answers that a
+// route or a key is unknown. It must not be ready and must answer 503.
+func TestStartWithoutTheStoreAnswersUnavailable(t *testing.T) {
 	b := start(t, 1)
 	b.Store.SetTrouble(stand.Trouble{Status: http.StatusServiceUnavailable})
-	g := b.unready()
+	g := b.startUnreadyGateway()
 	assert.Assert(t, !b.isReady(g))
-	got := b.do(g, booking())
+	got := b.send(g, booking())
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
 	b.Store.SetTrouble(stand.Trouble{})
-	b.eventually(g, booking, func(got stand.Got) bool { return got.Whole })
+	b.sendUntil(g, booking, func(got stand.Got) bool { return got.Whole })
 }
 
-// A process was killed and starts again on a small host, where reading routes and
-// endpoints takes a moment. Callers that reach it just then are served after that
-// moment; a refusal would send them away to come back too late.
-func TestCallerWaitsForAProcessThatIsJustStarting(t *testing.T) {
+// Guards against refused requests at a process that was killed and starts again on a
+// slow host. Requests wait until it has read routes and endpoints; a refused caller
+// would retry too late.
+func TestRequestWaitsForStartingProcess(t *testing.T) {
 	b := start(t, 1)
 	b.Store.SetTrouble(stand.Trouble{Slow: 150 * time.Millisecond})
-	g := b.unready()
+	g := b.startUnreadyGateway()
 	assert.Assert(t, !b.isReady(g))
-	got := b.do(g, booking())
+	got := b.send(g, booking())
 	assert.Assert(t, got.Whole, "%+v", got)
 	b.Store.SetTrouble(stand.Trouble{})
 }
 
-// An older configuration arrives late, by a slower way. It must not replace the
-// newer one.
+// Guards against an older configuration that arrives late and replaces the newer one.
 func TestOlderConfigurationNeverReplacesANewerOne(t *testing.T) {
 	b := start(t, 1)
 	old := b.Config
 	b.Config.Tenants = []stand.Tenant{{Name: org, Keys: []string{"newer"}}}
 	b.Publish()
-	b.eventually(b.gateways[0], booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+	b.sendUntil(b.gateways[0], booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
 	b.Write(&old)
 	time.Sleep(500 * time.Millisecond)
-	assert.Equal(t, b.do(b.gateways[0], booking()).Status, http.StatusUnauthorized)
+	assert.Equal(t, b.send(b.gateways[0], booking()).Status, http.StatusUnauthorized)
 }
 
-// A gateway loses its place in the list, because somebody removed its entry. It
-// lists itself again; otherwise no new process would ever find it.
-func TestRemovedMemberListsItselfAgain(t *testing.T) {
+// Guards against a gateway that no new process connects to because its entry in the
+// member list was removed. It must register again.
+func TestRemovedMemberRegistersAgain(t *testing.T) {
 	b := start(t, 2)
 	b.Unlist("gateway-1")
-	b.eventually(b.gateways[0], booking, func(stand.Got) bool { return len(b.Listed()) == 2 })
+	b.sendUntil(b.gateways[0], booking, func(stand.Got) bool { return len(b.Listed()) == 2 })
 }
 
-// A planned stop: not ready at once, peers take its pools, and it still serves
-// what arrives until the balancer has noticed.
-func TestPlannedStopServesWhatStillArrives(t *testing.T) {
+// Guards against refused requests at the start of a planned stop. The process is not
+// ready at once and peers own its pools, but it serves requests until the load balancer
+// has detected the drain.
+func TestDrainingProcessServesLateRequests(t *testing.T) {
 	b := start(t, 2)
 	g := b.gateways[0]
 	g.StartDrain()
 	assert.Assert(t, !b.isReady(g))
 	b.awaitPeers(b.gateways[1], 1)
-	assert.Assert(t, b.do(g, booking()).Whole)
-	assert.Assert(t, b.do(g, draft()).Whole)
+	assert.Assert(t, b.send(g, booking()).Whole)
+	assert.Assert(t, b.send(g, draft()).Whole)
 	assert.Equal(t, g.Wait(t.Context()), int64(0))
 }
--- a/internal/serve/router/watch_test.go
+++ b/internal/serve/router/watch_test.go
@@ -10,23 +10,23 @@
 	"github.com/jujubescale/jujubescale/internal/route/relay"
 )
 
-// A change of the configuration wakes the watches of all processes at once. The
-// next change comes right after it, while the store forgets its watches, so that
-// only a watch that ends by itself shows it. If all of them ended late, a key
-// that was taken away would work for seconds.
-const watchWait = 900 * clock.Millis(1)
+// Guards against a revoked key that works for seconds. A change of the configuration
+// wakes the watches of all processes at once. If the store then loses the watches that
+// follow and the next change comes, only a watch whose wait is over detects it, so that
+// not all of them may end late.
+const meanWatchWait = 900 * clock.Millis(1)
 
-func TestSomeWatchEndsSoonAfterAllBeganTogether(t *testing.T) {
+func TestSomeWatchEndsSoonAfterACommonStart(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	sum, rounds := clock.Millis(0), 200
 	for range rounds {
 		first := clock.Millis(1 << 40)
 		for range relay.Watchers {
-			span := watchSpan(watchWait, random.Float64())
+			span := randomWatchWait(meanWatchWait, random.Float64())
 			first, sum = min(first, span), sum+span
 		}
 		assert.Assert(t, first < 1300, "%d ms", first)
 	}
 	mean := float64(sum) / float64(rounds*relay.Watchers)
-	assert.Assert(t, mean > 0.9*float64(watchWait) && mean < 1.1*float64(watchWait), "%f", mean)
+	assert.Assert(t, mean > 0.9*float64(meanWatchWait) && mean < 1.1*float64(meanWatchWait), "%f", mean)
 }
