--- a/internal/serve/deploy/deploy.go
+++ b/internal/serve/deploy/deploy.go
@@ -55,8 +55,8 @@
 	// sums of what the others count.
 	OwnsFunc   func(subject string) bool
 	TrialsFunc func() []wire.Trial
-	// InTouchFunc reports whether these sums are new.
-	InTouchFunc func() bool
+	// UpToDateFunc reports whether these sums are new.
+	UpToDateFunc func() bool
 }
 
 // Controller carries out the rollouts of all pools.
@@ -92,8 +92,8 @@
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(o *Controller) { o.clock = c } }
 
-// WithWall sets the wall clock, in milliseconds.
-func WithWall(wall func() int64) Option { return func(o *Controller) { o.wall = wall } }
+// WithWallClock sets the wall clock, in milliseconds.
+func WithWallClock(wall func() int64) Option { return func(o *Controller) { o.wall = wall } }
 
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(o *Controller) { o.log = l } }
@@ -131,7 +131,7 @@
 		knownFunc: func(string) bool { return true }, repeatsFunc: func(string, string) bool { return false },
 		peers: Peers{
 			OwnsFunc: func(string) bool { return true }, TrialsFunc: func() []wire.Trial { return nil },
-			InTouchFunc: func() bool { return true },
+			UpToDateFunc: func() bool { return true },
 		},
 	}
 	for _, opt := range opts {
@@ -251,8 +251,8 @@
 	return (*c.running.Load())[pool]
 }
 
-// Draw reports whether a new request is to be tried at the candidate version.
-func (c *Controller) Draw(pool, route string) bool {
+// DrawCandidate reports whether a new request is to be tried at the candidate version.
+func (c *Controller) DrawCandidate(pool, route string) bool {
 	r := c.of(pool)
 	if r == nil || r.suspended.Load() || !r.inTouch.Load() {
 		return false
@@ -267,9 +267,9 @@
 	return r != nil && !r.suspended.Load() && r.inTouch.Load() && r.plan.Load().Share(route) >= 1
 }
 
-// Tried returns the endpoints among some of the candidate version that requests
+// ActiveCandidates returns the endpoints among some of the candidate version that requests
 // are tried at now.
-func (c *Controller) Tried(pool string, candidates []*view.Endpoint) []*view.Endpoint {
+func (c *Controller) ActiveCandidates(pool string, candidates []*view.Endpoint) []*view.Endpoint {
 	r := c.of(pool)
 	if r == nil || len(candidates) == 0 {
 		return nil
--- a/internal/serve/deploy/record.go
+++ b/internal/serve/deploy/record.go
@@ -63,7 +63,7 @@
 func (c *Controller) judge(r *rollout) {
 	now := c.clock.Now()
 	evidence := canary.NewEvidence(r.order, r.trials(now), c.peers.TrialsFunc())
-	r.inTouch.Store(c.peers.InTouchFunc())
+	r.inTouch.Store(c.peers.UpToDateFunc())
 	verdict := r.judge.Observe(evidence, now)
 	if (verdict.Bad || evidence.Suspended) && !r.suspended.Swap(true) {
 		c.meter.event(r.order.Pool, "suspended")
--- a/internal/serve/deploy/rollout.go
+++ b/internal/serve/deploy/rollout.go
@@ -128,9 +128,9 @@
 	return float64(now-a.began) / max(a.expected, 1)
 }
 
-// Answered counts the answer: whether it is a failure of the endpoint. Only the
+// RecordAnswer counts the answer: whether it is a failure of the endpoint. Only the
 // first call counts.
-func (a *Attempt) Answered(failed bool) {
+func (a *Attempt) RecordAnswer(failed bool) {
 	if a == nil {
 		return
 	}
@@ -154,8 +154,8 @@
 	}
 }
 
-// Broke counts an answer that broke off, also after it was counted as begun.
-func (a *Attempt) Broke() {
+// RecordBreak counts an answer that broke off, also after it was counted as begun.
+func (a *Attempt) RecordBreak() {
 	if a == nil {
 		return
 	}
@@ -169,8 +169,8 @@
 	}
 }
 
-// Dropped ends a request whose caller left. One that was overdue counts as slow.
-func (a *Attempt) Dropped() {
+// RecordCancel ends a request whose caller left. One that was overdue counts as slow.
+func (a *Attempt) RecordCancel() {
 	if a == nil {
 		return
 	}
@@ -183,9 +183,9 @@
 	})
 }
 
-// Pauses counts the mean pause between the events of a stream as an answer of its
+// RecordPauses counts the mean pause between the events of a stream as an answer of its
 // own: an endpoint may begin in time and go on slowly.
-func (a *Attempt) Pauses(mean float64) {
+func (a *Attempt) RecordPauses(mean float64) {
 	if a == nil || a.fresh {
 		return
 	}
@@ -196,13 +196,13 @@
 	c.spread[canary.Bucket(mean/pauseUnit)].Add(1)
 }
 
-// AnswerUnit stands for the expected duration of answers where none is known, in
+// DefaultExpectedMs stands for the expected duration of answers where none is known, in
 // milliseconds: any will do that puts them into the middle classes.
-const AnswerUnit = 16.0
+const DefaultExpectedMs = 16.0
 
 const (
 	// pausesOf follows the name of a route whose streams' pauses are counted.
 	pausesOf = " pauses"
-	// pauseUnit is AnswerUnit for pauses.
+	// pauseUnit is DefaultExpectedMs for pauses.
 	pauseUnit = 16.0
 )
--- a/internal/serve/gate/accept.go
+++ b/internal/serve/gate/accept.go
@@ -159,7 +159,7 @@
 	if req.pool == nil {
 		return fault.Refuse(fault.NoEndpoint, "the route's pool is not configured")
 	}
-	req.canary = g.Deploy.Draw(req.pool.Name, req.route.Name)
+	req.canary = g.Deploy.DrawCandidate(req.pool.Name, req.route.Name)
 	req.neededBy = req.began + req.route.Objective
 	req.deadline = req.began + req.route.Timeout
 	if req.Deadline > 0 {
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -96,7 +96,7 @@
 
 func (g *Gate) addLoad(t *target.Target, req *request, chosen choice) *attemptLoad {
 	l := &attemptLoad{target: t}
-	expected := deploy.AnswerUnit
+	expected := deploy.DefaultExpectedMs
 	if req.pool.Generation != nil {
 		expected = float64(minGenerationTime) + chosen.delay
 		l.prefill = chosen.unread
@@ -131,7 +131,7 @@
 
 func (l *attemptLoad) release() {
 	l.markPromptRead()
-	l.rolloutAttempt.Dropped()
+	l.rolloutAttempt.RecordCancel()
 	l.target.Load.Running.Add(-1)
 	l.target.Load.Memory.Add(-l.memory)
 }
@@ -254,7 +254,7 @@
 		t.SetCold(now + req.pool.ColdTime)
 	}
 	if ctx.Err() == nil {
-		l.rolloutAttempt.Broke()
+		l.rolloutAttempt.RecordBreak()
 	}
 	req.sentCount++
 	req.mayHaveRun = true
@@ -273,7 +273,7 @@
 	case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices && !marks.Sealed:
 		req.mayHaveRun = true
 		t.Failed(g.Clock.Now())
-		l.rolloutAttempt.Broke()
+		l.rolloutAttempt.RecordBreak()
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the answer has no seal")}
 	}
 	req.mayHaveRun = true
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -122,7 +122,7 @@
 	case g.Deploy.Promoted(req.pool.Name, req.route.Name):
 		next = g.preferredEndpoints(req, next, now)
 	case req.canary && len(req.tried) == 0:
-		next = g.Deploy.Tried(req.pool.Name, next)
+		next = g.Deploy.ActiveCandidates(req.pool.Name, next)
 	default:
 		return nil
 	}
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -38,13 +38,13 @@
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlainBytes+1))
 	if err != nil {
 		t.Failed(g.Clock.Now())
-		l.rolloutAttempt.Broke()
+		l.rolloutAttempt.RecordBreak()
 		g.Log.Info("answer broke off", "request", req.Request, "endpoint", t.ID, "bytes", len(body), logs.KeyError, err)
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
 	}
 	serverError := reply.Status >= http.StatusInternalServerError
 	t.Answered(g.Clock.Since(began), serverError)
-	l.rolloutAttempt.Answered(serverError || (!marks.Sealed && len(body) <= maxPlainBytes))
+	l.rolloutAttempt.RecordAnswer(serverError || (!marks.Sealed && len(body) <= maxPlainBytes))
 	if req.headSent {
 		return g.resumeFailure(req, t, reply.Status)
 	}
@@ -155,10 +155,10 @@
 func (e *eventGaps) addEvent(attempt *deploy.Attempt, now clock.Millis) {
 	switch e.events++; e.events {
 	case 1:
-		attempt.Answered(false)
+		attempt.RecordAnswer(false)
 		e.began = now
 	case gapSampleEvents:
-		attempt.Pauses(float64(now-e.began) / (gapSampleEvents - 1))
+		attempt.RecordPauses(float64(now-e.began) / (gapSampleEvents - 1))
 	}
 }
 
@@ -174,7 +174,7 @@
 func (g *Gate) handleStreamEnd(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, err error) attemptResult {
 	if errors.Is(err, io.EOF) && reply.Whole() {
 		t.Answered(0, false)
-		l.rolloutAttempt.Answered(false)
+		l.rolloutAttempt.RecordAnswer(false)
 		if !req.headSent {
 			copyHeaders(w, reply)
 			req.status = reply.Status
@@ -183,7 +183,7 @@
 		return attemptResult{outcome: answered}
 	}
 	t.Failed(g.Clock.Now())
-	l.rolloutAttempt.Broke()
+	l.rolloutAttempt.RecordBreak()
 	g.Log.Info("stream broke off", "request", req.Request, "endpoint", t.ID, "events", req.eventCount,
 		"lastEvent", req.LastEvent, logs.KeyError, err)
 	return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -230,7 +230,7 @@
 	job := g.host.Submit(pieces, inputsRead, func(outcome host.Outcome) { answer <- outcome })
 	select {
 	case outcome := <-answer:
-		return outcome.Made(), nil
+		return outcome.Message(), nil
 	case <-ctx.Done():
 		g.host.Drop(job)
 		return nil, ctx.Err()
@@ -279,6 +279,6 @@
 			g.mesh.GiveBack(to, unused)
 			continue
 		}
-		g.host.Unused(unused)
+		g.host.MarkUnused(unused)
 	}
 }
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -84,11 +84,11 @@
 func countCall(trial *deploy.Attempt, results []spell.Result, err error) {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		trial.Dropped()
+		trial.RecordCancel()
 		return
 	}
 	failed := err != nil || slices.ContainsFunc(results, func(r spell.Result) bool { return r.Failure == spell.FailedWork })
-	trial.Answered(failed)
+	trial.RecordAnswer(failed)
 }
 
 // watchInputs notes after a while that the pieces of a call have read their
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -67,7 +67,7 @@
 	slices.SortStableFunc(free, func(a, b *engine) int { return cmp.Compare(a.slow, b.slow) })
 	tried := h.tried(q, pool, limits, now)
 	for i, e := range free {
-		if len(tried) > 0 && h.Deploy.Draw(h.poolOf(q.name), callsRoute) {
+		if len(tried) > 0 && h.Deploy.DrawCandidate(h.poolOf(q.name), callsRoute) {
 			e, tried = tried[0], tried[1:]
 		}
 		slot := batch.Slot{
@@ -99,7 +99,7 @@
 	if len(next) == 0 || h.Deploy.Promoted(h.poolOf(q.name), callsRoute) {
 		return nil
 	}
-	_, free := h.usableOf(q, pool, h.Deploy.Tried(h.poolOf(q.name), next))
+	_, free := h.usableOf(q, pool, h.Deploy.ActiveCandidates(h.poolOf(q.name), next))
 	return h.ready(q, free, limits, now)
 }
 
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -47,8 +47,8 @@
 	RetryAfter clock.Millis
 }
 
-// Made returns the outcome as a message.
-func (o Outcome) Made() *wire.Made {
+// Message returns the outcome as a message.
+func (o Outcome) Message() *wire.Made {
 	if o.Reason != "" {
 		return &wire.Made{Reason: o.Reason, RetryAfter: o.RetryAfter}
 	}
@@ -174,9 +174,9 @@
 	}
 }
 
-// Unused takes results back that nobody needs any more, or, if they are spare,
+// MarkUnused takes results back that nobody needs any more, or, if they are spare,
 // only once a stage fails.
-func (h *Host) Unused(unused *wire.Unused) {
+func (h *Host) MarkUnused(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q, pool := h.queues[unused.Pool], h.pool(unused.Pool)
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -24,7 +24,7 @@
 	job := g.host.Submit(pieces, reply.FetchedFunc, func(outcome host.Outcome) {
 		g.jobs.Delete(key)
 		g.handed.add(from, pieces, outcome, g.Clock.Now())
-		reply.MadeFunc(outcome.Made())
+		reply.MadeFunc(outcome.Message())
 	})
 	g.jobs.CompareAndSwap(key, (*host.Job)(nil), job)
 }
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -137,7 +137,7 @@
 	})
 	g.mesh = mesh.New(ctx, mesh.Member{Name: g.Name, Address: g.Address, Incarnation: g.incarnation, Zone: g.Zone, Capacity: g.Capacity},
 		mesh.WithClock(g.Clock), mesh.WithLog(g.Log), mesh.WithPieces(g.takePieces, g.dropPieces),
-		mesh.WithUnused(g.host.Unused),
+		mesh.WithUnused(g.host.MarkUnused),
 		mesh.WithLoads(g.loads, g.setWork), mesh.WithPrefixes(g.gate.AddPeerPrefixes), mesh.WithRefused(g.gate.AddPeerRefusals),
 		mesh.WithCrashes(g.gate.AddPeerCrashes),
 		mesh.WithLost(g.abandon, g.clear), mesh.WithIgnored(g.meter.ignored), mesh.WithFollower(g.follower()),
@@ -161,7 +161,7 @@
 		deploy.WithPools(g.knowsPool, g.repeats),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
-			InTouchFunc: func() bool { return g.mesh.InTouch() },
+			UpToDateFunc: func() bool { return g.mesh.InTouch() },
 		}))
 }
 
