--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -22,42 +22,45 @@
 )
 
 const (
-	// slackTimes and slackMore bound a call: an engine that takes several times
-	// as long as the configuration says is slow, one that takes longer is lost.
-	slackTimes = 4
-	slackMore  = 400 * clock.Millis(1)
-	// barFailed keeps calls away from an engine that broke one off, barFull from
-	// one that was full because it has another owner just now.
-	barFailed = clock.Second
-	barFull   = 60 * clock.Millis(1)
-	// barNoRoom keeps calls away from an engine that had no memory for any piece
-	// of one: some of it is given back or expires meanwhile.
-	barNoRoom = 100 * clock.Millis(1)
-	// slowFrom is how many times longer than expected calls take at an engine
-	// that gets work only when the others have enough.
-	slowFrom = 2.0
-	// promptTimes is how many times longer than expected a call takes at most that
-	// didn't wait behind one of another owner.
-	promptTimes = 1.4
-	// slowWeight is the part of the newest call in that figure.
-	slowWeight = 0.5
-	// reuseIdle bounds how long a connection for giving results back may have
-	// been unused.
-	reuseIdle = 4 * clock.Second
-	// maxAnswerBytes bounds the answer to a call: some sixty references.
+	// A call times out after callLimitFactor times its expected duration plus
+	// callLimitMargin. An engine that takes several times as long as configured is
+	// only slow; one that takes even longer is considered lost.
+	callLimitFactor = 4
+	callLimitMargin = 400 * clock.Millis(1)
+	// blockFailed is how long an engine gets no calls after a call to it failed,
+	// blockFull how long after it was full, which happens while another process also
+	// sends it calls as an owner of its pool.
+	blockFailed = clock.Second
+	blockFull   = 60 * clock.Millis(1)
+	// blockNoMemory is how long an engine gets no calls after it had no memory for
+	// any piece of a call. Meanwhile some results are freed or expire.
+	blockNoMemory = 100 * clock.Millis(1)
+	// slowdownLimit is the slowdown from which on an engine gets calls only if the
+	// faster engines can't take all queued pieces.
+	slowdownLimit = 2.0
+	// promptFactor is the ratio of actual to expected duration below which a call
+	// didn't wait at the engine behind a call of another owner.
+	promptFactor = 1.4
+	// slowdownWeight is the weight of the newest call in the slowdown of an engine.
+	slowdownWeight = 0.5
+	// maxReuseIdle is how long a connection may have been idle to be reused for
+	// reading a report or for freeing results.
+	maxReuseIdle = 4 * clock.Second
+	// maxAnswerBytes limits the size of the answer to a call, which holds about
+	// sixty references.
 	maxAnswerBytes = 256 << 10
 )
 
-// start begins a call. The caller holds the lock.
-func (h *Host) start(q *queue, e *engine, pool *table.Batching, items []batch.Item) {
+// startCall sends pieces to an engine in a new goroutine. The caller holds the lock.
+func (h *Host) startCall(q *queue, e *engine, pool *table.Batching, items []batch.Item) {
 	e.calls++
 	for _, item := range items {
 		e.memory.Reserve(item.Group.ResultBytes)
 		job := item.Group.Owner.(*Job)
-		job.tries[item.Piece]++
+		job.attempts[item.Piece]++
 	}
 	h.Meter.call(h.poolOf(q.name), len(items))
-	trial := h.Deploy.Begin(e.Endpoint, callsRoute, int64(len(items)), batch.BoundsOf(pool).Duration(len(items)))
+	attempt := h.Deploy.Begin(e.Endpoint, callsRoute, int64(len(items)), batch.BoundsOf(pool).Duration(len(items)))
 	ended := make(chan struct{})
 	if e.prompt {
 		h.group.Add(1)
@@ -72,59 +75,61 @@
 		defer close(ended)
 		began := h.Clock.Now()
 		results, err := h.call(e, pool, items, began)
-		countCall(trial, results, err)
+		recordCall(attempt, results, err)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.finish(q, e, pool, items, results, err, began)
+		h.finishCall(q, e, pool, items, results, err, began)
 	}()
 }
 
-// countCall counts a call in a rollout: as a failure if the engine failed it or any
-// piece of it.
-func countCall(trial *deploy.Attempt, results []spell.Result, err error) {
+// recordCall records the answer to a call for a rollout. It is a failure if the
+// engine failed the call or any piece of it. A refused call counts as cancelled.
+func recordCall(attempt *deploy.Attempt, results []spell.Result, err error) {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		trial.RecordCancel()
+		attempt.RecordCancel()
 		return
 	}
 	failed := err != nil || slices.ContainsFunc(results, func(r spell.Result) bool { return r.Failure == spell.FailedWork })
-	trial.RecordAnswer(failed)
+	attempt.RecordAnswer(failed)
 }
 
-// watchInputs notes after a while that the pieces of a call have read their
-// inputs, unless the call has ended by then.
+// watchInputs records after a part of the call time that the pieces of a call have
+// read their inputs, unless the call has ended by then.
 func (h *Host) watchInputs(pool *table.Batching, items []batch.Item, ended <-chan struct{}) {
-	read, forget := h.Clock.After(pool.CallTime / fetchedAfter)
-	defer forget()
+	timer, stop := h.Clock.After(pool.CallTime / inputReadDivisor)
+	defer stop()
 	select {
-	case <-read:
+	case <-timer:
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		fetchedBy(items)
+		recordInputsRead(items)
 	case <-ended:
 	}
 }
 
-// fetchedAfter is the part of a call's fixed time after which its inputs count
-// as read: engines read them at its beginning, over links that carry them
-// within a few milliseconds, and work for the whole of that time afterwards. An
-// engine whose last call took too long may have another owner as well, whose call
-// goes first: there, inputs count as read only once the call has ended. If one is
-// given back too early after all, the stage before runs again.
-const fetchedAfter = 2
+// inputReadDivisor divides the fixed time of a call: after that part of it the
+// inputs of the call count as read. Engines read the inputs at the beginning of a
+// call, over links that transfer them within a few milliseconds, and then work for
+// the whole fixed time. An engine whose last call took too long may have a second
+// owner, whose call runs first; at such an engine, inputs count as read only when
+// the call has ended. If an input is freed too early nevertheless, the previous
+// stage runs again.
+const inputReadDivisor = 2
 
-// fetchedBy notes that pieces have read their inputs. The caller holds the lock.
-func fetchedBy(items []batch.Item) {
+// recordInputsRead records that pieces have read their inputs. The caller holds the
+// lock.
+func recordInputsRead(items []batch.Item) {
 	for _, item := range items {
 		job := item.Group.Owner.(*Job)
-		job.unread--
-		if job.unread == 0 && !job.ended && len(item.Group.Inputs) > 0 {
-			job.fetched()
+		job.unreadPieces--
+		if job.unreadPieces == 0 && !job.ended && len(item.Group.Inputs) > 0 {
+			job.inputsRead()
 		}
 	}
 }
 
-// call sends pieces to an engine and returns a result for each of them.
+// call sends pieces to an engine and returns one result for each of them.
 func (h *Host) call(e *engine, pool *table.Batching, items []batch.Item, now clock.Millis) ([]spell.Result, error) {
 	pieces := make([]spell.Piece, 0, len(items))
 	var until clock.Millis
@@ -140,7 +145,7 @@
 		return nil, err
 	}
 	expected := batch.BoundsOf(pool).Duration(len(items))
-	limit := min(slackTimes*clock.Millis(expected)+slackMore, until-now+slackMore)
+	limit := min(callLimitFactor*clock.Millis(expected)+callLimitMargin, until-now+callLimitMargin)
 	ctx, cancel := context.WithTimeout(h.base, limit.Duration())
 	defer cancel()
 	raw, err := h.exchangeWatched(ctx, e.Endpoint, body, expected)
@@ -150,17 +155,18 @@
 	return h.Spelling.ResultsFunc(raw, len(items))
 }
 
-// exchangeWatched sends pieces to an engine and watches that the answer isn't lost.
+// exchangeWatched sends pieces to an engine and returns the body of its answer. It
+// returns a LostAnswerError if the engine has ended the call and no answer arrived.
 func (h *Host) exchangeWatched(ctx context.Context, endpoint *view.Endpoint, body []byte, expected float64) ([]byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watched := make(chan struct{})
+	watchEnded := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watchEnded)
 		h.watchAnswer(ctx, cancel, endpoint, expected)
 	}()
 	raw, err := h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.PiecesPath, body, 0)
 	cancel(nil)
-	<-watched
+	<-watchEnded
 	var lost *LostAnswerError
 	if err != nil && errors.As(context.Cause(ctx), &lost) {
 		return nil, lost
@@ -168,7 +174,8 @@
 	return raw, err
 }
 
-// RefusedError says that an engine did not take a call and never will.
+// RefusedError is returned when an engine refused a call. The engine has not run
+// any of its pieces and will not run them.
 type RefusedError struct {
 	Endpoint string
 	Status   int
@@ -179,7 +186,8 @@
 	return fmt.Sprintf("%s refused the call with status %d", e.Endpoint, e.Status)
 }
 
-// StatusError says that an engine failed a call in a way that proves nothing.
+// StatusError is returned when an engine answered a call with an unexpected status.
+// The call may have run or not.
 type StatusError struct {
 	Endpoint string
 	Status   int
@@ -190,9 +198,11 @@
 	return fmt.Sprintf("%s answered status %d", e.Endpoint, e.Status)
 }
 
-// exchange sends one call. Answers to calls bear no attempt, so that a second
-// copy of one could not be told from the answer to the next: calls whose answer
-// matters want a connection of their own and give 0 for maxIdle.
+// exchange sends one request to an engine and returns the body of its answer. It
+// reuses a connection that has been idle for up to maxIdle; with 0 it uses a new
+// one and closes it afterwards. Answers don't contain an attempt number, so on a
+// shared connection a duplicate of an answer can't be distinguished from the answer
+// to the next request. Requests whose answer matters must therefore pass 0.
 func (h *Host) exchange(ctx context.Context, endpoint *view.Endpoint, method, path string, body []byte, maxIdle clock.Millis) ([]byte, error) {
 	head := make([]byte, 0, 256)
 	head = append(head, method+" "+path+" HTTP/1.1\r\nHost: "+endpoint.Address+"\r\nContent-Type: application/json\r\n"...)
@@ -222,31 +232,32 @@
 	return raw, nil
 }
 
-// finish takes the end of a call. The caller holds the lock.
-func (h *Host) finish(q *queue, e *engine, pool *table.Batching, items []batch.Item, results []spell.Result, err error, began clock.Millis) {
+// finishCall processes the results or the error of a call. The caller holds the
+// lock.
+func (h *Host) finishCall(q *queue, e *engine, pool *table.Batching, items []batch.Item, results []spell.Result, err error, began clock.Millis) {
 	now := h.Clock.Now()
 	e.calls--
 	e.prompt = false
 	expected := batch.BoundsOf(pool).Duration(len(items))
 	h.Log.Info("pieces made", "pool", q.name, "endpoint", e.ID, "pieces", len(items), "tookMs", int64(now-began),
-		"expectedMs", int64(expected), "waiting", q.waiting.Pieces(), "failed", failures(results),
+		"expectedMs", int64(expected), "waiting", q.queued.Pieces(), "failed", countFailures(results),
 		"ownBytes", e.memory.OwnBytes(), "foreignBytes", e.memory.ForeignBytes(now), "request", items[0].Group.Request, logs.KeyError, err)
 	if err != nil {
 		h.callFailed(q, e, items, err, now)
 	} else {
-		e.prompt = float64(now-began) < promptTimes*expected
-		e.slow += slowWeight * (float64(now-began)/expected - e.slow)
-		e.slow = max(e.slow, 1)
+		e.prompt = float64(now-began) < promptFactor*expected
+		e.slowdown += slowdownWeight * (float64(now-began)/expected - e.slowdown)
+		e.slowdown = max(e.slowdown, 1)
 		for i, item := range items {
-			h.take(q, e, pool, item, results[i], now)
+			h.finishPiece(q, e, pool, item, results[i], now)
 		}
-		e.lacked(items, results, limitsOf(pool), now)
+		e.recordShortage(items, results, limitsOf(pool), now)
 	}
 	h.dispatch(q)
 }
 
-// failures tells why pieces of a call have no result, each reason with its count.
-func failures(results []spell.Result) string {
+// countFailures formats how many pieces of a call have no result, by reason.
+func countFailures(results []spell.Result) string {
 	counts := make(map[spell.Failure]int)
 	for _, result := range results {
 		if result.Failure != "" {
@@ -261,103 +272,106 @@
 
 func (h *Host) callFailed(q *queue, e *engine, items []batch.Item, err error, now clock.Millis) {
 	var refused *RefusedError
-	bar := barFailed
+	blockTime := blockFailed
 	if errors.As(err, &refused) && refused.Status == http.StatusServiceUnavailable {
-		bar = barFull
+		blockTime = blockFull
 	}
 	var lost *LostAnswerError
 	if errors.As(err, &lost) {
-		// Its results lie in the engine's memory, though nobody knows their names.
+		// The engine stores the results, but their references are unknown.
 		e.memory.RequireReport()
 	} else {
-		e.Block(now + bar)
+		e.Block(now + blockTime)
 	}
 	h.Meter.failed(h.poolOf(q.name))
 	for _, item := range items {
 		e.memory.Release(item.Group.ResultBytes)
-		h.again(q, item, fault.EndpointFailed, now)
+		h.retryPiece(q, item, fault.EndpointFailed, now)
 	}
 }
 
-// take takes the result of one piece.
-func (h *Host) take(q *queue, e *engine, pool *table.Batching, item batch.Item, result spell.Result, now clock.Millis) {
+// finishPiece processes the result of one piece. The caller holds the lock.
+func (h *Host) finishPiece(q *queue, e *engine, pool *table.Batching, item batch.Item, result spell.Result, now clock.Millis) {
 	job := item.Group.Owner.(*Job)
 	if result.Reference == "" {
 		e.memory.Release(item.Group.ResultBytes)
 		switch result.Failure {
 		case spell.FailedInput:
-			h.fail(job, fault.InputGone)
+			h.failJob(job, fault.InputGone)
 		case spell.FailedLate:
-			h.fail(job, fault.DeadlinePassed)
+			h.failJob(job, fault.DeadlinePassed)
 		case spell.FailedRoom:
-			job.tries[item.Piece]-- // nobody worked on it
-			h.again(q, item, fault.Overloaded, now)
+			job.attempts[item.Piece]-- // the piece did not run
+			h.retryPiece(q, item, fault.Overloaded, now)
 		default:
-			h.again(q, item, fault.EndpointFailed, now)
+			h.retryPiece(q, item, fault.EndpointFailed, now)
 		}
 		return
 	}
-	made := memory.Result{Reference: result.Reference, Bytes: item.Group.ResultBytes}
-	e.memory.Add(made, now+pool.Keep)
+	stored := memory.Result{Reference: result.Reference, Bytes: item.Group.ResultBytes}
+	e.memory.Add(stored, now+pool.Keep)
 	if job.ended {
-		e.memory.MarkUnused(made)
+		e.memory.MarkUnused(stored)
 		return
 	}
 	job.result.References[item.Piece] = result.Reference
 	job.result.Endpoints[item.Piece] = e.ID
 	job.result.Zones[item.Piece] = e.Zone
-	job.left--
-	if job.left == 0 {
+	job.remaining--
+	if job.remaining == 0 {
 		job.ended = true
 		job.done(job.result)
 	}
 }
 
-// lacked notes that an engine had no memory for some pieces of a call.
-func (e *engine) lacked(items []batch.Item, results []spell.Result, limits memory.Limits, now clock.Millis) {
-	least, failed := int64(0), 0
+// recordShortage records that an engine had no memory for some pieces of a call. The
+// caller holds the lock.
+func (e *engine) recordShortage(items []batch.Item, results []spell.Result, limits memory.Limits, now clock.Millis) {
+	smallest, failed := int64(0), 0
 	for i, result := range results {
 		if result.Failure != spell.FailedRoom {
 			continue
 		}
 		failed++
-		if size := items[i].Group.ResultBytes; least == 0 || size < least {
-			least = size
+		if size := items[i].Group.ResultBytes; smallest == 0 || size < smallest {
+			smallest = size
 		}
 	}
-	if least > 0 {
-		e.memory.RecordShortage(limits, least, now)
+	if smallest > 0 {
+		e.memory.RecordShortage(limits, smallest, now)
 	}
 	if failed == len(results) {
-		// It answered at once. Without a pause it would be asked hundreds of times
-		// a second, and each piece would soon have been sent too often.
-		e.Block(now + barNoRoom)
+		// The engine answers such a call immediately. Without a pause it would get
+		// hundreds of calls per second, and the pieces would soon reach maxAttempts.
+		e.Block(now + blockNoMemory)
 	}
 }
 
-// again puts a piece back into the queue, if it was not sent too often.
-func (h *Host) again(q *queue, item batch.Item, reason fault.Reason, now clock.Millis) {
+// retryPiece puts a piece back into the queue, or fails its job if the piece has
+// been sent maxAttempts times. The caller holds the lock.
+func (h *Host) retryPiece(q *queue, item batch.Item, reason fault.Reason, now clock.Millis) {
 	job := item.Group.Owner.(*Job)
 	if job.ended {
 		return
 	}
-	if job.tries[item.Piece] >= maxTries {
-		h.fail(job, reason)
+	if job.attempts[item.Piece] >= maxAttempts {
+		h.failJob(job, reason)
 		return
 	}
-	job.failed = reason
-	q.waiting.Requeue(item, now)
+	job.lastFailure = reason
+	q.queued.Requeue(item, now)
 }
 
-// fail ends a job without results. The caller holds the lock.
-func (h *Host) fail(job *Job, reason fault.Reason) {
+// failJob ends a job without results and marks those that it already has as unused.
+// The caller holds the lock.
+func (h *Host) failJob(job *Job, reason fault.Reason) {
 	if job.ended {
 		return
 	}
 	job.ended = true
-	q := h.queue(job.pool)
-	q.waiting.Drop(job.group)
-	h.unusedOf(q, job)
-	h.Meter.refused(h.poolOf(job.pool), reason)
+	q := h.queue(job.queueName)
+	q.queued.Drop(job.group)
+	h.markResultsUnused(q, job)
+	h.Meter.refused(h.poolOf(job.queueName), reason)
 	job.done(Outcome{Reason: reason})
 }
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -13,22 +13,22 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// usable returns how many engines of a pool take calls, and those of them that
-// could take one now.
-func (h *Host) usable(q *queue, pool *table.Batching) (all int, free []*engine) {
+// usableEngines returns the number of available engines of a pool, and those of them
+// that can take a call now.
+func (h *Host) usableEngines(q *queue, pool *table.Batching) (count int, free []*engine) {
 	if pool == nil {
 		return 0, nil
 	}
-	return h.usableOf(q, pool, h.endpoints(q.name))
+	return h.usableAmong(q, pool, h.endpoints(q.name))
 }
 
-func (h *Host) usableOf(q *queue, pool *table.Batching, endpoints []*view.Endpoint) (all int, free []*engine) {
+func (h *Host) usableAmong(q *queue, pool *table.Batching, endpoints []*view.Endpoint) (count int, free []*engine) {
 	now := h.Clock.Now()
 	for _, endpoint := range endpoints {
 		if endpoint.Unavailable() {
 			continue
 		}
-		all++ // one that failed a moment ago, too: it is back before a queue of any length
+		count++ // includes blocked engines, which are usable again before a queue gets long
 		if endpoint.Blocked(now) {
 			continue
 		}
@@ -37,88 +37,92 @@
 			free = append(free, e)
 		}
 	}
-	return all, free
+	return count, free
 }
 
-// dispatch starts calls as long as pieces wait and engines are free.
+// dispatch starts calls as long as there are queued pieces and free engines. The
+// caller holds the lock.
 func (h *Host) dispatch(q *queue) {
 	pool := h.pool(q.name)
 	if pool == nil {
 		return
 	}
 	bounds, now := batch.BoundsOf(pool), h.Clock.Now()
-	for _, late := range q.waiting.DropTooLate(bounds, now) {
-		h.fail(late.Owner.(*Job), fault.DeadlinePassed)
+	for _, group := range q.queued.DropTooLate(bounds, now) {
+		h.failJob(group.Owner.(*Job), fault.DeadlinePassed)
 	}
-	for _, stuck := range q.waiting.DropStuck(now) {
-		h.fail(stuck.Owner.(*Job), stuck.Owner.(*Job).failed)
+	for _, group := range q.queued.DropStuck(now) {
+		h.failJob(group.Owner.(*Job), group.Owner.(*Job).lastFailure)
 	}
-	for _, g := range q.waiting.DeferLate(bounds, now) {
+	for _, g := range q.queued.DeferLate(bounds, now) {
 		h.Log.Info("late work yields", "pool", q.name, logs.KeyRequest, g.Request, "stage", g.Stage,
-			"lateMs", int64(now-g.NeededBy), "pieces", g.Queued(), "waiting", q.waiting.Pieces())
+			"lateMs", int64(now-g.NeededBy), "pieces", g.Queued(), "waiting", q.queued.Pieces())
 	}
-	h.returnUnused(q, pool)
-	if q.waiting.Pieces() == 0 {
+	h.freeUnused(q, pool)
+	if q.queued.Pieces() == 0 {
 		return
 	}
 	limits := limitsOf(pool)
-	_, free := h.usable(q, pool)
-	free = withoutSlow(h.ready(q, free, limits, now), q.waiting.Pieces(), bounds)
-	slices.SortStableFunc(free, func(a, b *engine) int { return cmp.Compare(a.slow, b.slow) })
-	tried := h.tried(q, pool, limits, now)
+	_, free := h.usableEngines(q, pool)
+	free = withoutSlow(h.readyEngines(q, free, limits, now), q.queued.Pieces(), bounds)
+	slices.SortStableFunc(free, func(a, b *engine) int { return cmp.Compare(a.slowdown, b.slowdown) })
+	candidates := h.activeCandidates(q, pool, limits, now)
 	for i, e := range free {
-		if len(tried) > 0 && h.Deploy.DrawCandidate(h.poolOf(q.name), callsRoute) {
-			e, tried = tried[0], tried[1:]
+		if len(candidates) > 0 && h.Deploy.DrawCandidate(h.poolOf(q.name), callsRoute) {
+			e, candidates = candidates[0], candidates[1:]
 		}
 		slot := batch.Slot{
 			Zone: e.Zone, FreeBytes: e.memory.Available(limits, now), FreeEngines: len(free) - i,
 			AllowRetryFunc: func() bool { return h.Retry(h.poolOf(q.name)) },
 		}
-		items := q.waiting.NextBatch(bounds, slot, now)
+		items := q.queued.NextBatch(bounds, slot, now)
 		if len(items) == 0 {
 			continue
 		}
-		if q.waiting.Pieces() > 0 {
-			q.fill = mix(q.fill, float64(len(items)))
+		if q.queued.Pieces() > 0 {
+			q.fill = smooth(q.fill, float64(len(items)))
 		}
-		h.start(q, e, pool, items)
+		h.startCall(q, e, pool, items)
 	}
 }
 
-// ready returns those of some engines whose memory is known and not being cleared.
-func (h *Host) ready(q *queue, free []*engine, limits memory.Limits, now clock.Millis) []*engine {
+// readyEngines returns the engines of free whose memory state is known and that
+// aren't freeing results now.
+func (h *Host) readyEngines(q *queue, free []*engine, limits memory.Limits, now clock.Millis) []*engine {
 	return slices.DeleteFunc(free, func(e *engine) bool {
-		return h.unknown(q, e, limits, now) || e.memory.Freeing(limits, now)
+		return h.needsReport(q, e, limits, now) || e.memory.Freeing(limits, now)
 	})
 }
 
-// tried returns the free engines of the candidate version at which calls are tried,
-// none while no rollout runs or all calls go there.
-func (h *Host) tried(q *queue, pool *table.Batching, limits memory.Limits, now clock.Millis) []*engine {
-	next := h.candidates(q.name)
-	if len(next) == 0 || h.Deploy.Promoted(h.poolOf(q.name), callsRoute) {
+// activeCandidates returns the free engines of the candidate version that get a
+// share of the calls. It returns none while no rollout runs or if all calls go to
+// the candidate.
+func (h *Host) activeCandidates(q *queue, pool *table.Batching, limits memory.Limits, now clock.Millis) []*engine {
+	candidates := h.candidates(q.name)
+	if len(candidates) == 0 || h.Deploy.Promoted(h.poolOf(q.name), callsRoute) {
 		return nil
 	}
-	_, free := h.usableOf(q, pool, h.Deploy.ActiveCandidates(h.poolOf(q.name), next))
-	return h.ready(q, free, limits, now)
+	_, free := h.usableAmong(q, pool, h.Deploy.ActiveCandidates(h.poolOf(q.name), candidates))
+	return h.readyEngines(q, free, limits, now)
 }
 
-// fillWeight is the part of the newest call in the usual fill of calls.
+// fillWeight is the weight of the newest call in the average number of pieces per
+// call.
 const fillWeight = 0.15
 
-// mix moves a usual value by one that was seen.
-func mix(usual, seen float64) float64 {
-	if usual == 0 {
-		return seen
+// smooth returns an exponential moving average after one more sample.
+func smooth(average, sample float64) float64 {
+	if average == 0 {
+		return sample
 	}
-	return usual + fillWeight*(seen-usual)
+	return average + fillWeight*(sample-average)
 }
 
-// withoutSlow leaves slow engines out as long as one call to each of the others
-// takes all that waits: what goes to a slow engine comes back late.
-func withoutSlow(free []*engine, waiting int, bounds batch.Bounds) []*engine {
-	fast := slices.DeleteFunc(slices.Clone(free), func(e *engine) bool { return e.slow >= slowFrom })
-	if waiting <= len(fast)*bounds.Pieces {
+// withoutSlow removes slow engines if one call to each of the others takes all queued
+// pieces, because results of a slow engine arrive late.
+func withoutSlow(free []*engine, queuedPieces int, bounds batch.Bounds) []*engine {
+	fast := slices.DeleteFunc(slices.Clone(free), func(e *engine) bool { return e.slowdown >= slowdownLimit })
+	if queuedPieces <= len(fast)*bounds.Pieces {
 		return fast
 	}
 	return free
--- a/internal/serve/host/engines.go
+++ b/internal/serve/host/engines.go
@@ -9,22 +9,24 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// engine is what the owner knows of one stage engine.
+// engine is the state of one stage engine at the owner of its pool.
 type engine struct {
 	*view.Endpoint
+	// calls is the number of running calls.
 	calls  int
 	memory *memory.Account
-	// slow is how many times longer than expected its calls take.
-	slow float64
-	// prompt says that the last call began when it was sent: no other owner's was
-	// before it.
+	// slowdown is the moving average of the ratio of actual to expected duration of
+	// its calls, at least 1.
+	slowdown float64
+	// prompt is set if the last call started without waiting behind a call of
+	// another owner.
 	prompt bool
 }
 
-// foreign returns the engine where a result lies that this owner doesn't know,
-// because it was made for the owner before; nil when this process has owned the
-// pool for so long that the result must have been given back already.
-func (h *Host) foreign(q *queue, endpoint string, pool *table.Batching, now clock.Millis) *engine {
+// foreignHolder returns the engine that stores a result of a previous owner. It
+// returns nil if the endpoint is gone, or if this process has owned the pool for so
+// long that the result must have been freed already.
+func (h *Host) foreignHolder(q *queue, endpoint string, pool *table.Batching, now clock.Millis) *engine {
 	e := q.engine(h.View().Find(endpoint))
 	if e == nil || !e.memory.MayHold(limitsOf(pool), now) {
 		return nil
@@ -32,25 +34,27 @@
 	return e
 }
 
-// limitsOf returns the bounds of an engine's memory for results.
+// limitsOf returns the limits of the result memory of a pool's engines.
 func limitsOf(pool *table.Batching) memory.Limits {
 	return memory.Limits{Capacity: pool.Room, Retention: pool.Keep}
 }
 
-// engine returns what is kept for an endpoint, nil for none.
+// engine returns the engine of an endpoint and creates it if necessary. It returns
+// nil for a nil endpoint.
 func (q *queue) engine(endpoint *view.Endpoint) *engine {
 	if endpoint == nil {
 		return nil
 	}
 	e := q.engines[endpoint]
 	if e == nil {
-		e = &engine{Endpoint: endpoint, memory: memory.New(q.clock.Now()), slow: 1}
+		e = &engine{Endpoint: endpoint, memory: memory.New(q.clock.Now()), slowdown: 1}
 		q.engines[endpoint] = e
 	}
 	return e
 }
 
-// holder returns the engine where a result lies, nil when it isn't known.
+// holder returns the engine that stores a result of this process, nil if there is
+// none.
 func (q *queue) holder(reference string) *engine {
 	for _, e := range q.engines {
 		if e.memory.Holds(reference) {
@@ -60,30 +64,31 @@
 	return nil
 }
 
-// callsRoute is the name under which calls of all stages are counted in rollouts:
-// a call holds pieces of many requests.
+// callsRoute is the route under which rollouts count the calls of all stages. Calls
+// can't be counted by route, because one call holds pieces of many requests.
 const callsRoute = "calls"
 
-// endpoints returns the engines of a pool or of a shard of it.
+// endpoints returns the endpoints of a pool or shard: those of the candidate version
+// once a rollout sends it all calls.
 func (h *Host) endpoints(name string) []*view.Endpoint {
 	if pool := h.poolOf(name); h.Deploy.Promoted(pool, callsRoute) {
-		if next := h.candidates(name); len(next) > 0 {
-			return next
+		if candidates := h.candidates(name); len(candidates) > 0 {
+			return candidates
 		}
 	}
-	if part := h.View().Shard(name); part != nil {
-		return part.Endpoints
+	if found := h.View().Shard(name); found != nil {
+		return found.Endpoints
 	}
 	return h.View().Pool(name)
 }
 
-// candidates returns the engines of the version that the pool's rollout goes to, of
-// a pool or of the zone of a shard of it.
+// candidates returns the endpoints of the candidate version of a pool's rollout. For
+// a shard it returns only those in the zone of the shard.
 func (h *Host) candidates(name string) []*view.Endpoint {
 	all := h.View().Candidates(h.poolOf(name))
-	part := h.View().Shard(name)
-	if part == nil || part.Zone == "" {
+	found := h.View().Shard(name)
+	if found == nil || found.Zone == "" {
 		return all
 	}
-	return slices.DeleteFunc(slices.Clone(all), func(e *view.Endpoint) bool { return e.Zone != part.Zone })
+	return slices.DeleteFunc(slices.Clone(all), func(e *view.Endpoint) bool { return e.Zone != found.Zone })
 }
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -1,10 +1,11 @@
-// Package host hosts the stage engines of the pools that this process owns:
-// beside a stage engine runs no process of the system, so one of the processes
-// that take callers keeps the queue of its pool, puts calls together and looks
-// after the memory for results.
+// Package host queues pieces for the stage engines of the pools that this process
+// owns, and calls the engines. No process of the system runs on the machines of
+// stage engines. Instead, one of the processes that serve callers owns each pool or
+// shard: it keeps the queue, forms batches and tracks the result memory of the
+// engines.
 //
-// Two owners for a moment do no harm: an engine that is full refuses a call
-// without running it, and a piece that is made twice is only paid for twice.
+// A pool may have two owners for a short time. This is safe: a full engine refuses a
+// call without running it, and computing a piece twice only wastes engine time.
 package host
 
 import (
@@ -28,26 +29,27 @@
 )
 
 const (
-	// maxTries is how often one piece is sent; beyond it something is wrong that
-	// another try doesn't mend.
-	maxTries = 3
-	// sweepEvery is how often queues are looked through for what came too late
-	// and for engines that are usable again.
-	sweepEvery = 50 * clock.Millis(1)
+	// maxAttempts is how often a piece is sent. A piece that failed so often would
+	// probably fail again.
+	maxAttempts = 3
+	// sweepInterval is how often queues are checked for pieces that are too late and
+	// for engines that are usable again.
+	sweepInterval = 50 * clock.Millis(1)
 )
 
-// Outcome is what became of a job.
+// Outcome is the result of a job.
 type Outcome struct {
 	References []string
-	// Endpoints and Zones tell for each reference where it lies.
+	// Endpoints and Zones name for each reference the engine that stores the result,
+	// and its availability zone.
 	Endpoints []string
 	Zones     []string
-	// Reason is empty for success.
+	// Reason is empty if the job succeeded.
 	Reason     fault.Reason
 	RetryAfter clock.Millis
 }
 
-// Message returns the outcome as a message.
+// Message returns the outcome as a message to the process that sent the request.
 func (o Outcome) Message() *wire.Made {
 	if o.Reason != "" {
 		return &wire.Made{Reason: o.Reason, RetryAfter: o.RetryAfter}
@@ -55,54 +57,55 @@
 	return &wire.Made{References: o.References, Endpoints: o.Endpoints, Zones: o.Zones}
 }
 
-// Job is one request for pieces.
+// Job is one request for pieces. The lock of its Host guards it.
 type Job struct {
-	group  *batch.Group
-	pool   string
-	result Outcome
-	left   int
-	tries  []uint8
-	ended  bool
-	// failed is why a piece was sent in vain last.
-	failed fault.Reason
-	done   func(Outcome)
-	// unread is how many pieces have not read their inputs yet.
-	unread  int
-	fetched func()
+	group     *batch.Group
+	queueName string
+	result    Outcome
+	remaining int
+	attempts  []uint8
+	ended     bool
+	// lastFailure is why the last attempt of a piece failed.
+	lastFailure fault.Reason
+	done        func(Outcome)
+	// unreadPieces is the number of pieces that have not read their inputs yet.
+	unreadPieces int
+	inputsRead   func()
 }
 
-// queue is one pool.
+// queue holds the queued pieces and the engines of one pool or shard.
 type queue struct {
 	name    string
-	waiting batch.Queue
+	queued  batch.Queue
 	engines map[*view.Endpoint]*engine
 	clock   *clock.Clock
-	// fill is how many pieces calls hold lately when more wait than fit.
+	// fill is the moving average of the number of pieces per call while more pieces
+	// are queued than fit into a call.
 	fill float64
 }
 
-// Settings are what a Host needs.
+// Settings are the dependencies of a Host.
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
 	Spelling *spell.Spelling
-	// Table and View return the newest routes and endpoints.
+	// Table and View return the current routes and endpoints.
 	Table func() *table.Table
 	View  func() *view.Snapshot
 	// Conns returns the connections to an endpoint.
 	Conns func(*view.Endpoint) *conn.Group
-	// Retry reports whether one more extra request to a pool is allowed, and
-	// spends it.
+	// Retry reports whether the retry budget of a pool allows one more retry, and
+	// takes it from the budget.
 	Retry func(pool string) bool
-	// Earn counts one ordinary request to a pool, which pays for a part of an
-	// extra one.
+	// Earn adds the share of one ordinary request to the retry budget of a pool.
 	Earn  func(pool string)
 	Meter *Meter
-	// Deploy carries out rollouts, nil where there are none.
+	// Deploy controls the rollouts; nil if there are none.
 	Deploy *deploy.Controller
 }
 
-// Host owns pools.
+// Host keeps the queues of the pools and shards that this process owns, and calls
+// their engines.
 type Host struct {
 	Settings
 	base context.Context
@@ -112,42 +115,44 @@
 	group  sync.WaitGroup
 }
 
-// New returns a host whose calls end with the context.
+// New returns a host. The end of the context cancels its calls.
 func New(ctx context.Context, settings Settings) *Host {
 	return &Host{Settings: settings, base: ctx, queues: make(map[string]*queue)}
 }
 
-// Submit takes a request for pieces. Done is called exactly once unless the
-// job is dropped first; fetched is called at most once before, when all pieces
-// have read their inputs. Neither may block or call the host.
-func (h *Host) Submit(ask *wire.Pieces, fetched func(), done func(Outcome)) *Job {
+// Submit queues a request for pieces. It calls done exactly once unless the job is
+// dropped first, and inputsRead at most once before that, when all pieces have read
+// their inputs. Neither callback may block or call the host.
+func (h *Host) Submit(request *wire.Pieces, inputsRead func(), done func(Outcome)) *Job {
 	now := h.Clock.Now()
 	job := &Job{
-		pool: ask.Pool, left: ask.Count, done: done, unread: ask.Count, fetched: fetched, tries: make([]uint8, ask.Count),
+		queueName: request.Pool, remaining: request.Count, done: done, unreadPieces: request.Count, inputsRead: inputsRead,
+		attempts: make([]uint8, request.Count),
 		result: Outcome{
-			References: make([]string, ask.Count), Endpoints: make([]string, ask.Count), Zones: make([]string, ask.Count),
+			References: make([]string, request.Count), Endpoints: make([]string, request.Count), Zones: make([]string, request.Count),
 		},
 		group: &batch.Group{
-			Request: ask.Request, Stage: ask.Stage, Key: ask.Key, Inputs: ask.Inputs, Count: ask.Count,
-			Rank: now + ask.Slack + ask.Penalty, NeededBy: now + ask.Slack, Deadline: now + ask.TimeLeft, ResultBytes: ask.Bytes, Zone: ask.Zone,
-			HoldUntil: now + ask.Hold, HoldUnderLoad: ask.Firm,
+			Request: request.Request, Stage: request.Stage, Key: request.Key, Inputs: request.Inputs, Count: request.Count,
+			Rank: now + request.Slack + request.Penalty, NeededBy: now + request.Slack, Deadline: now + request.TimeLeft,
+			ResultBytes: request.Bytes, Zone: request.Zone,
+			HoldUntil: now + request.Hold, HoldUnderLoad: request.Firm,
 		},
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	q := h.queue(ask.Pool)
+	q := h.queue(request.Pool)
 	if h.pool(q.name) == nil {
-		h.fail(job, fault.NoEndpoint)
+		h.failJob(job, fault.NoEndpoint)
 		return job
 	}
 	h.Earn(h.poolOf(q.name))
 	job.group.Owner = job
-	q.waiting.Add(job.group)
+	q.queued.Add(job.group)
 	h.dispatch(q)
 	return job
 }
 
-// Drop withdraws a job whose request ended.
+// Drop cancels a job whose request has ended. Its done callback isn't called.
 func (h *Host) Drop(job *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,27 +160,29 @@
 		return
 	}
 	job.ended = true
-	q := h.queue(job.pool)
-	q.waiting.Drop(job.group)
-	h.unusedOf(q, job)
+	q := h.queue(job.queueName)
+	q.queued.Drop(job.group)
+	h.markResultsUnused(q, job)
 }
 
-// Abandon ends a job whose asker is gone, or asks another owner by now.
+// Abandon fails a job whose requesting process is gone or has turned to another
+// owner.
 func (h *Host) Abandon(job *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fail(job, fault.Leaving)
+	h.failJob(job, fault.Leaving)
 }
 
-// unusedOf gives back the results that a job already has.
-func (h *Host) unusedOf(q *queue, job *Job) {
+// markResultsUnused marks the results that a job already has as unused. The caller
+// holds the lock.
+func (h *Host) markResultsUnused(q *queue, job *Job) {
 	for _, reference := range job.result.References {
-		q.drop(memory.Result{Reference: reference, Bytes: job.group.ResultBytes})
+		q.markUnused(memory.Result{Reference: reference, Bytes: job.group.ResultBytes})
 	}
 }
 
-// MarkUnused takes results back that nobody needs any more, or, if they are spare,
-// only once a stage fails.
+// MarkUnused records that results are no longer needed, or, if they are spare, that
+// they are needed again only if a stage fails.
 func (h *Host) MarkUnused(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,10 +198,10 @@
 		}
 		e := q.holder(reference)
 		if e == nil && i < len(unused.Endpoints) {
-			e = h.foreign(q, unused.Endpoints[i], pool, now)
+			e = h.foreignHolder(q, unused.Endpoints[i], pool, now)
 		}
 		switch {
-		case e == nil: // its maker is gone, and the result with it
+		case e == nil: // the engine is gone, and the result with it
 		case unused.Spare:
 			e.memory.MarkReclaimable(result, now+unused.Delay)
 		default:
@@ -204,8 +211,8 @@
 	h.dispatch(q)
 }
 
-// Reclaim gives back those of some results that this process still accounts for,
-// because whoever was handed them has ended.
+// Reclaim marks results as unused because the process that received them has ended.
+// Results that this process doesn't track are skipped.
 func (h *Host) Reclaim(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,38 +221,40 @@
 		return
 	}
 	for i, reference := range unused.References {
-		q.drop(memory.Result{Reference: reference, Bytes: unused.Bytes[i]})
+		q.markUnused(memory.Result{Reference: reference, Bytes: unused.Bytes[i]})
 	}
 	h.dispatch(q)
 }
 
-// drop notes that nobody needs a result any more, if it lies at an engine.
-func (q *queue) drop(result memory.Result) {
+// markUnused records that a result is no longer needed, if an engine of the queue
+// stores it.
+func (q *queue) markUnused(result memory.Result) {
 	if e := q.holder(result.Reference); e != nil {
 		e.memory.MarkUnused(result)
 	}
 }
 
-// Retire gives back what waits here, because this process leaves: whoever asked
-// asks the next owner. Calls that are under way end here.
+// Retire fails all jobs of which no piece has been sent, because this process
+// leaves: their senders turn to the next owner. This process completes the others.
 func (h *Host) Retire() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, q := range h.queues {
-		var waiting []*Job
-		q.waiting.Each(func(g *batch.Group) {
+		var queued []*Job
+		q.queued.Each(func(g *batch.Group) {
 			if g.Queued() == g.Count {
-				waiting = append(waiting, g.Owner.(*Job))
+				queued = append(queued, g.Owner.(*Job))
 			}
 		})
-		for _, job := range waiting {
-			h.fail(job, fault.Leaving)
+		for _, job := range queued {
+			h.failJob(job, fault.Leaving)
 		}
-		h.Log.Info("queue given back", "pool", q.name, "jobs", len(waiting), "pieces", q.waiting.Pieces())
+		h.Log.Info("queue given back", "pool", q.name, "jobs", len(queued), "pieces", q.queued.Pieces())
 	}
 }
 
-// Loads returns the queues of all pools that have had work here.
+// Loads returns the loads of the owned pools and shards that have had work in this
+// process.
 func (h *Host) Loads(owned func(string) bool) []wire.PoolLoad {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -258,7 +267,8 @@
 	return loads
 }
 
-// Load returns the queue of one pool, false when it never had work here.
+// Load returns the load of one pool or shard, and false if it never had work in this
+// process.
 func (h *Host) Load(name string) (wire.PoolLoad, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -270,14 +280,14 @@
 }
 
 func (h *Host) load(q *queue) wire.PoolLoad {
-	all, free := h.usable(q, h.pool(q.name))
-	load := wire.PoolLoad{Pool: q.name, Engines: all, Free: len(free), Fill: q.fill}
-	if q.waiting.Pieces() == 0 {
+	count, free := h.usableEngines(q, h.pool(q.name))
+	load := wire.PoolLoad{Pool: q.name, Engines: count, Free: len(free), Fill: q.fill}
+	if q.queued.Pieces() == 0 {
 		return load
 	}
 	now := h.Clock.Now()
 	load.Waiting = make([]int, len(reach.RankEdges)+1)
-	q.waiting.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Queued() })
+	q.queued.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Queued() })
 	return load
 }
 
@@ -290,11 +300,12 @@
 	return q
 }
 
-// pool returns what the engines of a pool, or of a shard of it, bear, nil when
-// they make no pieces.
+// pool returns the batching configuration of a pool or of the pool of a shard, nil
+// if its engines don't compute pieces.
 func (h *Host) pool(name string) *table.Batching { return h.Table().Batching(h.poolOf(name)) }
 
-// poolOf returns the pool of a shard. A name that the table knows is a pool's.
+// poolOf returns the pool of a shard. A name that the table contains is itself a
+// pool.
 func (h *Host) poolOf(name string) string {
 	if h.Table().Batching(name) != nil {
 		return name
@@ -302,24 +313,25 @@
 	return shard.PoolOf(name)
 }
 
-// dissolve ends the jobs of a shard that has no engines left, because its zone was
-// emptied or the pool is divided otherwise now: another shard makes their pieces.
+// dissolve fails the jobs of a shard that no longer exists, because its zone was
+// evacuated or its pool is divided in another way now. Other shards compute their
+// pieces. The caller holds the lock.
 func (h *Host) dissolve(q *queue) {
-	if h.poolOf(q.name) == q.name || h.View().Shard(q.name) != nil || q.waiting.Pieces() == 0 {
+	if h.poolOf(q.name) == q.name || h.View().Shard(q.name) != nil || q.queued.Pieces() == 0 {
 		return
 	}
-	var waiting []*Job
-	q.waiting.Each(func(g *batch.Group) { waiting = append(waiting, g.Owner.(*Job)) })
-	for _, job := range waiting {
-		h.fail(job, fault.ZoneLeft)
+	var queued []*Job
+	q.queued.Each(func(g *batch.Group) { queued = append(queued, g.Owner.(*Job)) })
+	for _, job := range queued {
+		h.failJob(job, fault.ZoneLeft)
 	}
-	h.Log.Info("shard dissolved", "pool", q.name, "jobs", len(waiting))
+	h.Log.Info("shard dissolved", "pool", q.name, "jobs", len(queued))
 }
 
-// Run looks through the queues until the context ends, and then waits for the
-// calls that are under way.
+// Run maintains the queues until the context ends, and then waits for the running
+// calls.
 func (h *Host) Run(ctx context.Context) {
-	for h.Clock.Sleep(ctx, sweepEvery) == nil {
+	for h.Clock.Sleep(ctx, sweepInterval) == nil {
 		h.mu.Lock()
 		for _, q := range h.queues {
 			h.sweep(q)
@@ -331,7 +343,8 @@
 	h.group.Wait()
 }
 
-// sweep forgets engines that are gone and results that have expired.
+// sweep removes engines that are gone and results that have expired. The caller
+// holds the lock.
 func (h *Host) sweep(q *queue) {
 	pool, now := h.pool(q.name), h.Clock.Now()
 	for endpoint, e := range q.engines {
--- a/internal/serve/host/lost.go
+++ b/internal/serve/host/lost.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// overdueTimes and overdueMore are how much longer than expected a call may take
-	// before its engine is asked whether it still works on it. What engines report is
-	// some hundred milliseconds old.
-	overdueTimes = 1.2
-	overdueMore  = 300 * clock.Millis(1)
-	// askAgain is the pause between two requests: a slow engine stays busy.
-	askAgain = 300 * clock.Millis(1)
+	// A call is overdue after overdueFactor times its expected duration plus
+	// overdueMargin. Then the owner requests the engine's report to see whether the
+	// call still runs. Reports are a few hundred milliseconds old.
+	overdueFactor = 1.2
+	overdueMargin = 300 * clock.Millis(1)
+	// reportInterval is the pause between two requests for the report of an engine
+	// that is still busy.
+	reportInterval = 300 * clock.Millis(1)
 )
 
 // LostAnswerError is returned when an engine has ended a call whose answer did not
@@ -29,17 +30,17 @@
 	return fmt.Sprintf("endpoint %s has ended the call, but its answer did not arrive", e.Endpoint)
 }
 
-// watchAnswer cancels a call once its engine, asked after the call is overdue, works
-// on nothing: the answer is lost. Until the call's own limit, which leaves room for
-// slow engines, the engine would stand idle.
+// watchAnswer cancels an overdue call once its engine reports that it is idle: the
+// answer was lost. Otherwise the engine would stay idle until the call times out,
+// which takes long because it allows for slow engines.
 func (h *Host) watchAnswer(ctx context.Context, cancel context.CancelCauseFunc, endpoint *view.Endpoint, expected float64) {
-	pause := clock.Millis(overdueTimes*expected) + overdueMore
+	pause := clock.Millis(overdueFactor*expected) + overdueMargin
 	for h.Clock.Sleep(ctx, pause) == nil {
-		report, err := h.askReport(endpoint)
+		report, err := h.fetchReport(endpoint)
 		if err == nil && !report.Busy {
 			cancel(&LostAnswerError{Endpoint: endpoint.ID})
 			return
 		}
-		pause = askAgain
+		pause = reportInterval
 	}
 }
--- a/internal/serve/host/meter.go
+++ b/internal/serve/host/meter.go
@@ -6,12 +6,12 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// Meter counts the work of a Host.
+// Meter holds the counters of a Host.
 type Meter struct {
-	calls   *prometheus.CounterVec
-	pieces  *prometheus.CounterVec
-	broken  *prometheus.CounterVec
-	refusal *prometheus.CounterVec
+	calls    *prometheus.CounterVec
+	pieces   *prometheus.CounterVec
+	failures *prometheus.CounterVec
+	refusals *prometheus.CounterVec
 }
 
 // NewMeter registers the counters.
@@ -22,10 +22,10 @@
 		return vec
 	}
 	return &Meter{
-		calls:   counter("jujubescale_stage_calls_total", "Calls to stage engines by pool.", "pool"),
-		pieces:  counter("jujubescale_stage_pieces_total", "Pieces in calls to stage engines by pool.", "pool"),
-		broken:  counter("jujubescale_stage_calls_failed_total", "Calls to stage engines that failed or were refused, by pool.", "pool"),
-		refusal: counter("jujubescale_stage_refusals_total", "Stages of requests that ended without results, by pool and reason.", "pool", "reason"),
+		calls:    counter("jujubescale_stage_calls_total", "Calls to stage engines by pool.", "pool"),
+		pieces:   counter("jujubescale_stage_pieces_total", "Pieces in calls to stage engines by pool.", "pool"),
+		failures: counter("jujubescale_stage_calls_failed_total", "Calls to stage engines that failed or were refused, by pool.", "pool"),
+		refusals: counter("jujubescale_stage_refusals_total", "Stages of requests that ended without results, by pool and reason.", "pool", "reason"),
 	}
 }
 
@@ -34,8 +34,8 @@
 	m.pieces.WithLabelValues(pool).Add(float64(pieces))
 }
 
-func (m *Meter) failed(pool string) { m.broken.WithLabelValues(pool).Inc() }
+func (m *Meter) failed(pool string) { m.failures.WithLabelValues(pool).Inc() }
 
 func (m *Meter) refused(pool string, reason fault.Reason) {
-	m.refusal.WithLabelValues(pool, string(reason)).Inc()
+	m.refusals.WithLabelValues(pool, string(reason)).Inc()
 }
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -12,96 +12,99 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-// askTimeout bounds a request for an engine's memory.
-const askTimeout = 400 * clock.Millis(1)
+// reportTimeout is the timeout of a request for an engine's report.
+const reportTimeout = 400 * clock.Millis(1)
 
-// unknown reports whether a call to an engine has to wait until its memory is
-// known, and asks for it if it is time to.
-func (h *Host) unknown(q *queue, e *engine, limits memory.Limits, now clock.Millis) bool {
+// needsReport reports whether an engine can't get calls because its memory state is
+// unknown, and queries it if a query is due. The caller holds the lock.
+func (h *Host) needsReport(q *queue, e *engine, limits memory.Limits, now clock.Millis) bool {
 	if e.memory.BeginQuery(now) {
 		h.group.Add(1)
 		go func() {
 			defer h.group.Done()
-			h.learnRoom(q, e, limits)
+			h.queryMemory(q, e, limits)
 		}()
 	}
 	return e.memory.NeedsReport()
 }
 
-func (h *Host) learnRoom(q *queue, e *engine, limits memory.Limits) {
-	report, err := h.askReport(e.Endpoint)
+// queryMemory reads the memory state of an engine from its report.
+func (h *Host) queryMemory(q *queue, e *engine, limits memory.Limits) {
+	report, err := h.fetchReport(e.Endpoint)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.Clock.Now()
 	if err != nil {
 		e.memory.RecordNoReport(now)
-		h.Log.Info("memory of engine not known", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
+		h.Log.Info("engine memory unknown", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
 	} else {
-		// What it works on while no call of this owner is there was sent by another.
-		others := report.Busy && e.calls == 0
+		// A busy engine without a call of this owner runs a call of another one.
+		foreign := report.Busy && e.calls == 0
 		e.memory.RecordReport(limits, memory.Report{
-			MinFree: report.FreeLeast, MaxFree: report.FreeMost, Pending: h.pending(q, others),
+			MinFree: report.FreeLeast, MaxFree: report.FreeMost, Pending: h.foreignPending(q, foreign),
 		}, now)
-		h.Log.Info("memory of engine", "pool", q.name, "endpoint", e.ID, "freeBytes", report.FreeMost, "busy", report.Busy,
+		h.Log.Info("engine memory read", "pool", q.name, "endpoint", e.ID, "freeBytes", report.FreeMost, "busy", report.Busy,
 			"ownBytes", e.memory.OwnBytes(), "foreignBytes", e.memory.ForeignBytes(now))
-		h.holdBusy(q, e, others, now)
+		h.blockBusy(q, e, foreign, now)
 	}
 	h.dispatch(q)
 }
 
-// pending is what a call takes that an engine works on for the owner before: as
-// far as is known a full one, with results like those that wait.
-func (h *Host) pending(q *queue, others bool) int64 {
+// foreignPending estimates the memory that the results of a running call of the
+// previous owner will take: those of a full call, with results as large as the
+// queued ones. It returns 0 if no such call runs.
+func (h *Host) foreignPending(q *queue, foreign bool) int64 {
 	pool := h.pool(q.name)
-	if pool == nil || !others {
+	if pool == nil || !foreign {
 		return 0
 	}
-	return q.waiting.ResultBytes(pool.Pieces)
+	return q.queued.ResultBytes(pool.Pieces)
 }
 
-// holdBusy keeps calls away from an engine that works for the owner before and
-// lets no call wait: it would refuse them, and each refusal is paid for from the
-// budget for repeats, which a new owner hardly has.
-func (h *Host) holdBusy(q *queue, e *engine, others bool, now clock.Millis) {
+// blockBusy blocks an engine that works for the previous owner and doesn't queue
+// calls. It would refuse a call, and each refusal is charged to the retry budget,
+// which is almost empty at a new owner.
+func (h *Host) blockBusy(q *queue, e *engine, foreign bool, now clock.Millis) {
 	pool := h.pool(q.name)
-	if pool == nil || pool.Queue > 0 || !others {
+	if pool == nil || pool.Queue > 0 || !foreign {
 		return
 	}
-	e.Block(now + barFull)
+	e.Block(now + blockFull)
 	e.memory.RequireReport()
 }
 
-func (h *Host) askReport(endpoint *view.Endpoint) (spell.StageReport, error) {
-	ctx, cancel := context.WithTimeout(h.base, askTimeout.Duration())
+func (h *Host) fetchReport(endpoint *view.Endpoint) (spell.StageReport, error) {
+	ctx, cancel := context.WithTimeout(h.base, reportTimeout.Duration())
 	defer cancel()
-	raw, err := h.exchange(ctx, endpoint, http.MethodGet, h.Spelling.ReportPath, nil, reuseIdle)
+	raw, err := h.exchange(ctx, endpoint, http.MethodGet, h.Spelling.ReportPath, nil, maxReuseIdle)
 	if err != nil {
 		return spell.StageReport{}, err
 	}
 	return h.Spelling.ReportFunc(raw)
 }
 
-// returnUnused gives results back to engines whose memory fills up.
-func (h *Host) returnUnused(q *queue, pool *table.Batching) {
+// freeUnused frees unused results at engines whose memory is getting full. The
+// caller holds the lock.
+func (h *Host) freeUnused(q *queue, pool *table.Batching) {
 	now := h.Clock.Now()
-	wanted := q.waiting.ResultBytes(pool.Pieces)
+	needed := q.queued.ResultBytes(pool.Pieces)
 	for _, e := range q.engines {
 		if e.Gone() {
 			continue
 		}
-		references := e.memory.BeginFree(limitsOf(pool), wanted, now)
+		references := e.memory.BeginFree(limitsOf(pool), needed, now)
 		if len(references) == 0 {
 			continue
 		}
 		h.group.Add(1)
 		go func() {
 			defer h.group.Done()
-			err := h.free(e.Endpoint, references)
+			err := h.freeResults(e.Endpoint, references)
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			e.memory.EndFree(err == nil)
 			if err != nil {
-				h.Log.Info("results not given back", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
+				h.Log.Info("results not freed", "pool", q.name, "endpoint", e.ID, logs.KeyError, err)
 				return
 			}
 			h.dispatch(q)
@@ -109,16 +112,17 @@
 	}
 }
 
-// freeTimeout bounds a call that gives results back; it does no work.
+// freeTimeout is the timeout of a request to free results, which takes an engine no
+// work.
 const freeTimeout = 1500 * clock.Millis(1)
 
-func (h *Host) free(endpoint *view.Endpoint, references []string) error {
+func (h *Host) freeResults(endpoint *view.Endpoint, references []string) error {
 	body, err := h.Spelling.UnusedFunc(references)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(h.base, freeTimeout.Duration())
 	defer cancel()
-	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.UnusedPath, body, reuseIdle)
+	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.UnusedPath, body, maxReuseIdle)
 	return err
 }
