--- a/internal/serve/runs/agent_test.go
+++ b/internal/serve/runs/agent_test.go
@@ -26,28 +26,28 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// fakeAgent speaks the sessions' protocol and does with calls what a test says.
+// fakeAgent speaks the session protocol and lets a test handle the calls.
 type fakeAgent struct {
 	name, zone string
 	calls      atomic.Int64
-	// take gets every frame but heartbeats.
-	take   func(*sess.Session, *wire.Frame)
+	// handle receives every frame except heartbeats.
+	handle func(*sess.Session, *wire.Frame)
 	server *httptest.Server
 }
 
-func startAgent(tb testing.TB, name, zone string, take func(*fakeAgent, *sess.Session, *wire.Frame)) *fakeAgent {
+func startAgent(tb testing.TB, name, zone string, handle func(*fakeAgent, *sess.Session, *wire.Frame)) *fakeAgent {
 	tb.Helper()
 	a := &fakeAgent{name: name, zone: zone}
-	a.take = func(s *sess.Session, f *wire.Frame) {
+	a.handle = func(s *sess.Session, f *wire.Frame) {
 		if f.Kind == wire.KindCall {
 			a.calls.Add(1)
 		}
-		take(a, s, f)
+		handle(a, s, f)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	load := func() *wire.Load { return &wire.Load{Limit: 1000} }
 	a.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, err := sess.Accept(ctx, w, r, sess.WithHandler(a.take), sess.WithLoad(load),
+		s, err := sess.Accept(ctx, w, r, sess.WithHandler(a.handle), sess.WithLoad(load),
 			sess.WithHello(func() wire.Hello {
 				return wire.Hello{
 					Process: name, Incarnation: 1, Role: "agent", Pool: "p", Endpoint: name,
@@ -65,7 +65,7 @@
 
 func (a *fakeAgent) address() string { return strings.TrimPrefix(a.server.URL, "http://") }
 
-// answer sends a whole answer.
+// answer sends a complete answer.
 func answer(s *sess.Session, id token.Attempt, text string) {
 	_ = s.Send(&wire.Frame{Kind: wire.KindPart, Part: &wire.Part{ID: id, Bytes: []byte(text)}})
 	_ = s.Send(&wire.Frame{Kind: wire.KindEnd, End: &wire.End{
@@ -87,8 +87,8 @@
 
 func output(id token.Attempt) string { return fmt.Sprintf(`{"output":"%s/%d"}`, id.Request, id.Stage) }
 
-// rig is the part of an entry that carries out requests.
-type rig struct {
+// fixture is the part of an entry that executes requests.
+type fixture struct {
 	clock    *clock.Clock
 	holder   *spread.Holder
 	registry *prometheus.Registry
@@ -97,36 +97,36 @@
 	manifest *manif.Manifest
 }
 
-func newRig(tb testing.TB, agents ...*fakeAgent) *rig {
+func newFixture(tb testing.TB, agents ...*fakeAgent) *fixture {
 	tb.Helper()
-	r := &rig{clock: clock.New(), holder: &spread.Holder{}, registry: prometheus.NewRegistry()}
+	fx := &fixture{clock: clock.New(), holder: &spread.Holder{}, registry: prometheus.NewRegistry()}
 	stages := []manif.Stage{
 		{Name: "one", Kind: manif.KindEncode, Pool: "p"},
 		{Name: "two", Kind: manif.KindRetrieve, Pool: "p"},
 		{Name: "three", Kind: manif.KindRerank, Pool: "p"},
 	}
-	r.manifest = &manif.Manifest{
+	fx.manifest = &manif.Manifest{
 		Pipelines: []manif.Pipeline{{Name: "line", DeadlineMs: 3000, Stages: stages}},
 		Pools:     []manif.Pool{{Name: "p", Kind: manif.KindEncode}},
 	}
-	r.holder.Accept(spread.New(1, r.manifest, nil))
-	m := meter.New(r.registry)
-	r.peers = peers.New("za", r.holder, m, peers.WithClock(r.clock))
-	tb.Cleanup(r.peers.Close)
-	r.runs = runs.New(r.peers, m, runs.WithClock(r.clock))
+	fx.holder.Accept(spread.New(1, fx.manifest, nil))
+	m := meter.New(fx.registry)
+	fx.peers = peers.New("za", fx.holder, m, peers.WithClock(fx.clock))
+	tb.Cleanup(fx.peers.Close)
+	fx.runs = runs.New(fx.peers, m, runs.WithClock(fx.clock))
 	var addresses []string
 	for _, a := range agents {
 		addresses = append(addresses, a.address())
 	}
-	r.peers.Connect(addresses)
-	r.await(tb, "not all sessions are open", func() bool {
-		_, view := r.peers.View("p")
+	fx.peers.Connect(addresses)
+	fx.waitUntil(tb, "not all sessions are open", func() bool {
+		_, view := fx.peers.View("p")
 		return view.Len() == len(agents)
 	})
-	return r
+	return fx
 }
 
-func (r *rig) await(tb testing.TB, what string, done func() bool) {
+func (fx *fixture) waitUntil(tb testing.TB, what string, done func() bool) {
 	tb.Helper()
 	poll.WaitOn(tb, func(poll.LogT) poll.Result {
 		if done() {
@@ -136,17 +136,18 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(time.Minute))
 }
 
-func (r *rig) request(left clock.Millis) *runs.Request {
+func (fx *fixture) request(left clock.Millis) *runs.Request {
 	return &runs.Request{
-		Deadline: r.clock.Now() + left,
+		Deadline: fx.clock.Now() + left,
 		Call:     wire.Call{ID: token.Attempt{Request: token.NewRequestID()}, Idempotent: true, Method: "GET", Path: "/"},
 	}
 }
 
-// counted sums a counter over all labels but those given.
-func (r *rig) counted(tb testing.TB, name, label, value string) float64 {
+// sumCounter returns the sum of a counter over all series with the given label
+// value.
+func (fx *fixture) sumCounter(tb testing.TB, name, label, value string) float64 {
 	tb.Helper()
-	families, err := r.registry.Gather()
+	families, err := fx.registry.Gather()
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/serve/runs/runs.go
+++ b/internal/serve/runs/runs.go
@@ -1,5 +1,5 @@
-// Package runs carries out requests: the stages of a pipeline one after
-// another, or one call of a plain service, at the endpoints that peers know.
+// Package runs executes requests: the stages of a pipeline one after another, or one
+// call of a plain service, at the endpoints that the peers report.
 package runs
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/jujubescale/jujubescale/internal/serve/trace"
 )
 
-// Runs carries out requests.
+// Runs executes requests.
 type Runs struct {
 	clock     *clock.Clock
 	peers     *peers.Peers
@@ -35,7 +35,8 @@
 	stages    sync.Map // stageKey to *budget.Stage
 }
 
-// stageKey names what a duration was observed of.
+// stageKey identifies the stage whose durations are observed. Calls of plain
+// services have the name of the service and the template of the path.
 type stageKey struct {
 	pipeline string
 	stage    string
@@ -52,8 +53,8 @@
 	return func(r *Runs) { r.picker = pick.New(pick.WithPolicy(policy)) }
 }
 
-// WithBaseline is the kept baseline of measurements: round robin with plain
-// retries; no budgets, hedges, early refusals or affinity.
+// WithBaseline sets the fixed baseline for measurements: round robin with unlimited
+// retries and without budgets, hedges, early refusals and affinity.
 func WithBaseline() Option {
 	return func(r *Runs) {
 		r.baseline = true
@@ -61,13 +62,14 @@
 	}
 }
 
-const plenty = 1 << 40
+// unlimitedTokens is a number of retries that is never reached.
+const unlimitedTokens = 1 << 40
 
-// New returns a runner over an entry's peers.
+// New returns a Runs that sends requests to the endpoints of an entry's peers.
 func New(p *peers.Peers, m *meter.Entry, opts ...Option) *Runs {
 	r := &Runs{
 		clock: clock.New(), peers: p, meter: m, picker: pick.New(),
-		unlimited: quota.New(1, plenty, plenty), shed: shed.New(),
+		unlimited: quota.New(1, unlimitedTokens, unlimitedTokens), shed: shed.New(),
 	}
 	for _, opt := range opts {
 		opt(r)
@@ -75,30 +77,32 @@
 	return r
 }
 
-// Request is one request on its way.
+// Request is one request to execute.
 type Request struct {
-	// Call has the identity, organisation, priority and key.
+	// Call holds the request ID, organisation, priority and idempotency key.
 	Call wire.Call
-	// Deadline by the runner's clock.
+	// Deadline is an instant of the clock of Runs.
 	Deadline clock.Millis
-	// Record that notes the attempts; may be nil.
+	// Record receives the attempts; may be nil.
 	Record *trace.Record
 }
 
-// spent is the engine time of one stage.
-type spent struct {
+// engineCost is the engine time of one stage.
+type engineCost struct {
 	pool string
-	span clock.Millis
+	time clock.Millis
 }
 
-// account counts engine time once it is known whether it was of use.
-func (r *Runs) account(costs []spent, use string) {
+// recordCosts counts engine time as useful or wasted, which is known only once the
+// request has ended.
+func (r *Runs) recordCosts(costs []engineCost, use string) {
 	for _, cost := range costs {
-		r.meter.EngineTime(cost.pool, use, cost.span)
+		r.meter.EngineTime(cost.pool, use, cost.time)
 	}
 }
 
-func (r *Runs) times(pipeline, stage string) *budget.Stage {
+// stageTimes returns the observed durations of a stage.
+func (r *Runs) stageTimes(pipeline, stage string) *budget.Stage {
 	key := stageKey{pipeline: pipeline, stage: stage}
 	if known, found := r.stages.Load(key); found {
 		return known.(*budget.Stage)
@@ -107,34 +111,35 @@
 	return known.(*budget.Stage)
 }
 
-// stageBody is what each stage of a pipeline gets.
+// stageBody is the body of a call to a stage of a pipeline.
 type stageBody struct {
 	Input    json.RawMessage `json:"input"`
 	Previous json.RawMessage `json:"previous,omitempty"`
 }
 
-// stageOutput is what each stage but generate answers.
+// stageOutput is the answer of each stage but generate.
 type stageOutput struct {
 	Output json.RawMessage `json:"output"`
 }
 
-// Pipeline runs the stages one after another and gives the last one's bytes
-// to sink as they come, if there is a sink. It returns the whole output.
+// Pipeline runs the stages of a pipeline one after another. If sink is set, it
+// receives the bytes of the last stage as they arrive. Pipeline returns the complete
+// output.
 func (r *Runs) Pipeline(ctx context.Context, request *Request, p *manif.Pipeline, input json.RawMessage, sink func([]byte)) (json.RawMessage, error) {
 	key := shed.Key{Pipeline: p.Name, Organisation: request.Call.Organisation}
 	if !r.baseline && !r.shed.Admit(r.clock.Now(), key, rand.Float64()) {
-		refusal := fault.Refuse(fault.Overloaded, "later stages have been refusing such requests for load")
+		refusal := fault.Refuse(fault.Overloaded, "later stages have refused such requests because of overload")
 		refusal.RetryAfter = shedRetry
 		return nil, refusal
 	}
 	observed := make([]*budget.Stage, len(p.Stages))
 	for i := range p.Stages {
-		observed[i] = r.times(p.Name, p.Stages[i].Name)
+		observed[i] = r.stageTimes(p.Name, p.Stages[i].Name)
 	}
 	var previous json.RawMessage
-	var costs []spent
+	var costs []engineCost
 	for i := range p.Stages {
-		j, err := r.prepare(request, &p.Stages[i], i, stageBody{Input: input, Previous: previous})
+		j, err := r.newJob(request, &p.Stages[i], i, stageBody{Input: input, Previous: previous})
 		if err == nil {
 			if i == len(p.Stages)-1 && sink != nil {
 				j.stream, j.sink = true, sink
@@ -142,24 +147,24 @@
 			previous, err = r.pipelineStage(ctx, j, p, i, observed[i:], &costs)
 		}
 		if err != nil {
-			r.account(costs, meter.UseWasted)
+			r.recordCosts(costs, meter.UseWasted)
 			if i > 0 {
-				r.shed.Ended(r.clock.Now(), key, forLoad(err))
+				r.shed.Ended(r.clock.Now(), key, causedByLoad(err))
 			}
-			return nil, afterStages(i, err)
+			return nil, correctRan(i, err)
 		}
 	}
 	r.shed.Ended(r.clock.Now(), key, false)
-	r.account(costs, meter.UseUseful)
+	r.recordCosts(costs, meter.UseUseful)
 	return previous, nil
 }
 
-// shedRetry is when a request that was refused before its first stage may try
-// again.
+// shedRetry is the retry-after time of a request that is refused before its first
+// stage.
 const shedRetry = clock.Second
 
-// forLoad reports whether a stage failed because there was too much to do.
-func forLoad(err error) bool {
+// causedByLoad reports whether a stage failed because of too much load.
+func causedByLoad(err error) bool {
 	var refusal *fault.RefusalError
 	if !errors.As(err, &refusal) {
 		return false
@@ -172,7 +177,8 @@
 	}
 }
 
-func (r *Runs) prepare(request *Request, s *manif.Stage, index int, body stageBody) (*job, error) {
+// newJob returns the job for one stage of a request.
+func (r *Runs) newJob(request *Request, s *manif.Stage, index int, body stageBody) (*job, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, fault.Refuse(fault.BadRequest, err.Error())
@@ -190,25 +196,28 @@
 	return j, nil
 }
 
+// pipelineStage runs one stage, observes its duration and appends its engine time to
+// costs.
 func (r *Runs) pipelineStage(
-	ctx context.Context, j *job, p *manif.Pipeline, index int, remaining []*budget.Stage, costs *[]spent,
+	ctx context.Context, j *job, p *manif.Pipeline, index int, remaining []*budget.Stage, costs *[]engineCost,
 ) (json.RawMessage, error) {
 	began := r.clock.Now()
 	j.plan = budget.NewPlan(began, j.deadline-began, remaining)
 	j.times = remaining[0].Times(began)
-	got, err := r.run(ctx, j)
-	r.meter.EngineTime(j.pool, meter.UseWasted, got.wasted)
+	outcome, err := r.run(ctx, j)
+	r.meter.EngineTime(j.pool, meter.UseWasted, outcome.wasted)
 	if err != nil {
 		return nil, err
 	}
-	*costs = append(*costs, spent{pool: j.pool, span: got.end.EngineTime})
+	*costs = append(*costs, engineCost{pool: j.pool, time: outcome.end.EngineTime})
 	now := r.clock.Now()
 	remaining[0].Observe(now, now-began)
 	r.meter.StageSeconds.WithLabelValues(p.Name, p.Stages[index].Name).Observe((now - began).Duration().Seconds())
-	return output(p.Stages[index].Kind, got.bytes)
+	return decodeOutput(p.Stages[index].Kind, outcome.bytes)
 }
 
-func output(kind manif.StageKind, bytes []byte) (json.RawMessage, error) {
+// decodeOutput returns the output of a stage as JSON.
+func decodeOutput(kind manif.StageKind, bytes []byte) (json.RawMessage, error) {
 	if kind == manif.KindGenerate {
 		return json.Marshal(string(bytes))
 	}
@@ -219,9 +228,9 @@
 	return decoded.Output, nil
 }
 
-// afterStages corrects what is said of a request whose earlier stages ran: it
-// is not "not run", even if its last stage is.
-func afterStages(stages int, err error) error {
+// correctRan changes a refusal from NotRun to DidRun if earlier stages of the
+// request ran, so that the request as a whole isn't reported as not run.
+func correctRan(stages int, err error) error {
 	var refusal *fault.RefusalError
 	if stages > 0 && errors.As(err, &refusal) && refusal.Ran == fault.NotRun {
 		refusal.Ran = fault.DidRun
@@ -229,7 +238,7 @@
 	return err
 }
 
-// PlainAnswer is the whole answer of a plain service's call.
+// PlainAnswer is the complete answer of a plain service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
@@ -237,24 +246,24 @@
 	Bytes       []byte
 }
 
-// Plain runs one call of a plain service, whose template names it for the
-// observed times.
+// Plain runs one call of a plain service. Its durations are observed by service and
+// template.
 func (r *Runs) Plain(ctx context.Context, request *Request, service, poolName, template string) (*PlainAnswer, error) {
-	observed := r.times(service, template)
+	observed := r.stageTimes(service, template)
 	began := r.clock.Now()
 	j := &job{call: request.Call, pool: poolName, deadline: request.Deadline, record: request.Record}
 	j.plan = budget.NewPlan(began, j.deadline-began, []*budget.Stage{observed})
 	j.times = observed.Times(began)
-	got, err := r.run(ctx, j)
-	r.meter.EngineTime(poolName, meter.UseWasted, got.wasted)
+	outcome, err := r.run(ctx, j)
+	r.meter.EngineTime(poolName, meter.UseWasted, outcome.wasted)
 	if err != nil {
 		return nil, err
 	}
 	now := r.clock.Now()
 	observed.Observe(now, now-began)
 	r.meter.StageSeconds.WithLabelValues(service, template).Observe((now - began).Duration().Seconds())
-	r.meter.EngineTime(poolName, meter.UseUseful, got.end.EngineTime)
+	r.meter.EngineTime(poolName, meter.UseUseful, outcome.end.EngineTime)
 	return &PlainAnswer{
-		Status: got.end.Status, ContentType: got.end.ContentType, Digest: got.end.Digest, Bytes: got.bytes,
+		Status: outcome.end.Status, ContentType: outcome.end.ContentType, Digest: outcome.end.Digest, Bytes: outcome.bytes,
 	}, nil
 }
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -18,7 +18,7 @@
 
 // job is one stage of one request.
 type job struct {
-	call     wire.Call // without try and time left
+	call     wire.Call // without attempt number and time left
 	pool     string
 	stream   bool
 	affine   bool
@@ -30,15 +30,15 @@
 	record   *trace.Record
 }
 
-// result is the whole answer of a stage.
+// result is the complete answer of a stage.
 type result struct {
 	bytes  []byte
 	end    *wire.End
 	wasted clock.Millis
 }
 
-// flight is one attempt at an endpoint, in the order of tries.
-type flight struct {
+// attempt is one attempt at an endpoint.
+type attempt struct {
 	id       token.Attempt
 	endpoint *pool.Endpoint
 	link     *peers.Link
@@ -46,31 +46,31 @@
 	open     bool
 }
 
-// stageRun carries out the actions of one stage's machine.
+// stageRun executes the actions of the state machine of one stage.
 type stageRun struct {
 	*Runs
-	job     *job
-	machine *stage.Machine
-	box     *peers.Box
-	member  *peers.Pool
-	flights []flight
-	avoid   pick.Avoid
-	beganAt clock.Millis
-	faulty  string       // availability zone of the attempt that failed last
-	refused bool         // an endpoint has refused this stage
-	retry   fault.Reason // why the next attempt is one more; empty for the first
+	job         *job
+	machine     *stage.Machine
+	box         *peers.Box
+	peerPool    *peers.Pool
+	attempts    []attempt // by number
+	avoid       pick.Avoid
+	beganAt     clock.Millis
+	failedZone  string       // availability zone of the attempt that failed last
+	refused     bool         // an endpoint has refused this stage
+	retryReason fault.Reason // why the next attempt is a retry; empty for the first attempt
 
-	events  []peers.Event
-	dueAt   clock.Millis
-	due     <-chan struct{}
-	stopDue func()
+	events    []peers.Event
+	timerAt   clock.Millis
+	timer     <-chan struct{}
+	stopTimer func()
 }
 
-// run carries out one stage to its end.
+// run executes one stage until it has an answer or a refusal.
 func (r *Runs) run(ctx context.Context, j *job) (result, error) {
-	member, _ := r.peers.View(j.pool)
+	peerPool, _ := r.peers.View(j.pool)
 	config := stage.Config{
-		Idempotent: j.call.Idempotent, Stream: j.stream, Retries: member.Retries, Hedges: member.Hedges,
+		Idempotent: j.call.Idempotent, Stream: j.stream, Retries: peerPool.Retries, Hedges: peerPool.Hedges,
 		Plan: j.plan, Times: j.times, Deadline: j.deadline,
 	}
 	if r.baseline {
@@ -79,12 +79,12 @@
 		config.Times = budget.Times{}
 	}
 	x := &stageRun{
-		Runs: r, job: j, machine: stage.New(config), box: peers.NewBox(), member: member,
-		beganAt: r.clock.Now(), stopDue: func() {},
+		Runs: r, job: j, machine: stage.New(config), box: peers.NewBox(), peerPool: peerPool,
+		beganAt: r.clock.Now(), stopTimer: func() {},
 	}
-	defer x.settle()
+	defer x.closeAll()
 	x.machine.Begin(x.beganAt)
-	for x.act(); !x.machine.Over(); x.act() {
+	for x.runActions(); !x.machine.Over(); x.runActions() {
 		x.wait(ctx)
 	}
 	if !x.machine.Answered() {
@@ -94,40 +94,40 @@
 	return result{bytes: x.machine.Bytes(), end: x.machine.End(), wasted: x.machine.Wasted()}, nil
 }
 
-// wait takes in what happens next.
+// wait passes the next event, timeout or cancellation to the machine.
 func (x *stageRun) wait(ctx context.Context) {
-	if at := x.machine.WakeAt(); x.due == nil || at != x.dueAt {
-		x.stopDue()
-		x.dueAt = at
-		x.due, x.stopDue = x.clock.After(at - x.clock.Now())
+	if at := x.machine.WakeAt(); x.timer == nil || at != x.timerAt {
+		x.stopTimer()
+		x.timerAt = at
+		x.timer, x.stopTimer = x.clock.After(at - x.clock.Now())
 	}
 	select {
 	case <-x.box.Bell():
 		x.events = x.box.Take(x.events)
 		for i := range x.events {
-			x.event(&x.events[i])
-			x.act()
+			x.handleEvent(&x.events[i])
+			x.runActions()
 		}
-	case <-x.due:
-		x.due = nil
+	case <-x.timer:
+		x.timer = nil
 		x.machine.Tick(x.clock.Now())
 	case <-ctx.Done():
 		x.machine.Abort(fault.Cancelled)
 	}
 }
 
-func (x *stageRun) event(event *peers.Event) {
+func (x *stageRun) handleEvent(event *peers.Event) {
 	now := x.clock.Now()
 	switch event.Kind {
 	case peers.EventFrame:
 		if event.Frame.Kind == wire.KindRefuse {
 			x.refused = true
-			x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
-			x.close(event.Try, trace.Refused, event.Frame.Refuse.Reason)
+			x.failedZone = x.attempts[event.Try].endpoint.AvailabilityZone
+			x.closeAttempt(event.Try, trace.Refused, event.Frame.Refuse.Reason)
 		}
 		x.machine.HandleFrame(now, event.Session, event.Try, event.Frame)
 	case peers.EventLost:
-		x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
+		x.failedZone = x.attempts[event.Try].endpoint.AvailabilityZone
 		x.machine.SessionLost(now, event.Try)
 	case peers.EventBack:
 		x.machine.SessionRestored(event.Try, event.Session)
@@ -136,19 +136,19 @@
 	}
 }
 
-// act carries out what the machine asks for.
-func (x *stageRun) act() {
+// runActions executes the pending actions of the machine.
+func (x *stageRun) runActions() {
 	for action, found := x.machine.Next(); found; action, found = x.machine.Next() {
 		switch action.Kind {
 		case stage.Send:
 			x.send(action)
 		case stage.Ask:
-			f := &x.flights[action.Attempt]
-			f.link.Ask(f.id, action.Offset)
+			a := &x.attempts[action.Attempt]
+			a.link.Ask(a.id, action.Offset)
 		case stage.Cancel:
-			x.withdraw(action.Attempt)
+			x.cancelAttempt(action.Attempt)
 		case stage.Ack:
-			x.ack(action.Attempt)
+			x.ackAttempt(action.Attempt)
 		case stage.Emit:
 			x.job.sink(action.Bytes)
 		case stage.Drop:
@@ -156,36 +156,37 @@
 		case stage.Hedged:
 			x.meter.Hedge(x.job.pool, action.Outcome)
 		case stage.Retried:
-			x.retry = action.Reason
+			x.retryReason = action.Reason
 		case stage.Finish, stage.Fail:
 		}
 	}
 }
 
-// ack ends an attempt whose end has arrived; one that was refused is closed
-// already.
-func (x *stageRun) ack(try int) {
-	f := &x.flights[try]
-	f.link.Ack(f.id)
-	x.close(try, trace.Answered, "")
+// ackAttempt acknowledges the end of an attempt. It has no effect on the record of
+// an attempt that was refused, because that is closed already.
+func (x *stageRun) ackAttempt(number int) {
+	a := &x.attempts[number]
+	a.link.Ack(a.id)
+	x.closeAttempt(number, trace.Answered, "")
 }
 
-func (x *stageRun) withdraw(try int) {
-	f := &x.flights[try]
-	f.link.Cancel(f.id)
-	x.close(try, trace.Withdrawn, "")
+// cancelAttempt cancels an attempt at its endpoint.
+func (x *stageRun) cancelAttempt(number int) {
+	a := &x.attempts[number]
+	a.link.Cancel(a.id)
+	x.closeAttempt(number, trace.Withdrawn, "")
 }
 
-// maxChoices bounds the endpoints that are looked at for one attempt.
-const maxChoices = 8
+// maxPicks is the maximum number of endpoints that are tried for one attempt.
+const maxPicks = 8
 
-// send chooses an endpoint for an attempt and sends it there.
+// send chooses an endpoint for an attempt and sends the call to it.
 func (x *stageRun) send(action stage.Action) {
-	x.flights = append(x.flights, flight{})
+	x.attempts = append(x.attempts, attempt{})
 	if action.AvoidZone {
-		x.avoid.Zone = x.faulty
+		x.avoid.Zone = x.failedZone
 	}
-	for range maxChoices {
+	for range maxPicks {
 		now := x.clock.Now()
 		endpoint := x.choose(now, action)
 		if endpoint == nil {
@@ -199,29 +200,30 @@
 	x.machine.NoTarget(action.Attempt)
 }
 
+// choose returns the endpoint for an attempt, nil if there is none.
 func (x *stageRun) choose(now clock.Millis, action stage.Action) *pool.Endpoint {
 	_, view := x.peers.View(x.job.pool)
 	if x.job.affine && action.Attempt == 0 && !x.baseline {
-		if preferred := x.member.Prefix.Prefer(now, view, x.job.prefix); preferred != nil {
+		if preferred := x.peerPool.Prefix.Prefer(now, view, x.job.prefix); preferred != nil {
 			return preferred
 		}
 	}
 	endpoint := x.picker.Pick(now, view, &x.avoid)
 	if endpoint == nil && !action.Hedge && !x.refused && action.Attempt > 0 {
-		// Every endpoint of a small pool was tried and given up as a straggler, and
-		// none has refused: all of them were slow for a moment. Were the request
-		// refused now, a short stall of the pool would fail requests that have
+		// Attempts at all endpoints of a small pool were cancelled as stragglers and
+		// none was refused, so all endpoints were slow for a moment. They are tried
+		// again: otherwise a short stall of the pool would fail requests that have
 		// most of their time left.
 		x.avoid = pick.Avoid{}
 		endpoint = x.picker.Pick(now, view, &x.avoid)
 	}
 	if action.Hedge && endpoint != nil && endpoint.Utilisation(now) > pick.Full {
-		return nil // a hedge must not push an endpoint over what it bears
+		return nil // a hedge must not overload an endpoint
 	}
 	return endpoint
 }
 
-// sendTo reports whether the attempt is on its way.
+// sendTo sends an attempt to an endpoint and reports whether it was sent.
 func (x *stageRun) sendTo(now clock.Millis, action stage.Action, endpoint *pool.Endpoint) bool {
 	link := x.peers.Link(endpoint)
 	if link == nil {
@@ -231,17 +233,17 @@
 	call.ID.Try = action.Attempt
 	call.Endpoint = endpoint.Name
 	call.TimeLeft = min(x.job.deadline, x.beganAt+x.job.plan.Limit) - now
-	// Noted before it is sent: the answer may come first.
-	x.flights[action.Attempt] = flight{id: call.ID, endpoint: endpoint, link: link, sentAt: now, open: true}
+	// Recorded before sending, because the answer may arrive before Call returns.
+	x.attempts[action.Attempt] = attempt{id: call.ID, endpoint: endpoint, link: link, sentAt: now, open: true}
 	session, err := link.Call(&call, x.box, action.Attempt)
 	if err != nil {
-		x.flights[action.Attempt] = flight{}
+		x.attempts[action.Attempt] = attempt{}
 		return false
 	}
 	endpoint.RecordSend()
-	if x.retry != "" {
-		x.meter.Retried.WithLabelValues(x.job.pool, string(x.retry)).Inc()
-		x.retry = ""
+	if x.retryReason != "" {
+		x.meter.Retried.WithLabelValues(x.job.pool, string(x.retryReason)).Inc()
+		x.retryReason = ""
 	}
 	x.job.record.Sent(trace.Attempt{
 		Stage: call.ID.Stage, Try: action.Attempt, Pool: x.job.pool, Endpoint: endpoint.Name,
@@ -251,33 +253,33 @@
 	return true
 }
 
-// close ends the interest in an attempt.
-func (x *stageRun) close(try int, state trace.State, reason fault.Reason) {
-	f := &x.flights[try]
-	if !f.open {
+// closeAttempt stops receiving frames for an attempt and records its outcome.
+func (x *stageRun) closeAttempt(number int, state trace.State, reason fault.Reason) {
+	a := &x.attempts[number]
+	if !a.open {
 		return
 	}
-	f.open = false
-	f.link.Forget(f.id)
+	a.open = false
+	a.link.Forget(a.id)
 	now := x.clock.Now()
 	switch state {
 	case trace.Answered:
-		f.endpoint.RecordAnswer(now, max(now-f.sentAt, 1))
+		a.endpoint.RecordAnswer(now, max(now-a.sentAt, 1))
 		if x.job.affine {
-			x.member.Prefix.Record(x.job.prefix, f.endpoint)
+			x.peerPool.Prefix.Record(x.job.prefix, a.endpoint)
 		}
 	case trace.Withdrawn:
-		f.endpoint.RecordCancel(now, now-f.sentAt)
+		a.endpoint.RecordCancel(now, now-a.sentAt)
 	default:
-		f.endpoint.RecordAnswer(now, 0)
+		a.endpoint.RecordAnswer(now, 0)
 	}
-	x.job.record.Ended(f.id.Stage, try, now, state, reason)
+	x.job.record.Ended(a.id.Stage, number, now, state, reason)
 }
 
-// settle ends the interest in all attempts that are left.
-func (x *stageRun) settle() {
-	x.stopDue()
-	for try := range x.flights {
-		x.close(try, trace.Withdrawn, "")
+// closeAll stops the timer and closes all attempts that are still open.
+func (x *stageRun) closeAll() {
+	x.stopTimer()
+	for number := range x.attempts {
+		x.closeAttempt(number, trace.Withdrawn, "")
 	}
 }
