--- a/internal/serve/deploy/deploy.go
+++ b/internal/serve/deploy/deploy.go
@@ -1,12 +1,13 @@
-// Package deploy carries out rollouts: operators order that a pool go to another
-// version of its endpoints, and the processes find out together whether the
-// version is sound.
+// Package deploy executes rollouts: operators order that a pool switches to another
+// version of its endpoints, and the processes decide together whether that version
+// is sound.
 //
-// Each process sends a part of its own requests to the candidate, counts the
-// answers of both versions, and judges the sums of all processes; see
-// route/canary. None asks another one on a request's path, and one that finds the
-// candidate bad stops by itself. The owner of a rollout alone records how it ends,
-// by conditional writes, so that two owners for a moment do no harm.
+// Each process sends a part of its requests to the candidate, counts the answers of
+// both versions and judges the sums over all processes; see route/canary. No process
+// queries another one while it handles a request, and a process that finds the
+// candidate bad stops using it by itself. Only the owner of a rollout, or a deputy if
+// the owner fails to, records the result. It uses conditional writes, so having two
+// owners for a short time is safe.
 package deploy
 
 import (
@@ -32,68 +33,68 @@
 )
 
 const (
-	// tickEvery is how often rollouts are judged and planned.
-	tickEvery = 100 * clock.Millis(1)
-	// firstPause and longestPause bound the pause after a write that failed.
-	firstPause   = 250 * clock.Millis(1)
-	longestPause = clock.Second
-	// writeTimeout bounds one write.
+	// tickInterval is how often rollouts are judged and planned.
+	tickInterval = 100 * clock.Millis(1)
+	// minWriteBackoff and maxWriteBackoff limit the delay after a failed write.
+	minWriteBackoff = 250 * clock.Millis(1)
+	maxWriteBackoff = clock.Second
+	// writeTimeout is the timeout of one write.
 	writeTimeout = clock.Second
 )
 
-// Codec is how a platform writes rollouts.
+// Codec encodes and decodes rollouts in the format of a platform.
 type Codec struct {
-	// DecodeFunc decodes an operator's order and what was recorded of it; no status
-	// has no state.
+	// DecodeFunc decodes an operator's order and its recorded status. The status has
+	// an empty state if none has been recorded.
 	DecodeFunc func(name string, order, status []byte) (canary.Order, canary.Status, error)
 	EncodeFunc func(canary.Status) ([]byte, error)
 }
 
-// Peers are the other processes, as a Controller sees them.
+// Peers gives a Controller access to the other processes.
 type Peers struct {
-	// OwnsFunc reports whether this process owns a subject, TrialsFunc returns the
-	// sums of what the others count.
+	// OwnsFunc reports whether this process owns a subject. TrialsFunc returns the
+	// sums of the counts of the other processes.
 	OwnsFunc   func(subject string) bool
 	TrialsFunc func() []wire.Trial
-	// UpToDateFunc reports whether these sums are new.
+	// UpToDateFunc reports whether these sums are current, not stale.
 	UpToDateFunc func() bool
 }
 
-// Controller carries out the rollouts of all pools.
+// Controller executes the rollouts of all pools.
 type Controller struct {
-	clock    *clock.Clock
-	log      *log.Logger
-	wall     func() int64
-	store    *store.Store
-	kind     string
-	codec    Codec
-	bounds   canary.Bounds
-	meter    *meter
-	peers    Peers
-	viewFunc func() *view.Snapshot
-	// setFunc puts in force which versions get work.
-	setFunc func([]view.Rollout)
-	// knownFunc reports whether a pool is in use, repeatsFunc whether requests of one
-	// of its routes may run again.
-	knownFunc   func(pool string) bool
-	repeatsFunc func(pool, route string) bool
+	clock     *clock.Clock
+	log       *log.Logger
+	wallClock func() int64
+	store     *store.Store
+	kind      string
+	codec     Codec
+	bounds    canary.Bounds
+	meter     *meter
+	peers     Peers
+	viewFunc  func() *view.Snapshot
+	// applyFunc sets which versions get requests.
+	applyFunc func([]view.Rollout)
+	// inUseFunc reports whether a pool is in use, repeatableFunc whether requests of
+	// one of its routes may be repeated.
+	inUseFunc      func(pool string) bool
+	repeatableFunc func(pool, route string) bool
 
 	running atomic.Pointer[map[string]*rollout]
 
 	mu sync.Mutex
-	// byName holds all orders that can be read, by the name of their object.
+	// byName holds the readable orders by the name of their object.
 	byName map[string]*rollout
 	listed bool
 }
 
-// Option changes a Controller while it is built.
+// Option configures a Controller.
 type Option func(*Controller)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(o *Controller) { o.clock = c } }
 
-// WithWallClock sets the wall clock, in milliseconds.
-func WithWallClock(wall func() int64) Option { return func(o *Controller) { o.wall = wall } }
+// WithWallClock sets the wall clock, which returns Unix milliseconds.
+func WithWallClock(now func() int64) Option { return func(o *Controller) { o.wallClock = now } }
 
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(o *Controller) { o.log = l } }
@@ -103,32 +104,33 @@
 	return func(o *Controller) { o.meter = newMeter(r) }
 }
 
-// WithBounds sets what a candidate may get before it is decided.
+// WithBounds sets the limits on what a candidate may get before the decision.
 func WithBounds(bounds canary.Bounds) Option { return func(o *Controller) { o.bounds = bounds } }
 
-// WithPeers sets the other processes.
+// WithPeers sets the access to the other processes.
 func WithPeers(peers Peers) Option { return func(o *Controller) { o.peers = peers } }
 
-// WithPools sets which pools are in use, and which of their routes' requests may
-// run again.
-func WithPools(known func(pool string) bool, repeats func(pool, route string) bool) Option {
-	return func(o *Controller) { o.knownFunc, o.repeatsFunc = known, repeats }
+// WithPools sets which pools are in use, and for which of their routes requests may
+// be repeated.
+func WithPools(inUse func(pool string) bool, repeatable func(pool, route string) bool) Option {
+	return func(o *Controller) { o.inUseFunc, o.repeatableFunc = inUse, repeatable }
 }
 
-// WithView sets the endpoints, and who puts in force which versions get work.
-func WithView(now func() *view.Snapshot, set func([]view.Rollout)) Option {
-	return func(o *Controller) { o.viewFunc, o.setFunc = now, set }
+// WithView sets the source of the endpoints, and the function that sets which
+// versions get requests.
+func WithView(snapshot func() *view.Snapshot, apply func([]view.Rollout)) Option {
+	return func(o *Controller) { o.viewFunc, o.applyFunc = snapshot, apply }
 }
 
 // New returns a controller of the rollouts that a store holds as objects of one
-// kind. Run sets it to work.
-func New(kind string, in *store.Store, codec Codec, opts ...Option) *Controller {
+// kind. The caller must call Run.
+func New(kind string, s *store.Store, codec Codec, opts ...Option) *Controller {
 	c := &Controller{
-		kind: kind, store: in, codec: codec, clock: clock.New(), log: log.New(io.Discard), byName: make(map[string]*rollout),
-		wall:     func() int64 { return time.Now().UnixMilli() },
-		meter:    newMeter(prometheus.NewRegistry()),
-		viewFunc: func() *view.Snapshot { return nil }, setFunc: func([]view.Rollout) {},
-		knownFunc: func(string) bool { return true }, repeatsFunc: func(string, string) bool { return false },
+		kind: kind, store: s, codec: codec, clock: clock.New(), log: log.New(io.Discard), byName: make(map[string]*rollout),
+		wallClock: func() int64 { return time.Now().UnixMilli() },
+		meter:     newMeter(prometheus.NewRegistry()),
+		viewFunc:  func() *view.Snapshot { return nil }, applyFunc: func([]view.Rollout) {},
+		inUseFunc: func(string) bool { return true }, repeatableFunc: func(string, string) bool { return false },
 		peers: Peers{
 			OwnsFunc: func(string) bool { return true }, TrialsFunc: func() []wire.Trial { return nil },
 			UpToDateFunc: func() bool { return true },
@@ -141,41 +143,41 @@
 	return c
 }
 
-// List takes all orders as the store lists them.
+// List replaces all orders with those that the store lists.
 func (c *Controller) List(objects []store.Object, _ clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	there := make(map[string]bool, len(objects))
+	present := make(map[string]bool, len(objects))
 	for _, object := range objects {
-		there[object.Name] = true
-		c.put(object, !c.listed)
+		present[object.Name] = true
+		c.putOrder(object, !c.listed)
 	}
 	for name := range c.byName {
-		if !there[name] {
-			c.remove(name)
+		if !present[name] {
+			c.removeOrder(name)
 		}
 	}
 	c.listed = true
-	c.publish()
+	c.apply()
 }
 
-// Change takes orders that were written or removed.
+// Change processes orders that were written or deleted.
 func (c *Controller) Change(changes []store.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes {
 		if change.Deleted {
-			c.remove(change.Object.Name)
+			c.removeOrder(change.Object.Name)
 			continue
 		}
-		c.put(change.Object, false)
+		c.putOrder(change.Object, false)
 	}
-	c.publish()
+	c.apply()
 }
 
-// put takes one order, and whether it may be older than this process; the caller
-// holds the lock.
-func (c *Controller) put(object store.Object, old bool) {
+// putOrder adds or updates one order. If mayPredate is set, the order may be older
+// than this process. The caller holds the lock.
+func (c *Controller) putOrder(object store.Object, mayPredate bool) {
 	known := c.byName[object.Name]
 	if known != nil && known.revision >= object.Version {
 		return
@@ -185,13 +187,13 @@
 	if err != nil {
 		c.meter.event(name, "unreadable")
 		c.log.Warn("rollout ignored", "pool", name, "revision", object.Version, logs.KeyError, err)
-		c.remove(object.Name)
+		c.removeOrder(object.Name)
 		return
 	}
 	if known == nil || known.order != order {
 		known = newRollout(object.Name, order, c.clock.Now())
-		if old && status.Order == order && status.State == canary.Running {
-			since := clock.Millis(c.wall() - status.StartedAt)
+		if mayPredate && status.Order == order && status.State == canary.Running {
+			since := clock.Millis(c.wallClock() - status.StartedAt)
 			known.began -= min(max(since, 0), order.Duration)
 			known.restarted = true
 		}
@@ -200,7 +202,7 @@
 			"revision", object.Version, "state", string(status.State))
 	}
 	if status.Order != order {
-		// It is of an order before this one. What that came to is in force.
+		// The status belongs to an earlier order, whose result is in force.
 		previous := status.Previous
 		if status.State == canary.Completed {
 			previous = status.Version
@@ -215,46 +217,48 @@
 	known.status, known.revision = status, object.Version
 }
 
-// remove forgets an order; the caller holds the lock.
-func (c *Controller) remove(name string) {
+// removeOrder removes an order. The caller holds the lock.
+func (c *Controller) removeOrder(name string) {
 	if known := c.byName[name]; known != nil {
 		delete(c.byName, name)
 		c.log.Info("rollout removed", "pool", known.order.Pool, "version", known.order.Version)
 	}
 }
 
-// publish puts the rollouts in force; the caller holds the lock.
-func (c *Controller) publish() {
+// apply makes the current state of all rollouts effective. The caller holds the
+// lock.
+func (c *Controller) apply() {
 	running := make(map[string]*rollout)
 	var all []view.Rollout
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		r := c.byName[name]
-		own := view.Rollout{
+		state := view.Rollout{
 			Pool: r.order.Pool, Version: r.order.Version, Previous: r.status.Previous,
 			Completed: r.status.State == canary.Completed, Canary: r.status.State == canary.Running && !r.suspended.Load(),
 		}
-		all = append(all, own)
+		all = append(all, state)
 		if r.status.State == canary.Running {
 			running[r.order.Pool] = r
 		}
 	}
 	c.running.Store(&running)
-	c.setFunc(all)
+	c.applyFunc(all)
 }
 
-// of returns the rollout of a pool that is running, nil for none. A nil Controller
-// has none.
-func (c *Controller) of(pool string) *rollout {
+// runningRollout returns the running rollout of a pool, nil if there is none. A nil
+// Controller has none.
+func (c *Controller) runningRollout(pool string) *rollout {
 	if c == nil {
 		return nil
 	}
 	return (*c.running.Load())[pool]
 }
 
-// DrawCandidate reports whether a new request is to be tried at the candidate version.
+// DrawCandidate decides at random whether a new request goes to the candidate
+// version, with the planned share as probability.
 func (c *Controller) DrawCandidate(pool, route string) bool {
-	r := c.of(pool)
-	if r == nil || r.suspended.Load() || !r.inTouch.Load() {
+	r := c.runningRollout(pool)
+	if r == nil || r.suspended.Load() || !r.upToDate.Load() {
 		return false
 	}
 	share := r.plan.Load().Share(route)
@@ -263,30 +267,30 @@
 
 // Promoted reports whether all new requests of a route go to the candidate.
 func (c *Controller) Promoted(pool, route string) bool {
-	r := c.of(pool)
-	return r != nil && !r.suspended.Load() && r.inTouch.Load() && r.plan.Load().Share(route) >= 1
+	r := c.runningRollout(pool)
+	return r != nil && !r.suspended.Load() && r.upToDate.Load() && r.plan.Load().Share(route) >= 1
 }
 
-// ActiveCandidates returns the endpoints among some of the candidate version that requests
-// are tried at now.
+// ActiveCandidates returns those of the candidate endpoints that currently get the
+// candidate's share of the requests.
 func (c *Controller) ActiveCandidates(pool string, candidates []*view.Endpoint) []*view.Endpoint {
-	r := c.of(pool)
+	r := c.runningRollout(pool)
 	if r == nil || len(candidates) == 0 {
 		return nil
 	}
-	tried := canary.ActiveEndpoints(r.plan.Load().DefaultShare, len(candidates))
-	first := canary.FirstActive(c.clock.Since(r.began), tried, len(candidates))
-	some := make([]*view.Endpoint, 0, tried)
-	for i := range tried {
-		some = append(some, candidates[(first+i)%len(candidates)])
+	count := canary.ActiveEndpoints(r.plan.Load().DefaultShare, len(candidates))
+	first := canary.FirstActive(c.clock.Since(r.began), count, len(candidates))
+	active := make([]*view.Endpoint, 0, count)
+	for i := range count {
+		active = append(active, candidates[(first+i)%len(candidates)])
 	}
-	return some
+	return active
 }
 
-// Begin counts requests that are sent to an endpoint of a pool and are expected to
-// take so long, in milliseconds. It returns nil if no rollout of the pool runs.
+// Begin counts requests sent to an endpoint of a pool. The expected duration is in
+// milliseconds. It returns nil if the pool has no running rollout.
 func (c *Controller) Begin(e *view.Endpoint, route string, count int64, expected float64) *Attempt {
-	r := c.of(e.Pool)
+	r := c.runningRollout(e.Pool)
 	if r == nil {
 		return nil
 	}
@@ -295,7 +299,7 @@
 		key.Candidate, key.Endpoint = true, e.ID
 	}
 	now := c.clock.Now()
-	a := &Attempt{controller: c, rollout: r, key: key, began: now, expected: expected, fresh: e.Cold(now) || now-e.Joined < warmUp}
+	a := &Attempt{controller: c, rollout: r, key: key, began: now, expected: expected, warmingUp: e.Cold(now) || now-e.Joined < warmUpTime}
 	r.counter(key).sent.Add(count)
 	if key.Candidate {
 		c.meter.sent(key.Pool, key.Version)
@@ -304,7 +308,7 @@
 	return a
 }
 
-// Trials returns what this process has counted.
+// Trials returns the counts of this process.
 func (c *Controller) Trials() []wire.Trial {
 	var all []wire.Trial
 	now := c.clock.Now()
@@ -314,16 +318,16 @@
 	return all
 }
 
-// Run judges, plans and records until the context ends.
+// Run judges and plans rollouts and records their states until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	for c.clock.Sleep(ctx, tickEvery) == nil {
-		for _, r := range c.all() {
+	for c.clock.Sleep(ctx, tickInterval) == nil {
+		for _, r := range c.allRollouts() {
 			c.tick(ctx, r)
 		}
 	}
 }
 
-func (c *Controller) all() []*rollout {
+func (c *Controller) allRollouts() []*rollout {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Values(c.byName))
--- a/internal/serve/deploy/meter.go
+++ b/internal/serve/deploy/meter.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// meter counts what becomes of rollouts.
+// meter holds the counters of a Controller.
 type meter struct {
 	events   *prometheus.CounterVec
 	requests *prometheus.CounterVec
--- a/internal/serve/deploy/record.go
+++ b/internal/serve/deploy/record.go
@@ -11,8 +11,8 @@
 	"github.com/jujubescale/jujubescale/internal/route/canary"
 )
 
-// tick judges and plans one rollout, and records its next state if this process
-// owns it.
+// tick judges and plans one rollout, and records its next state if this process may
+// do so.
 func (c *Controller) tick(ctx context.Context, r *rollout) {
 	c.mu.Lock()
 	status, revision := r.status, r.revision
@@ -23,7 +23,7 @@
 	case canary.Completed, canary.RolledBack:
 		return
 	}
-	next, due := c.next(r, status)
+	next, due := c.nextStatus(r, status)
 	now := c.clock.Now()
 	if !due || next.State != r.dueState {
 		r.dueState, r.dueSince = "", now
@@ -31,51 +31,54 @@
 			r.dueState = next.State
 		}
 	}
-	if !due || now < r.next || !c.records(r.order.Pool, now-r.dueSince) {
+	if !due || now < r.nextWrite || !c.mayRecord(r.order.Pool, now-r.dueSince) {
 		return
 	}
 	c.record(ctx, r, next, revision)
 }
 
 const (
-	// deputies is how many processes record a state if the owner of a rollout does
-	// not, deputyAfter the time that each waits for the one before: it may have ended
-	// just before the deadline.
-	deputies    = 2
-	deputyAfter = 150 * clock.Millis(1)
+	// maxDeputies is how many processes may record a state in place of the owner of
+	// a rollout. Each waits deputyDelay longer than the one before, because the
+	// process that should have recorded the state may have ended just before the
+	// deadline of the order.
+	maxDeputies = 2
+	deputyDelay = 150 * clock.Millis(1)
 )
 
-// records reports whether this process records a state that has been due so long:
-// as the owner of the rollout, or as a deputy.
-func (c *Controller) records(pool string, due clock.Millis) bool {
-	for rank := range clock.Millis(deputies + 1) {
-		if due >= rank*deputyAfter && c.peers.OwnsFunc(Subject(pool, int(rank))) {
+// mayRecord reports whether this process records a state that has been due for the
+// given time: the owner at once, deputies later.
+func (c *Controller) mayRecord(pool string, dueFor clock.Millis) bool {
+	for rank := range clock.Millis(maxDeputies + 1) {
+		if dueFor >= rank*deputyDelay && c.peers.OwnsFunc(Subject(pool, int(rank))) {
 			return true
 		}
 	}
 	return false
 }
 
-// Subject names a rollout where its owner is chosen, rank 0, or a deputy.
+// Subject returns the subject for which the owner of a rollout (rank 0) or one of
+// its deputies is chosen.
 func Subject(pool string, rank int) string { return fmt.Sprintf("rollout/%s/%d", pool, rank) }
 
-// judge takes the newest counts of all processes.
+// judge updates the verdict and the plan of a rollout from the current counts of all
+// processes.
 func (c *Controller) judge(r *rollout) {
 	now := c.clock.Now()
 	evidence := canary.NewEvidence(r.order, r.trials(now), c.peers.TrialsFunc())
-	r.inTouch.Store(c.peers.UpToDateFunc())
+	r.upToDate.Store(c.peers.UpToDateFunc())
 	verdict := r.judge.Observe(evidence, now)
 	if (verdict.Bad || evidence.Suspended) && !r.suspended.Swap(true) {
 		c.meter.event(r.order.Pool, "suspended")
 		c.log.Info("rollout suspended", "pool", r.order.Pool, "version", r.order.Version, "judged", verdict.Bad,
 			"reason", verdict.String(), "elapsedMs", int64(now-r.began))
 		c.mu.Lock()
-		c.publish()
+		c.apply()
 		c.mu.Unlock()
 	}
-	plan := canary.NewPlan(r.order, c.bounds, evidence, now-r.began, func(route string) bool { return c.repeatsFunc(r.order.Pool, route) })
+	plan := canary.NewPlan(r.order, c.bounds, evidence, now-r.began, func(route string) bool { return c.repeatableFunc(r.order.Pool, route) })
 	if r.decided {
-		// The decision stands, even if the bounds no longer allow the requests.
+		// The decision stays in force even if the bounds no longer allow the requests.
 		plan = &canary.Plan{DefaultShare: 1, Promoting: true, Due: true}
 	}
 	r.decided = r.decided || (plan.Due && !plan.OverBudget)
@@ -85,21 +88,21 @@
 		r.judge.JudgeFailuresOnly()
 		sent, candidate, answers := evidence.Totals()
 		stableTimes, candidateTimes := evidence.MedianRatios()
-		c.log.Info("rollout promoting", "pool", r.order.Pool, "version", r.order.Version, "elapsedMs", int64(now-r.began),
+		c.log.Info("rollout promotion started", "pool", r.order.Pool, "version", r.order.Version, "elapsedMs", int64(now-r.began),
 			"sent", sent, "candidate", candidate, "answers", answers, "stableTimes", stableTimes, "candidateTimes", candidateTimes)
 	}
 }
 
-// next returns the state that is to be recorded now, and whether any is.
-func (c *Controller) next(r *rollout, status canary.Status) (canary.Status, bool) {
+// nextStatus returns the status to record next, and whether it is due.
+func (c *Controller) nextStatus(r *rollout, status canary.Status) (canary.Status, bool) {
 	elapsed := c.clock.Since(r.began)
 	next := canary.Status{
-		Order: r.order, Previous: status.Previous, State: canary.Running, StartedAt: c.wall() - int64(elapsed), Earlier: status.Earlier,
+		Order: r.order, Previous: status.Previous, State: canary.Running, StartedAt: c.wallClock() - int64(elapsed), Earlier: status.Earlier,
 	}
 	if status.State == "" {
-		previous, refusal := c.previous(r, status)
+		previous, refusal := c.previousVersion(r, status)
 		if refusal != "" {
-			c.refuse(r, refusal)
+			c.logRefusal(r, refusal)
 			return next, false
 		}
 		next.Previous = previous
@@ -132,38 +135,39 @@
 	return next, true
 }
 
-// previous returns the version that an order replaces, or why it is not begun.
-func (c *Controller) previous(r *rollout, status canary.Status) (version, refusal string) {
-	if !c.knownFunc(r.order.Pool) {
-		return "", "no configuration names the pool"
+// previousVersion returns the version that an order replaces, or the reason why the
+// order isn't started.
+func (c *Controller) previousVersion(r *rollout, status canary.Status) (version, refusal string) {
+	if !c.inUseFunc(r.order.Pool) {
+		return "", "no configuration uses the pool"
 	}
 	if status.Previous != "" && status.Previous != r.order.Version {
 		return status.Previous, ""
 	}
 	version = c.viewFunc().Version(r.order.Pool)
 	if version == r.order.Version {
-		return "", "the version is in force"
+		return "", "the version is already in force"
 	}
 	return version, ""
 }
 
-// refuse logs once why an order is not begun.
-func (c *Controller) refuse(r *rollout, why string) {
+// logRefusal logs once why an order isn't started.
+func (c *Controller) logRefusal(r *rollout, reason string) {
 	if r.refused {
 		return
 	}
 	r.refused = true
 	c.meter.event(r.order.Pool, "refused")
-	c.log.Warn("rollout not begun", "pool", r.order.Pool, "version", r.order.Version, "reason", why)
+	c.log.Warn("rollout not started", "pool", r.order.Pool, "version", r.order.Version, "reason", reason)
 }
 
-// record writes a state. Whether a write took effect that got no answer shows
-// when the next one meets a newer revision.
+// record writes a status. If a write got no answer, the next write shows whether it
+// took effect: it then meets a newer revision.
 func (c *Controller) record(ctx context.Context, r *rollout, status canary.Status, revision uint64) {
 	value, err := c.codec.EncodeFunc(status)
 	if err != nil {
 		c.log.Error("rollout state not encoded", "pool", r.order.Pool, logs.KeyError, err)
-		r.next = c.clock.Now() + longestPause
+		r.nextWrite = c.clock.Now() + maxWriteBackoff
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
@@ -173,12 +177,12 @@
 	if errors.As(err, &conflict) && conflict.Current.Version > revision {
 		object = conflict.Current
 	} else if err != nil {
-		r.pause = min(max(2*r.pause, firstPause), longestPause)
-		r.next = c.clock.Now() + r.pause
+		r.writeBackoff = min(max(2*r.writeBackoff, minWriteBackoff), maxWriteBackoff)
+		r.nextWrite = c.clock.Now() + r.writeBackoff
 		c.log.Info("rollout state not recorded yet", "pool", r.order.Pool, "state", string(status.State), "revision", revision, logs.KeyError, err)
 		return
 	}
-	r.pause, r.next = 0, c.clock.Now()+firstPause
+	r.writeBackoff, r.nextWrite = 0, c.clock.Now()+minWriteBackoff
 	if object.Version > revision && len(object.Value) > 0 {
 		c.Change([]store.Change{{Object: object}})
 	}
--- a/internal/serve/deploy/rollout.go
+++ b/internal/serve/deploy/rollout.go
@@ -10,40 +10,42 @@
 )
 
 const (
-	// warmUp is how long an endpoint that has just started is slow without being bad.
-	warmUp = 3 * clock.Second
-	// overdue is how many times longer than expected a request takes that counts as
-	// slow before it has ended.
-	overdue = 3.0
+	// warmUpTime is how long an endpoint that has just started may be slow without
+	// being considered bad.
+	warmUpTime = 3 * clock.Second
+	// overdueFactor is the ratio of elapsed to expected duration from which on an
+	// open request counts as slow.
+	overdueFactor = 3.0
 )
 
-// rollout is one order and what this process knows of it.
+// rollout is one order and its state in this process.
 type rollout struct {
 	name  string
 	order canary.Order
 	began clock.Millis
-	// restarted says that the order was running when this process started.
+	// restarted is set if the order was already running when this process started.
 	restarted bool
-	// status and revision are as recorded last; the controller's lock guards them.
+	// status and revision are as last recorded. The lock of the controller guards
+	// them.
 	status   canary.Status
 	revision uint64
 
-	// judge and what follows up to promoting is used by Run only. Pause and next
-	// space writes that fail.
-	judge canary.Judge
-	pause clock.Millis
-	next  clock.Millis
-	// dueState is the state that is to be recorded, and dueSince since when.
+	// Only Run uses the fields from here to decided. writeBackoff and nextWrite
+	// delay the next write after a failure.
+	judge        canary.Judge
+	writeBackoff clock.Millis
+	nextWrite    clock.Millis
+	// dueState is the state that is to be recorded, dueSince the instant since when.
 	dueState canary.State
 	dueSince clock.Millis
-	// refused and promoting are set once the log has the reason for not beginning the
-	// order, or the begin of the promotion. decided is set once the order is due and
-	// the candidate was not found bad.
+	// refused is set once the log contains the reason why the order isn't started,
+	// and promoting once it contains the start of the promotion. decided is set once
+	// the order is due and the candidate got no more requests than allowed.
 	refused, promoting, decided bool
 
 	plan      atomic.Pointer[canary.Plan]
 	suspended atomic.Bool
-	inTouch   atomic.Bool
+	upToDate  atomic.Bool
 	counters  sync.Map // wire.TrialKey to *counter
 	open      sync.Map // *Attempt to struct{}
 }
@@ -54,10 +56,10 @@
 	return r
 }
 
-// counter counts the answers of one key.
+// counter counts the requests and answers of one key.
 type counter struct {
 	sent, answers, failed, took atomic.Int64
-	spread                      [canary.Buckets]atomic.Int64
+	histogram                   [canary.Buckets]atomic.Int64
 }
 
 func (r *rollout) counter(key wire.TrialKey) *counter {
@@ -68,7 +70,7 @@
 	return known.(*counter)
 }
 
-// trials returns all counts, with the requests that are overdue as slow answers.
+// trials returns all counts. Open requests that are overdue count as slow answers.
 func (r *rollout) trials(now clock.Millis) []wire.Trial {
 	byKey := make(map[wire.TrialKey]wire.Trial)
 	r.counters.Range(func(key, value any) bool {
@@ -77,10 +79,10 @@
 	})
 	r.open.Range(func(key, _ any) bool {
 		a := key.(*Attempt)
-		if times := a.times(now); times >= overdue && !a.fresh {
-			spread := make([]int64, canary.Buckets)
-			spread[canary.Bucket(times)] = 1
-			byKey[a.key] = byKey[a.key].Plus(wire.Trial{Answers: 1, Spread: spread})
+		if ratio := a.durationRatio(now); ratio >= overdueFactor && !a.warmingUp {
+			histogram := make([]int64, canary.Buckets)
+			histogram[canary.Bucket(ratio)] = 1
+			byKey[a.key] = byKey[a.key].Plus(wire.Trial{Answers: 1, Spread: histogram})
 		}
 		return true
 	})
@@ -99,37 +101,38 @@
 func (c *counter) trial(key wire.TrialKey) wire.Trial {
 	trial := wire.Trial{TrialKey: key, Sent: c.sent.Load(), Answers: c.answers.Load(), Failed: c.failed.Load(), Took: c.took.Load()}
 	last := -1
-	for class := range c.spread {
-		if c.spread[class].Load() > 0 {
-			last = class
+	for bucket := range c.histogram {
+		if c.histogram[bucket].Load() > 0 {
+			last = bucket
 		}
 	}
-	for class := range last + 1 {
-		trial.Spread = append(trial.Spread, c.spread[class].Load())
+	for bucket := range last + 1 {
+		trial.Spread = append(trial.Spread, c.histogram[bucket].Load())
 	}
 	return trial
 }
 
-// Attempt is a request under way to an endpoint of a pool with a rollout. A nil
-// Attempt counts nothing.
+// Attempt is an open request to an endpoint of a pool with a rollout. The methods of
+// a nil Attempt do nothing.
 type Attempt struct {
 	controller *Controller
 	rollout    *rollout
 	key        wire.TrialKey
 	began      clock.Millis
 	expected   float64
-	// fresh is set if the endpoint has just started; its durations are not counted.
-	fresh bool
-	once  sync.Once
+	// warmingUp is set if the endpoint has just started. Its durations aren't
+	// counted.
+	warmingUp bool
+	once      sync.Once
 }
 
-// times returns how many times as long as expected the request has taken.
-func (a *Attempt) times(now clock.Millis) float64 {
+// durationRatio returns the ratio of elapsed to expected duration.
+func (a *Attempt) durationRatio(now clock.Millis) float64 {
 	return float64(now-a.began) / max(a.expected, 1)
 }
 
-// RecordAnswer counts the answer: whether it is a failure of the endpoint. Only the
-// first call counts.
+// RecordAnswer counts the answer, as a failure of the endpoint if failed is set.
+// Only the first call has an effect.
 func (a *Attempt) RecordAnswer(failed bool) {
 	if a == nil {
 		return
@@ -149,33 +152,35 @@
 		if a.key.Candidate {
 			a.controller.meter.failed(a.key.Pool, a.key.Version)
 		}
-	case !a.fresh:
-		c.spread[canary.Bucket(a.times(now))].Add(1)
+	case !a.warmingUp:
+		c.histogram[canary.Bucket(a.durationRatio(now))].Add(1)
 	}
 }
 
-// RecordBreak counts an answer that broke off, also after it was counted as begun.
+// RecordBreak counts an interrupted answer as a failure, even if the beginning of
+// the answer has already been counted.
 func (a *Attempt) RecordBreak() {
 	if a == nil {
 		return
 	}
-	begun := true
+	counted := true
 	a.once.Do(func() {
-		begun = false
+		counted = false
 		a.count(true)
 	})
-	if begun {
+	if counted {
 		a.count(true)
 	}
 }
 
-// RecordCancel ends a request whose caller left. One that was overdue counts as slow.
+// RecordCancel ends a request whose caller has left. It counts as a slow answer if
+// it was overdue, otherwise not at all.
 func (a *Attempt) RecordCancel() {
 	if a == nil {
 		return
 	}
 	a.once.Do(func() {
-		if a.times(a.controller.clock.Now()) >= overdue {
+		if a.durationRatio(a.controller.clock.Now()) >= overdueFactor {
 			a.count(false)
 			return
 		}
@@ -183,26 +188,29 @@
 	})
 }
 
-// RecordPauses counts the mean pause between the events of a stream as an answer of its
-// own: an endpoint may begin in time and go on slowly.
+// RecordPauses counts the mean pause between the events of a stream, in
+// milliseconds, as a separate answer, because an endpoint may begin an answer in
+// time and continue slowly.
 func (a *Attempt) RecordPauses(mean float64) {
-	if a == nil || a.fresh {
+	if a == nil || a.warmingUp {
 		return
 	}
 	key := a.key
-	key.Route += pausesOf
+	key.Route += pausesSuffix
 	c := a.rollout.counter(key)
 	c.answers.Add(1)
-	c.spread[canary.Bucket(mean/pauseUnit)].Add(1)
+	c.histogram[canary.Bucket(mean/expectedPauseMs)].Add(1)
 }
 
-// DefaultExpectedMs stands for the expected duration of answers where none is known, in
-// milliseconds: any will do that puts them into the middle classes.
+// DefaultExpectedMs is the expected duration of answers for which none is known, in
+// milliseconds. Its only requirement is that typical answers fall into the middle
+// buckets of the histogram.
 const DefaultExpectedMs = 16.0
 
 const (
-	// pausesOf follows the name of a route whose streams' pauses are counted.
-	pausesOf = " pauses"
-	// pauseUnit is DefaultExpectedMs for pauses.
-	pauseUnit = 16.0
+	// pausesSuffix is appended to the name of a route to count the pauses of its
+	// streams.
+	pausesSuffix = " pauses"
+	// expectedPauseMs is the equivalent of DefaultExpectedMs for pauses.
+	expectedPauseMs = 16.0
 )
