--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -25,7 +25,7 @@
 	job := g.host.Submit(pieces, reply.FetchedFunc, func(outcome host.Outcome) {
 		g.jobs.Delete(key)
 		g.delivered.add(from, pieces, outcome, g.Clock.Now())
-		reply.MadeFunc(outcome.Made())
+		reply.MadeFunc(outcome.Message())
 	})
 	g.jobs.CompareAndSwap(key, (*host.Job)(nil), job)
 }
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -140,7 +140,7 @@
 	})
 	g.mesh = mesh.New(ctx, mesh.Member{Name: g.Name, Address: g.Address, Incarnation: g.incarnation, Zone: g.Zone, Capacity: g.Capacity},
 		mesh.WithClock(g.Clock), mesh.WithLog(g.Log), mesh.WithPieces(g.acceptPieces, g.cancelPieces),
-		mesh.WithUnused(g.host.Unused),
+		mesh.WithUnused(g.host.MarkUnused),
 		mesh.WithLoads(g.collectLoads, g.setPeerWork), mesh.WithPrefixes(g.gate.AddPeerPrefixes), mesh.WithRefused(g.gate.AddPeerRefusals),
 		mesh.WithCrashes(g.gate.AddPeerCrashes),
 		mesh.WithLost(g.abandonRequests, g.reclaimResults), mesh.WithIgnored(g.meter.countIgnored), mesh.WithFollower(g.follower()),
@@ -164,7 +164,7 @@
 		deploy.WithPools(g.knowsPool, g.isRepeatable),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
-			InTouchFunc: func() bool { return g.mesh.InTouch() },
+			UpToDateFunc: func() bool { return g.mesh.InTouch() },
 		}))
 }
 
