--- a/internal/bench/trial/system.go
+++ b/internal/bench/trial/system.go
@@ -19,7 +19,7 @@
 func Baseline() System {
 	return System{Name: "baseline", Options: []whole.Option{
 		whole.WithEntryOptions(entry.WithRuns(runs.WithBaseline())),
-		whole.WithAgentOptions(agent.WithBaseline()),
+		whole.WithAgentOptions(agent.WithoutLimits()),
 	}}
 }
 
--- a/internal/cli/daemon/agent.go
+++ b/internal/cli/daemon/agent.go
@@ -91,7 +91,7 @@
 		Pool: r.settings.Pool, Endpoint: r.settings.Endpoint, Kind: manif.StageKind(r.settings.Kind),
 		EndpointURL: r.settings.EndpointURL, EndpointIdle: r.settings.EndpointKeepMs,
 	}, agent.WithClock(r.Clock), agent.WithLog(r.Log), agent.WithHolder(r.Holder), agent.WithRegisterer(r.Registry),
-		agent.WithQueue(r.settings.MaxQueued), agent.WithKept(int(r.settings.MaxKeptBytes)), agent.WithSessions(r.settings.MaxSessions),
+		agent.WithMaxQueued(r.settings.MaxQueued), agent.WithKeptBytes(int(r.settings.MaxKeptBytes)), agent.WithMaxSessions(r.settings.MaxSessions),
 		agent.WithOrders(r.Platform, agent.DefaultWeightSlots))
 	return nil
 }
--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -119,23 +119,25 @@
 // WithRegisterer sets where the metrics are registered.
 func WithRegisterer(r prometheus.Registerer) Option { return func(a *Agent) { a.registerer = r } }
 
-// WithQueue bounds the waiting work.
-func WithQueue(bound int) Option { return func(a *Agent) { a.queue = bound } }
+// WithMaxQueued bounds the waiting work.
+func WithMaxQueued(bound int) Option { return func(a *Agent) { a.queue = bound } }
 
-// WithBaseline is the kept baseline of measurements: no limits, no queue, and
+// WithoutLimits is the kept baseline of measurements: no limits, no queue, and
 // no early refusals.
-func WithBaseline() Option {
+func WithoutLimits() Option {
 	return func(a *Agent) { a.gateOptions = append(a.gateOptions, admit.WithoutLimits()) }
 }
 
-// WithKept bounds the memory for answers that nobody has acknowledged yet, in bytes.
-func WithKept(bytes int) Option { return func(a *Agent) { a.keep = keep.New(keep.WithBound(bytes)) } }
+// WithKeptBytes bounds the memory for answers that nobody has acknowledged yet, in bytes.
+func WithKeptBytes(bytes int) Option {
+	return func(a *Agent) { a.keep = keep.New(keep.WithBound(bytes)) }
+}
 
-// WithSessions bounds the sessions that are served at once.
-func WithSessions(most int) Option { return func(a *Agent) { a.maxSessions = most } }
+// WithMaxSessions bounds the sessions that are served at once.
+func WithMaxSessions(most int) Option { return func(a *Agent) { a.maxSessions = most } }
 
-// WithPolls sets the span between two readings of the endpoint's load report.
-func WithPolls(interval clock.Millis) Option { return func(a *Agent) { a.interval = interval } }
+// WithPollInterval sets the span between two readings of the endpoint's load report.
+func WithPollInterval(interval clock.Millis) Option { return func(a *Agent) { a.interval = interval } }
 
 // New returns an agent that has begun to watch its endpoint. Call Shutdown or
 // Close to end it.
--- a/internal/serve/agent/harness_test.go
+++ b/internal/serve/agent/harness_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	a := agent.New(agent.Settings{
 		Process: "agent", Pool: "p", Endpoint: "e", Kind: kind, EndpointURL: endpoint, AvailabilityZone: "za",
-	}, append([]agent.Option{agent.WithLog(log.New(io.Discard)), agent.WithPolls(10), agent.WithHolder(holderOf(kind, 2, 8))}, opts...)...)
+	}, append([]agent.Option{agent.WithLog(log.New(io.Discard)), agent.WithPollInterval(10), agent.WithHolder(holderOf(kind, 2, 8))}, opts...)...)
 	server := httptest.NewServer(a.Handler())
 	t.Cleanup(func() { a.Close(); server.CloseClientConnections(); server.Close() })
 	return a, strings.TrimPrefix(server.URL, "http://")
--- a/internal/serve/agent/stop.go
+++ b/internal/serve/agent/stop.go
@@ -12,8 +12,8 @@
 // entries to take the answers and close their sessions.
 const lingerMost = 2 * clock.Second
 
-// Stopped says how a planned stop went.
-type Stopped struct {
+// StopResult says how a planned stop went.
+type StopResult struct {
 	// Cut names the attempts that were ended because time ran out.
 	Cut []string
 	// Unacknowledged is how many answers were still kept at the end.
@@ -23,8 +23,8 @@
 // Shutdown is a planned stop: it takes no new work, hands waiting work back as
 // not run, lets running work end and its answers be fetched, and then closes.
 // What still runs when the context ends is cut and reported.
-func (a *Agent) Shutdown(ctx context.Context) Stopped {
-	a.Hold(drain.CauseLeaving, true)
+func (a *Agent) Shutdown(ctx context.Context) StopResult {
+	a.SetCause(drain.CauseLeaving, true)
 	a.awaitHeard(ctx)
 	a.mu.Lock()
 	a.noteIdle()
@@ -33,7 +33,7 @@
 	case <-a.idle:
 	case <-ctx.Done():
 	}
-	stopped := Stopped{Cut: a.cutRest()}
+	stopped := StopResult{Cut: a.cutRest()}
 	stopped.Unacknowledged = a.linger(ctx)
 	a.end(errCut)
 	a.log.Info("agent stopped", "endpoint", a.settings.Endpoint,
--- a/internal/serve/agent/stop_test.go
+++ b/internal/serve/agent/stop_test.go
@@ -27,7 +27,7 @@
 	until(t, "two run", func() bool { return e.Slots.State().Running == 2 })
 	waiting := p.send(wire.Call{Idempotent: true})
 	assert.Equal(t, p.ask(waiting, 0, 0), wire.StateQueued)
-	stopped := make(chan agent.Stopped)
+	stopped := make(chan agent.StopResult)
 	go func() { stopped <- a.Shutdown(context.Background()) }()
 	refuse := p.refusal(waiting)
 	assert.Equal(t, refuse.Reason, fault.Leaving)
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -102,9 +102,9 @@
 	a.gate.SetLimits(pool.ColdLimit, warm)
 }
 
-// Hold says whether a cause to take no new work holds, for causes that others
+// SetCause says whether a cause to take no new work holds, for causes that others
 // find out: isolation and planned stops.
-func (a *Agent) Hold(cause drain.Cause, holds bool) {
+func (a *Agent) SetCause(cause drain.Cause, holds bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.hold(a.clock.Now(), cause, holds)
--- a/internal/serve/entry/entry.go
+++ b/internal/serve/entry/entry.go
@@ -164,7 +164,7 @@
 		incarnation: token.NewIncarnation(),
 		registerer:  prometheus.NewRegistry(),
 		gate:        func() *fault.RefusalError { return nil },
-		trace:       trace.New(trace.Capacity),
+		trace:       trace.New(trace.DefaultCapacity),
 	}
 	for _, opt := range opts {
 		opt(e)
--- a/internal/serve/front/http.go
+++ b/internal/serve/front/http.go
@@ -155,7 +155,7 @@
 	defer context.AfterFunc(f.config.Base, cancel)()
 	err := run(ctx, x)
 	if err == nil {
-		x.record.Done(f.config.Clock.Now(), trace.Answered, "", "")
+		x.record.End(f.config.Clock.Now(), trace.Answered, "", "")
 		f.config.Meter.Answered.WithLabelValues(x.service.Name).Inc()
 	}
 	return err
@@ -205,7 +205,7 @@
 		body.Ran = fault.MayHaveRun
 	}
 	f.config.Meter.Refused.WithLabelValues(string(body.Reason), string(body.Ran)).Inc()
-	x.record.Done(f.config.Clock.Now(), trace.Refused, body.Reason, body.Ran)
+	x.record.End(f.config.Clock.Now(), trace.Refused, body.Reason, body.Ran)
 	f.config.Log.Info("refused", "request", x.id, "reason", body.Reason, "ran", body.Ran, "detail", body.Detail)
 	return body
 }
--- a/internal/serve/front/http_test.go
+++ b/internal/serve/front/http_test.go
@@ -49,7 +49,7 @@
 	config.Holder = &spread.Holder{}
 	config.Holder.Accept(spread.New(1, testManifest(), nil))
 	config.Clock, config.Log, config.Base = clock.New(), log.New(io.Discard), t.Context()
-	config.Meter, config.Trace = meter.New(prometheus.NewRegistry()), trace.New(trace.Capacity)
+	config.Meter, config.Trace = meter.New(prometheus.NewRegistry()), trace.New(trace.DefaultCapacity)
 	known := peers.New("za", config.Holder, config.Meter)
 	t.Cleanup(known.Close)
 	config.Runs = runs.New(known, config.Meter)
--- a/internal/serve/front/reply.go
+++ b/internal/serve/front/reply.go
@@ -213,7 +213,7 @@
 	x.mayRepeat = false
 	got, err := run()
 	f.config.Book.FinishAsync(ctx, hold, outcomeOf(got, err), func(failed error) {
-		f.config.Meter.Claims.WithLabelValues(meter.ClaimUnkept).Inc()
+		f.config.Meter.Claims.WithLabelValues(meter.ClaimOutcomeNotStored).Inc()
 		f.config.Log.Warn("outcome of a key not kept", "request", x.id, "error", failed)
 	})
 	return got, err
--- a/internal/serve/meter/meter.go
+++ b/internal/serve/meter/meter.go
@@ -23,10 +23,10 @@
 
 // Outcomes of claims.
 const (
-	ClaimHeld     = "held"
-	ClaimReplayed = "replayed"
-	ClaimRefused  = "refused"
-	ClaimUnkept   = "outcomeUnkept"
+	ClaimHeld             = "held"
+	ClaimReplayed         = "replayed"
+	ClaimRefused          = "refused"
+	ClaimOutcomeNotStored = "outcomeUnkept"
 )
 
 // Entry is the entry's metrics.
@@ -92,7 +92,7 @@
 	for _, reason := range stage.DropReasons() {
 		e.Dropped.WithLabelValues(string(reason))
 	}
-	for _, outcome := range []string{ClaimHeld, ClaimReplayed, ClaimRefused, ClaimUnkept} {
+	for _, outcome := range []string{ClaimHeld, ClaimReplayed, ClaimRefused, ClaimOutcomeNotStored} {
 		e.Claims.WithLabelValues(outcome)
 	}
 }
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -243,7 +243,7 @@
 		x.meter.Retried.WithLabelValues(x.job.pool, string(x.retry)).Inc()
 		x.retry = ""
 	}
-	x.job.record.Sent(trace.Attempt{
+	x.job.record.AddAttempt(trace.Attempt{
 		Stage: call.ID.Stage, Try: action.Attempt, Pool: x.job.pool, Endpoint: endpoint.Name,
 		AvailabilityZone: endpoint.AvailabilityZone, Hedge: action.Hedge, SentAt: now,
 	})
@@ -271,7 +271,7 @@
 	default:
 		f.endpoint.RecordAnswer(now, 0)
 	}
-	x.job.record.Ended(f.id.Stage, try, now, state, reason)
+	x.job.record.EndAttempt(f.id.Stage, try, now, state, reason)
 }
 
 // settle ends the interest in all attempts that are left.
--- a/internal/serve/trace/trace.go
+++ b/internal/serve/trace/trace.go
@@ -9,9 +9,9 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// Capacity is the default number of requests remembered; with a handful of
+// DefaultCapacity is the default number of requests remembered; with a handful of
 // attempts each that is a few megabytes.
-const Capacity = 8192
+const DefaultCapacity = 8192
 
 // State of a request or an attempt.
 type State string
@@ -60,8 +60,8 @@
 	request Request
 }
 
-// Sent adds an attempt.
-func (r *Record) Sent(attempt Attempt) {
+// AddAttempt adds an attempt.
+func (r *Record) AddAttempt(attempt Attempt) {
 	if r == nil {
 		return
 	}
@@ -71,8 +71,8 @@
 	r.request.Attempts = append(r.request.Attempts, attempt)
 }
 
-// Ended notes how an attempt ended; only the first end counts.
-func (r *Record) Ended(stage, try int, now clock.Millis, state State, reason fault.Reason) {
+// EndAttempt notes how an attempt ended; only the first end counts.
+func (r *Record) EndAttempt(stage, try int, now clock.Millis, state State, reason fault.Reason) {
 	if r == nil {
 		return
 	}
@@ -86,8 +86,8 @@
 	}
 }
 
-// Done notes how the request ended.
-func (r *Record) Done(now clock.Millis, state State, reason fault.Reason, ran fault.Ran) {
+// End notes how the request ended.
+func (r *Record) End(now clock.Millis, state State, reason fault.Reason, ran fault.Ran) {
 	if r == nil {
 		return
 	}
--- a/internal/serve/trace/trace_test.go
+++ b/internal/serve/trace/trace_test.go
@@ -23,9 +23,9 @@
 func TestOnlyTheFirstEndOfAnAttemptCounts(t *testing.T) {
 	tr := trace.New(1)
 	record := tr.Begin(trace.Request{ID: "a"})
-	record.Sent(trace.Attempt{Stage: 1, Try: 0, SentAt: 10})
-	record.Ended(1, 0, 15, trace.Refused, fault.QueueFull)
-	record.Ended(1, 0, 20, trace.Withdrawn, "")
+	record.AddAttempt(trace.Attempt{Stage: 1, Try: 0, SentAt: 10})
+	record.EndAttempt(1, 0, 15, trace.Refused, fault.QueueFull)
+	record.EndAttempt(1, 0, 20, trace.Withdrawn, "")
 	request, _ := tr.Find("a")
 	assert.Equal(t, request.Attempts[0].Reason, fault.QueueFull)
 	assert.Equal(t, int(request.Attempts[0].Took), 5)
