--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -1,10 +1,11 @@
-// Package agent is the process beside one endpoint: the only one that admits
-// work to it, runs that work and keeps each result until it is acknowledged.
+// Package agent implements the agent process, which runs next to one endpoint.
+// It alone admits work to the endpoint, runs it and keeps each result until the
+// entry acknowledges it.
 //
-// All state stands behind one lock, and every decision is taken by the pure
-// packages under internal/guard. The frames of one attempt are queued for
-// sending under the same lock, so that an answer taken up again on another
-// session never overtakes itself.
+// One lock guards all state. The packages under internal/guard make every
+// decision and have no side effects. The frames of one attempt are queued for
+// sending under the same lock, so that they stay in order when an answer is
+// resumed on another session.
 package agent
 
 import (
@@ -32,48 +33,49 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Settings says where the agent stands and what it stands beside.
+// Settings identifies the agent and its endpoint.
 type Settings struct {
 	// Process is the name of this process.
 	Process string
-	// Host it runs on.
+	// Host is the name of the host on which the process runs.
 	Host string
-	// AvailabilityZone of the host.
+	// AvailabilityZone is the availability zone of the host.
 	AvailabilityZone string
-	// Pool and Endpoint it serves.
+	// Pool and Endpoint name the endpoint that the agent serves.
 	Pool     string
 	Endpoint string
-	// Kind of the endpoint.
+	// Kind is the kind of the endpoint.
 	Kind manif.StageKind
 	// EndpointURL is the endpoint's base URL.
 	EndpointURL string
 	// EndpointIdle is how long unused connections to the endpoint are kept, in
-	// milliseconds; shorter than the endpoint's own idle timeout. 0 is 4 s.
+	// milliseconds. It must be shorter than the idle timeout of the endpoint. 0
+	// means 4 s.
 	EndpointIdle clock.Millis
 }
 
-// defaultSessions is how many sessions are served at once.
-const defaultSessions = 2048
+// defaultMaxSessions is the default maximum number of open sessions.
+const defaultMaxSessions = 2048
 
-// Agent serves the sessions of entries.
+// Agent serves the sessions of entries and runs their calls at its endpoint.
 type Agent struct {
-	settings    Settings
-	clock       *clock.Clock
-	log         *log.Logger
-	holder      *spread.Holder
-	registerer  prometheus.Registerer
-	incarnation token.Incarnation
-	meter       *meter
-	caller      *call.Caller
-	poller      *load.Poller
-	queue       int
-	gateOptions []admit.Option
-	maxSessions int
-	interval    clock.Millis
-	started     clock.Millis
-	sharing     []node.Option
-	orders      *orders
-	shared      *node.Agent
+	settings     Settings
+	clock        *clock.Clock
+	log          *log.Logger
+	holder       *spread.Holder
+	registerer   prometheus.Registerer
+	incarnation  token.Incarnation
+	meter        *meter
+	caller       *call.Caller
+	poller       *load.Poller
+	maxQueued    int
+	gateOptions  []admit.Option
+	maxSessions  int
+	pollInterval clock.Millis
+	started      clock.Millis
+	nodeOptions  []node.Option
+	orders       *orders
+	node         *node.Agent
 
 	base  context.Context
 	stop  context.CancelCauseFunc
@@ -88,23 +90,24 @@
 	drain    drain.Drain
 	open     map[token.Attempt]*attempt
 	sessions map[*sess.Session]bool
-	// parted is when each entry whose session ended was last heard.
-	parted map[token.Incarnation]clock.Millis
-	// unsure are sessions whose entry has not confirmed that it heard of a
+	// lastHeard is when the last message of each entry with an ended session
+	// arrived.
+	lastHeard map[token.Incarnation]clock.Millis
+	// unconfirmed is the set of sessions whose entry has not yet confirmed the
 	// planned stop.
-	unsure map[*sess.Session]bool
-	watch  watch
-	// cutOff is when this process last was isolated; 0 is never.
-	cutOff clock.Millis
-	epoch  uint64
-	stated int
-	// closed is set at the end: frames that still come are not looked at.
+	unconfirmed map[*sess.Session]bool
+	watch       watch
+	// isolatedAt is when this process was last isolated; 0 means never.
+	isolatedAt    clock.Millis
+	prefixEpoch   uint64
+	reportedLimit int
+	// closed is set when the agent closes. Frames that arrive later are ignored.
 	closed bool
-	// idle closes when a planned stop has seen the last open attempt end.
+	// idle is closed during a planned stop once no attempt is open.
 	idle chan struct{}
 }
 
-// Option changes an Agent while it is built.
+// Option configures an Agent.
 type Option func(*Agent)
 
 // WithClock sets the clock.
@@ -113,125 +116,128 @@
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(a *Agent) { a.log = l } }
 
-// WithHolder sets where the configuration in force is kept.
+// WithHolder sets the holder of the configuration in force.
 func WithHolder(h *spread.Holder) Option { return func(a *Agent) { a.holder = h } }
 
-// WithRegisterer sets where the metrics are registered.
+// WithRegisterer sets the registerer for the metrics.
 func WithRegisterer(r prometheus.Registerer) Option { return func(a *Agent) { a.registerer = r } }
 
-// WithMaxQueued bounds the waiting work.
-func WithMaxQueued(bound int) Option { return func(a *Agent) { a.queue = bound } }
+// WithMaxQueued sets the maximum number of queued calls.
+func WithMaxQueued(count int) Option { return func(a *Agent) { a.maxQueued = count } }
 
-// WithoutLimits is the kept baseline of measurements: no limits, no queue, and
-// no early refusals.
+// WithoutLimits disables concurrency limits, the queue and early refusals. It is
+// the baseline in measurements.
 func WithoutLimits() Option {
 	return func(a *Agent) { a.gateOptions = append(a.gateOptions, admit.WithoutLimits()) }
 }
 
-// WithKeptBytes bounds the memory for answers that nobody has acknowledged yet, in bytes.
+// WithKeptBytes sets the memory for unacknowledged answers, in bytes.
 func WithKeptBytes(bytes int) Option {
 	return func(a *Agent) { a.keep = keep.New(keep.WithBound(bytes)) }
 }
 
-// WithMaxSessions bounds the sessions that are served at once.
-func WithMaxSessions(most int) Option { return func(a *Agent) { a.maxSessions = most } }
+// WithMaxSessions sets the maximum number of open sessions.
+func WithMaxSessions(count int) Option { return func(a *Agent) { a.maxSessions = count } }
 
-// WithPollInterval sets the span between two readings of the endpoint's load report.
-func WithPollInterval(interval clock.Millis) Option { return func(a *Agent) { a.interval = interval } }
+// WithPollInterval sets the interval between two readings of the endpoint's load
+// report.
+func WithPollInterval(interval clock.Millis) Option {
+	return func(a *Agent) { a.pollInterval = interval }
+}
 
-// New returns an agent that has begun to watch its endpoint. Call Shutdown or
-// Close to end it.
+// New returns an agent and starts its background work, such as reading the load
+// reports of its endpoint. Call Shutdown or Close to stop it.
 func New(settings Settings, opts ...Option) *Agent {
 	a := &Agent{
-		settings:    settings,
-		clock:       clock.New(),
-		log:         log.Default(),
-		holder:      &spread.Holder{},
-		registerer:  prometheus.NewRegistry(),
-		incarnation: token.NewIncarnation(),
-		queue:       admit.DefaultQueue,
-		maxSessions: defaultSessions,
-		interval:    load.DefaultInterval,
-		fence:       fence.New(),
-		keep:        keep.New(),
-		open:        make(map[token.Attempt]*attempt),
-		sessions:    make(map[*sess.Session]bool),
-		parted:      make(map[token.Incarnation]clock.Millis),
-		unsure:      make(map[*sess.Session]bool),
-		idle:        make(chan struct{}),
+		settings:     settings,
+		clock:        clock.New(),
+		log:          log.Default(),
+		holder:       &spread.Holder{},
+		registerer:   prometheus.NewRegistry(),
+		incarnation:  token.NewIncarnation(),
+		maxQueued:    admit.DefaultQueue,
+		maxSessions:  defaultMaxSessions,
+		pollInterval: load.DefaultInterval,
+		fence:        fence.New(),
+		keep:         keep.New(),
+		open:         make(map[token.Attempt]*attempt),
+		sessions:     make(map[*sess.Session]bool),
+		lastHeard:    make(map[token.Incarnation]clock.Millis),
+		unconfirmed:  make(map[*sess.Session]bool),
+		idle:         make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(a)
 	}
 	a.started = a.clock.Now()
-	a.epoch = uint64(a.incarnation)
+	a.prefixEpoch = uint64(a.incarnation)
 	a.meter = newMeter(a)
-	a.gateOptions = append(a.gateOptions, admit.WithQueue(a.queue), admit.WithOnDrop(a.coldDrop))
+	a.gateOptions = append(a.gateOptions, admit.WithQueue(a.maxQueued), admit.WithOnDrop(a.recordColdDrop))
 	a.gate = admit.New[*attempt](a.started, a.gateOptions...)
 	a.base, a.stop = context.WithCancelCause(context.Background())
-	a.connect()
-	a.share()
-	a.begin()
-	a.beginOrders()
+	a.initCaller()
+	a.startSharing()
+	a.startWatch()
+	a.startOrders()
 	return a
 }
 
-// connect prepares the calls to the endpoint. An address that can't be used is
-// logged, and all work is refused as not run.
-func (a *Agent) connect() {
+// initCaller creates the client of the endpoint. If the address of the endpoint
+// cannot be used, it logs the error, and the agent refuses all work as not run.
+func (a *Agent) initCaller() {
 	opts := []call.Option{call.WithResumed(a.meter.resumed.Inc)}
 	if a.settings.EndpointIdle > 0 {
 		opts = append(opts, call.WithIdle(a.settings.EndpointIdle))
 	}
 	caller, err := call.New(a.settings.EndpointURL, opts...)
 	if err != nil {
-		a.log.Error("endpoint can't be called", "endpoint", a.settings.Endpoint, "error", err)
+		a.log.Error("endpoint address cannot be used", "endpoint", a.settings.Endpoint, "error", err)
 		return
 	}
 	a.caller = caller
 }
 
-// begin starts the watch over endpoint, configuration and waiting work.
-func (a *Agent) begin() {
+// startWatch starts the maintenance loop and the reading of load reports.
+func (a *Agent) startWatch() {
 	a.mu.Lock()
 	a.drain.Set(drain.CauseUnknownLoad, true)
-	a.follow(a.started)
+	a.applyShared(a.started)
 	a.mu.Unlock()
-	a.group.Go(func() { a.tend(a.base) })
+	a.group.Go(func() { a.runMaintenance(a.base) })
 	if a.caller == nil {
 		return
 	}
 	a.poller = load.New(a.settings.EndpointURL, a.observe,
-		load.WithClock(a.clock), load.WithInterval(a.interval, load.DefaultTimeout))
+		load.WithClock(a.clock), load.WithInterval(a.pollInterval, load.DefaultTimeout))
 	a.poller.Start(a.base)
 	a.group.Go(func() { <-a.poller.Done() })
 }
 
-// Handler serves sessions.
+// Handler returns the HTTP handler that accepts sessions.
 func (a *Agent) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(sess.Path, a.accept)
 	return router
 }
 
-// Close ends all sessions and all work at once, as if the process had died:
-// the endpoint isn't told.
-func (a *Agent) Close() { a.end(call.ErrAbandoned) }
+// Close ends all sessions and all work at once, as if the process had crashed. It
+// does not cancel the work at the endpoint.
+func (a *Agent) Close() { a.closeWith(call.ErrAbandoned) }
 
-func (a *Agent) end(cause error) {
+func (a *Agent) closeWith(cause error) {
 	a.mu.Lock()
 	a.closed = true
 	a.mu.Unlock()
 	a.stop(cause)
 	a.group.Wait()
-	<-a.shared.Done()
+	<-a.node.Done()
 	if a.caller != nil {
 		a.caller.Close()
 	}
 }
 
 func (a *Agent) accept(w http.ResponseWriter, r *http.Request) {
-	if refusal := a.refusesSession(); refusal != "" {
+	if refusal := a.sessionRefusal(); refusal != "" {
 		http.Error(w, refusal, http.StatusServiceUnavailable)
 		a.meter.sessionsRefused.Inc()
 		return
@@ -240,10 +246,10 @@
 		sess.WithClock(a.clock),
 		sess.WithHello(a.hello),
 		sess.WithOpened(a.addSession),
-		sess.WithHandler(a.take),
+		sess.WithHandler(a.handleFrame),
 		sess.WithRelease(a.holder.Number),
 		sess.WithLoad(a.load),
-		sess.WithOutside(a.shared.Outside),
+		sess.WithOutside(a.node.Outside),
 		sess.WithDropped(func(reason string) { a.meter.dropped.WithLabelValues(reason).Inc() }),
 	)
 	if s != nil {
@@ -255,38 +261,39 @@
 		return
 	}
 	a.log.Debug("session open", "peer", s.Peer().Process)
-	a.shared.Opened(s)
+	a.node.Opened(s)
 	<-s.Done()
-	a.shared.Closed(s)
+	a.node.Closed(s)
 }
 
-// refusesSession returns why no session is taken now, or nothing. A process that
-// ends takes those that may still ask for an answer while others do.
-func (a *Agent) refusesSession() string {
+// sessionRefusal returns why a new session is refused, or an empty string if it is
+// accepted. During a planned stop, a session is accepted as long as another session
+// or an attempt is open, because its entry may ask for an answer.
+func (a *Agent) sessionRefusal() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case len(a.sessions) >= a.maxSessions:
 		return "too many sessions"
 	case a.drain.Has(drain.CauseLeaving) && len(a.open) == 0 && len(a.sessions) == 0:
-		return "the process ends"
+		return "the process is stopping"
 	default:
 		return ""
 	}
 }
 
-// Sessions is the number of open sessions.
+// Sessions returns the number of open sessions.
 func (a *Agent) Sessions() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.sessions)
 }
 
-// addSession enters a session before its entry hears the hello. Entered later,
-// an entry could already ask for one of its calls on another session, and the
-// agent would not know that it heard that entry a moment ago. Changes from here
-// on are told by frames of their own. A planned stop is told in any case,
-// because its frame says more than the hello does.
+// addSession registers a session before the hello is sent to its entry. If it did
+// so later, the entry could already ask about a call on another session, and the
+// agent would have no record that the entry was connected a moment ago. Changes
+// after the registration are sent to the session as frames. A planned stop that has
+// already begun is sent as a frame too, because the frame holds more than the hello.
 func (a *Agent) addSession(s *sess.Session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,7 +303,8 @@
 	}
 }
 
-// leaveFrame says whether new work is taken, and why not.
+// leaveFrame returns the frame that states whether the agent accepts new work, and
+// the reason if it does not.
 func (a *Agent) leaveFrame() *wire.Frame {
 	reason := a.drain.Reason()
 	return &wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{
@@ -309,13 +317,13 @@
 	defer a.mu.Unlock()
 	delete(a.sessions, s)
 	now := a.clock.Now()
-	for incarnation, heard := range a.parted {
-		if now-heard > fence.DefaultRetention {
-			delete(a.parted, incarnation)
+	for incarnation, lastHeard := range a.lastHeard {
+		if now-lastHeard > fence.DefaultRetention {
+			delete(a.lastHeard, incarnation)
 		}
 	}
-	a.parted[s.Peer().Incarnation] = max(s.LastHeard(), a.parted[s.Peer().Incarnation])
-	delete(a.unsure, s)
+	a.lastHeard[s.Peer().Incarnation] = max(s.LastHeard(), a.lastHeard[s.Peer().Incarnation])
+	delete(a.unconfirmed, s)
 }
 
 func (a *Agent) hello() wire.Hello {
@@ -329,7 +337,7 @@
 		AvailabilityZone: a.settings.AvailabilityZone,
 		Pool:             a.settings.Pool,
 		Endpoint:         a.settings.Endpoint,
-		Load:             a.loadNow(),
+		Load:             a.currentLoad(),
 		Leaving:          a.drain.Reason() != "",
 	}
 }
@@ -337,11 +345,11 @@
 func (a *Agent) load() *wire.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.loadNow()
+	return a.currentLoad()
 }
 
-// loadNow is the load as the agent knows it. The lock is held.
-func (a *Agent) loadNow() *wire.Load {
+// currentLoad returns the load of the endpoint. The caller holds the lock.
+func (a *Agent) currentLoad() *wire.Load {
 	return &wire.Load{
 		Running:     a.gate.Running(),
 		Queued:      a.gate.Queued(),
@@ -349,12 +357,12 @@
 		Cold:        a.gate.Cold(),
 		Cost:        a.gate.Cost(),
 		ServiceTime: a.gate.ServiceTime(),
-		PrefixEpoch: a.epoch,
+		PrefixEpoch: a.prefixEpoch,
 	}
 }
 
-func (a *Agent) take(s *sess.Session, frame *wire.Frame) {
-	if a.shared.Take(s, frame) {
+func (a *Agent) handleFrame(s *sess.Session, frame *wire.Frame) {
+	if a.node.Take(s, frame) {
 		return
 	}
 	a.mu.Lock()
@@ -365,7 +373,7 @@
 	now := a.clock.Now()
 	switch frame.Kind {
 	case wire.KindCall:
-		a.offer(now, s, frame.Call)
+		a.handleCall(now, s, frame.Call)
 	case wire.KindAck:
 		a.keep.Ack(frame.Ack.ID)
 	case wire.KindCancel:
@@ -373,16 +381,16 @@
 	case wire.KindAsk:
 		a.answerAsk(now, s, frame.Ask)
 	case wire.KindBeat:
-		if frame.Beat.Reply && frame.Beat.Mark == leaveMark {
-			delete(a.unsure, s)
+		if frame.Beat.Reply && frame.Beat.Mark == leaveBeatMark {
+			delete(a.unconfirmed, s)
 		}
 	default:
 	}
 }
 
-// send queues a frame. A session whose peer takes frames too slowly is ended:
-// a part that was left out would only show at the end of its answer, while a
-// new session lets the entry ask for what it lacks at once.
+// send queues a frame for sending. If the queue is full because the peer reads too
+// slowly, it closes the session. An entry would notice a missing part only at the
+// end of the answer; on a new session it requests the missing bytes at once.
 func (a *Agent) send(s *sess.Session, frame *wire.Frame) {
 	if s == nil {
 		return
--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -8,8 +8,8 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// cancel withdraws an attempt. One that has not arrived yet is fenced, so that
-// its late frame starts nothing for a caller who has gone.
+// cancel cancels an attempt. If the attempt has not arrived yet, it is recorded as
+// refused, so that its call starts no work when it arrives after all.
 func (a *Agent) cancel(now clock.Millis, c *wire.Cancel) {
 	at := a.open[c.ID]
 	switch {
@@ -20,13 +20,13 @@
 	case at.stop != nil:
 		at.stop(errCancelled)
 	default:
-		a.gate.Remove(func(waiting *attempt) bool { return waiting == at })
-		a.refuseWaiting(now, at, fault.Cancelled)
+		a.gate.Remove(func(queued *attempt) bool { return queued == at })
+		a.refuseQueued(now, at, fault.Cancelled)
 	}
 }
 
-// answerAsk tells what became of an attempt and moves its answer to this
-// session, from the asked offset on.
+// answerAsk sends the state of an attempt and moves its answer to this session,
+// starting at the requested offset.
 func (a *Agent) answerAsk(now clock.Millis, s *sess.Session, ask *wire.Ask) {
 	a.meter.asks.Inc()
 	if at := a.open[ask.ID]; at != nil {
@@ -35,7 +35,7 @@
 		if at.stop != nil {
 			state = wire.StateRunning
 		}
-		a.outcome(s, ask, state)
+		a.sendOutcome(s, ask, state)
 		a.sendPart(at, ask.Offset)
 		return
 	}
@@ -43,58 +43,61 @@
 		a.resend(s, ask, result.Bytes, result.End, result.Refuse)
 		return
 	}
-	a.answerGone(now, s, ask)
+	a.answerWithoutResult(now, s, ask)
 }
 
 func (a *Agent) resend(s *sess.Session, ask *wire.Ask, bytes []byte, end *wire.End, refuse *wire.Refuse) {
 	if refuse != nil {
-		a.outcome(s, ask, wire.StateRefused)
+		a.sendOutcome(s, ask, wire.StateRefused)
 		a.send(s, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
 		return
 	}
-	a.outcome(s, ask, wire.StateEnded)
-	for _, part := range partsOf(bytes, ask.Offset) {
+	a.sendOutcome(s, ask, wire.StateEnded)
+	for _, part := range splitParts(bytes, ask.Offset) {
 		part.ID = ask.ID
 		a.send(s, &wire.Frame{Kind: wire.KindPart, Part: part})
 	}
 	a.send(s, &wire.Frame{Kind: wire.KindEnd, End: end})
 }
 
-// answerGone answers for an attempt of which nothing is kept. Only the
-// incarnation that the call was sent to can say that it never arrived, and only
-// if it has forgotten nothing since; it then makes sure that it never runs.
-func (a *Agent) answerGone(now clock.Millis, s *sess.Session, ask *wire.Ask) {
+// answerWithoutResult answers a request about an attempt that is not open and has
+// no kept result. An attempt that is recorded as refused is refused again as not
+// run. So is an unseen attempt, but only if the call was sent to this incarnation,
+// no record has been evicted early and the entry was heard recently. The attempt is
+// then recorded as refused, so that its call does not run if it still arrives.
+func (a *Agent) answerWithoutResult(now clock.Millis, s *sess.Session, ask *wire.Ask) {
 	state := a.fence.State(ask.ID)
-	if state == fence.Unseen && ask.Target == a.incarnation && a.fence.Complete(now) && a.heardLately(now, s) {
+	if state == fence.Unseen && ask.Target == a.incarnation && a.fence.Complete(now) && a.heardRecently(now, s) {
 		if a.fence.Set(now, ask.ID, fence.Refused) {
 			state = fence.Refused
 		}
 	}
 	if state != fence.Refused {
-		a.outcome(s, ask, wire.StateUnknown)
+		a.sendOutcome(s, ask, wire.StateUnknown)
 		return
 	}
-	refuse := a.refusal(fault.EndpointFailed, fault.NotRun, "the call never arrived or was refused")
+	refuse := a.newRefusal(fault.EndpointFailed, fault.NotRun, "the call never arrived or was refused")
 	refuse.ID = ask.ID
-	a.meter.refuse(refuse)
-	a.outcome(s, ask, wire.StateRefused)
+	a.meter.countRefusal(refuse)
+	a.sendOutcome(s, ask, wire.StateRefused)
 	a.send(s, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
 }
 
-func (a *Agent) outcome(s *sess.Session, ask *wire.Ask, state wire.State) {
+func (a *Agent) sendOutcome(s *sess.Session, ask *wire.Ask, state wire.State) {
 	a.send(s, &wire.Frame{Kind: wire.KindOutcome, Outcome: &wire.Outcome{ID: ask.ID, State: state}})
 }
 
-// heardLately reports whether the entry was heard on another session a short
-// while ago. An entry that was paused for minutes may ask for what has ended and
-// been forgotten here; "not run" would then be a lie about a booking that ran.
-func (a *Agent) heardLately(now clock.Millis, asking *sess.Session) bool {
-	incarnation := asking.Peer().Incarnation
-	heard, known := a.parted[incarnation]
+// heardRecently reports whether a message of the entry arrived recently on another
+// session. An entry that was paused for minutes may ask about an attempt that has
+// ended and whose record has expired. The answer "not run" would then be wrong for
+// a booking that ran.
+func (a *Agent) heardRecently(now clock.Millis, asker *sess.Session) bool {
+	incarnation := asker.Peer().Incarnation
+	lastHeard, known := a.lastHeard[incarnation]
 	for s := range a.sessions {
-		if s != asking && s.Peer().Incarnation == incarnation {
-			heard, known = max(heard, s.LastHeard()), true
+		if s != asker && s.Peer().Incarnation == incarnation {
+			lastHeard, known = max(lastHeard, s.LastHeard()), true
 		}
 	}
-	return known && now-heard <= fence.DefaultRetention/2
+	return known && now-lastHeard <= fence.DefaultRetention/2
 }
--- a/internal/serve/agent/bench_test.go
+++ b/internal/serve/agent/bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/jujubescale/jujubescale/internal/serve/agent"
 )
 
-var quick = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+var instantEndpoint = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/load" {
 		_, _ = io.WriteString(w, `{"startId":1,"limit":256}`)
 		return
@@ -28,12 +28,12 @@
 	_, _ = io.WriteString(w, `{"output":{}}`)
 })
 
-// BenchmarkBareCall is the endpoint's call without the agent.
+// BenchmarkBareCall measures calls to the endpoint without an agent.
 func BenchmarkBareCall(b *testing.B) {
-	server := httptest.NewServer(quick)
+	server := httptest.NewServer(instantEndpoint)
 	defer server.Close()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	one := func(b *testing.B) {
+	post := func(b *testing.B) {
 		response, err := client.Post(server.URL+"/v1/run", "application/json", bytes.NewReader([]byte(`{"input":{}}`)))
 		assert.NilError(b, err)
 		_, _ = io.Copy(io.Discard, response.Body)
@@ -41,21 +41,21 @@
 	}
 	b.Run("inFlight=1", func(b *testing.B) {
 		for b.Loop() {
-			one(b)
+			post(b)
 		}
 	})
 	b.Run("inFlight=64", func(b *testing.B) {
 		b.SetParallelism(64 / runtime.GOMAXPROCS(0))
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				one(b)
+				post(b)
 			}
 		})
 	})
 }
 
-// BenchmarkAgentCall is the same call through a session and the agent, with
-// one call and with 64 calls in flight.
+// BenchmarkAgentCall measures the same calls through a session and the agent, with
+// 1 and with 64 calls in flight.
 func BenchmarkAgentCall(b *testing.B) {
 	for _, inFlight := range []int{1, 64} {
 		b.Run(fmt.Sprintf("inFlight=%d", inFlight), func(b *testing.B) { benchmarkCalls(b, inFlight) })
@@ -63,10 +63,10 @@
 }
 
 func benchmarkCalls(b *testing.B, inFlight int) {
-	endpoint := httptest.NewServer(quick)
+	endpoint := httptest.NewServer(instantEndpoint)
 	defer endpoint.Close()
 	a := agent.New(agent.Settings{Process: "agent", Pool: "p", Endpoint: "e", Kind: manif.KindEncode, EndpointURL: endpoint.URL},
-		agent.WithLog(log.New(io.Discard)), agent.WithHolder(holderOf(manif.KindEncode, 256, 256)))
+		agent.WithLog(log.New(io.Discard)), agent.WithHolder(newHolder(manif.KindEncode, 256, 256)))
 	defer a.Close()
 	server := httptest.NewServer(a.Handler())
 	defer server.CloseClientConnections()
--- a/internal/serve/agent/coldbench_test.go
+++ b/internal/serve/agent/coldbench_test.go
@@ -22,12 +22,12 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-// BenchmarkColdStart lets 60 callers push at an endpoint that has just started,
-// for two seconds, without an agent and through one. docs/design/coldstart.md
-// quotes it.
+// BenchmarkColdStart measures 60 callers that send calls without pause for two
+// seconds to an endpoint that has just started, with and without an agent.
+// docs/design/coldstart.md quotes its results.
 func BenchmarkColdStart(b *testing.B) {
 	const callers, span = 60, 2 * time.Second
-	for name, through := range map[string]bool{"noAgent": false, "agent": true} {
+	for name, withAgent := range map[string]bool{"noAgent": false, "agent": true} {
 		b.Run(name, func(b *testing.B) {
 			falls, answered := 0, int64(0)
 			for b.Loop() {
@@ -35,10 +35,10 @@
 					pool.WithCapacity(slots.Config{Limit: 16, ColdLimit: 4, ColdWork: 400 * time.Millisecond}))
 				endpoint.Slots.Restart()
 				server := httptest.NewServer(endpoint.Handler())
-				if through {
-					answered += pushAgent(b, server.URL, callers, span)
+				if withAgent {
+					answered += sendThroughAgent(b, server.URL, callers, span)
 				} else {
-					answered += pushBare(server.URL, callers, span)
+					answered += sendWithoutAgent(server.URL, callers, span)
 				}
 				falls += endpoint.Slots.State().Falls
 				_ = server.Config.Close()
@@ -49,7 +49,7 @@
 	}
 }
 
-func pushBare(url string, callers int, span time.Duration) int64 {
+func sendWithoutAgent(url string, callers int, span time.Duration) int64 {
 	var answered atomic.Int64
 	var group sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
@@ -71,16 +71,16 @@
 	return answered.Load()
 }
 
-func pushAgent(b *testing.B, url string, callers int, span time.Duration) int64 {
+func sendThroughAgent(b *testing.B, url string, callers int, span time.Duration) int64 {
 	a := agent.New(agent.Settings{Process: "agent", Pool: "p", Endpoint: "e", Kind: manif.KindEncode, EndpointURL: url},
-		agent.WithLog(log.New(io.Discard)), agent.WithHolder(holderOf(manif.KindEncode, 4, 16)))
+		agent.WithLog(log.New(io.Discard)), agent.WithHolder(newHolder(manif.KindEncode, 4, 16)))
 	defer a.Close()
 	server := httptest.NewServer(a.Handler())
 	defer func() { _ = server.Config.Close() }()
 	var answered atomic.Int64
 	send := func(s *sess.Session) {
 		c := &wire.Call{Organisation: "small", Idempotent: true, TimeLeft: 60_000, Body: []byte(`{"input":{}}`)}
-		c.ID.Request, c.ID.Try = "cold", int(next.Add(1))
+		c.ID.Request, c.ID.Try = "cold", int(attemptNumber.Add(1))
 		_ = s.Send(&wire.Frame{Kind: wire.KindCall, Call: c})
 	}
 	s, err := sess.Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), sess.WithHandler(func(s *sess.Session, f *wire.Frame) {
--- a/internal/serve/agent/harness_test.go
+++ b/internal/serve/agent/harness_test.go
@@ -23,10 +23,10 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// holderOf returns a release with one pool of these limits.
-func holderOf(kind manif.StageKind, cold, warm int, zones ...spread.Zone) *spread.Holder {
+// newHolder returns a holder with a release that has one pool with these limits.
+func newHolder(kind manif.StageKind, cold, warm int, zones ...spread.Zone) *spread.Holder {
 	h := &spread.Holder{}
 	h.Accept(spread.New(1, &manif.Manifest{
 		Pools:         []manif.Pool{{Name: "p", Kind: kind, Limit: warm, ColdLimit: cold}},
@@ -35,26 +35,25 @@
 	return h
 }
 
-// setZone is what operators do with the agent's availability zone.
+// setZone changes the state of the agent's availability zone, as operators do.
 func setZone(h *spread.Holder, state spread.ZoneState) {
 	current := h.Current()
 	h.Accept(spread.New(current.Number+1, current.Manifest, []spread.Zone{{Name: "za", State: state}}))
 }
 
-// startAgent starts an agent beside the endpoint, ready to take work, and
-// returns its address.
+// startAgent starts an agent for the endpoint and returns it with its address.
 func startAgent(t *testing.T, kind manif.StageKind, endpoint string, opts ...agent.Option) (running *agent.Agent, address string) {
 	t.Helper()
 	a := agent.New(agent.Settings{
 		Process: "agent", Pool: "p", Endpoint: "e", Kind: kind, EndpointURL: endpoint, AvailabilityZone: "za",
-	}, append([]agent.Option{agent.WithLog(log.New(io.Discard)), agent.WithPollInterval(10), agent.WithHolder(holderOf(kind, 2, 8))}, opts...)...)
+	}, append([]agent.Option{agent.WithLog(log.New(io.Discard)), agent.WithPollInterval(10), agent.WithHolder(newHolder(kind, 2, 8))}, opts...)...)
 	server := httptest.NewServer(a.Handler())
 	t.Cleanup(func() { a.Close(); server.CloseClientConnections(); server.Close() })
 	return a, strings.TrimPrefix(server.URL, "http://")
 }
 
-// peer is an entry as the agent sees it.
-type peer struct {
+// testEntry is an entry with one session to the agent.
+type testEntry struct {
 	t      *testing.T
 	s      *sess.Session
 	frames chan *wire.Frame
@@ -62,12 +61,12 @@
 	address string
 }
 
-// next numbers the attempts of all peers.
-var next atomic.Int64
+// attemptNumber makes the attempts of all entries unique.
+var attemptNumber atomic.Int64
 
-func dial(t *testing.T, address string, opts ...sess.Option) *peer {
+func dial(t *testing.T, address string, opts ...sess.Option) *testEntry {
 	t.Helper()
-	p := &peer{t: t, address: address, frames: make(chan *wire.Frame, 1<<16)}
+	p := &testEntry{t: t, address: address, frames: make(chan *wire.Frame, 1<<16)}
 	ctx, cancel := context.WithCancel(context.Background())
 	s, err := sess.Dial(ctx, address, append([]sess.Option{sess.WithHandler(func(_ *sess.Session, f *wire.Frame) { p.frames <- f })}, opts...)...)
 	assert.NilError(t, err)
@@ -76,13 +75,13 @@
 	return p
 }
 
-// ready waits until the agent takes work.
-func (p *peer) ready() *peer {
+// awaitReady waits until the agent accepts work.
+func (p *testEntry) awaitReady() *testEntry {
 	p.t.Helper()
 	if !p.s.Peer().Leaving {
 		return p
 	}
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case f := <-p.frames:
@@ -90,15 +89,15 @@
 				return p
 			}
 		case <-timeout:
-			p.t.Fatal("the agent takes no work")
+			p.t.Fatal("the agent does not accept work")
 		}
 	}
 }
 
 // send sends a call and returns its attempt.
-func (p *peer) send(c wire.Call) token.Attempt {
+func (p *testEntry) send(c wire.Call) token.Attempt {
 	if c.ID.Request == "" {
-		c.ID = token.Attempt{Request: fmt.Sprintf("%s-%d", p.t.Name(), next.Add(1))}
+		c.ID = token.Attempt{Request: fmt.Sprintf("%s-%d", p.t.Name(), attemptNumber.Add(1))}
 	}
 	if c.Organisation == "" {
 		c.Organisation = "small"
@@ -113,14 +112,14 @@
 	return c.ID
 }
 
-// take waits for the next frame of a kind that belongs to the attempt.
-func (p *peer) take(id token.Attempt, kinds ...wire.Kind) *wire.Frame {
+// receive waits for the next frame of one of the kinds that belongs to the attempt.
+func (p *testEntry) receive(id token.Attempt, kinds ...wire.Kind) *wire.Frame {
 	p.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case f := <-p.frames:
-			if attemptOf(f) == id {
+			if attemptID(f) == id {
 				for _, kind := range kinds {
 					if f.Kind == kind {
 						return f
@@ -133,7 +132,7 @@
 	}
 }
 
-func attemptOf(f *wire.Frame) token.Attempt {
+func attemptID(f *wire.Frame) token.Attempt {
 	switch f.Kind {
 	case wire.KindPart:
 		return f.Part.ID
@@ -148,40 +147,40 @@
 	}
 }
 
-func (p *peer) refusal(id token.Attempt) *wire.Refuse {
+func (p *testEntry) refusal(id token.Attempt) *wire.Refuse {
 	p.t.Helper()
-	return p.take(id, wire.KindRefuse).Refuse
+	return p.receive(id, wire.KindRefuse).Refuse
 }
 
-// result is how one call ended: exactly one of both is set.
-func (p *peer) result(id token.Attempt) (*wire.End, *wire.Refuse) {
+// result returns how a call ended. Exactly one of the results is not nil.
+func (p *testEntry) result(id token.Attempt) (*wire.End, *wire.Refuse) {
 	p.t.Helper()
-	f := p.take(id, wire.KindEnd, wire.KindRefuse)
+	f := p.receive(id, wire.KindEnd, wire.KindRefuse)
 	return f.End, f.Refuse
 }
 
-func (p *peer) ask(id token.Attempt, target token.Incarnation, offset int64) wire.State {
+func (p *testEntry) ask(id token.Attempt, target token.Incarnation, offset int64) wire.State {
 	p.t.Helper()
 	assert.NilError(p.t, p.s.Send(&wire.Frame{Kind: wire.KindAsk, Ask: &wire.Ask{ID: id, Target: target, Offset: offset}}))
-	return p.take(id, wire.KindOutcome).Outcome.State
+	return p.receive(id, wire.KindOutcome).Outcome.State
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(time.Millisecond))
 }
 
-// serve serves an endpoint.
-func serve(t *testing.T, handler http.Handler) string {
+// startServer starts an endpoint and returns its URL.
+func startServer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
-	// Close would wait for calls that a silent endpoint never answers.
+	// server.Close would wait for calls that an unresponsive endpoint never answers.
 	t.Cleanup(func() { assert.Check(t, server.Config.Close()) })
 	return server.URL
 }
--- a/internal/serve/agent/lookup.go
+++ b/internal/serve/agent/lookup.go
@@ -7,9 +7,9 @@
 	"github.com/jujubescale/jujubescale/internal/ops/admin"
 )
 
-// lookupTries is how many tries of a stage a lookup asks for; no entry makes
-// as many.
-const lookupTries = 16
+// maxLookupTries is the number of attempts of a stage that a lookup checks. Entries
+// make fewer attempts.
+const maxLookupTries = 16
 
 // States of an attempt in a lookup.
 const (
@@ -20,45 +20,47 @@
 	lookupRefused = "refused"
 )
 
-// Lookup returns what the agent remembers of a request, or nil. It tells an
-// operator what ran here when the entry that served the request has gone.
+// Lookup returns the recorded attempts of a request, or nil if there are none.
+// Operators use it to find out what ran here when the entry that served the request
+// no longer runs.
 func (a *Agent) Lookup(request string) *admin.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	shown := &admin.Request{RequestID: request, Process: a.settings.Process, State: "seen at the endpoint"}
+	result := &admin.Request{RequestID: request, Process: a.settings.Process, State: "seen at the endpoint"}
 	for stage := range manif.MaxStages {
-		for try := range lookupTries {
-			if known := a.lookup(token.Attempt{Request: request, Stage: stage, Try: try}); known != nil {
-				shown.Attempts = append(shown.Attempts, *known)
+		for try := range maxLookupTries {
+			if attempt := a.lookup(token.Attempt{Request: request, Stage: stage, Try: try}); attempt != nil {
+				result.Attempts = append(result.Attempts, *attempt)
 			}
 		}
 	}
-	if len(shown.Attempts) == 0 {
+	if len(result.Attempts) == 0 {
 		return nil
 	}
-	return shown
+	return result
 }
 
-// lookup returns what is known of one attempt, or nil. The lock is held.
+// lookup returns the recorded state of an attempt, or nil. The caller holds the
+// lock.
 func (a *Agent) lookup(id token.Attempt) *admin.Attempt {
-	shown := &admin.Attempt{Stage: id.Stage, Try: id.Try, Pool: a.settings.Pool, Endpoint: a.settings.Endpoint}
+	result := &admin.Attempt{Stage: id.Stage, Try: id.Try, Pool: a.settings.Pool, Endpoint: a.settings.Endpoint}
 	state := a.fence.State(id)
 	switch at := a.open[id]; {
 	case at != nil && at.stop == nil:
-		shown.State = lookupQueued
+		result.State = lookupQueued
 	case at != nil:
-		shown.State = lookupRunning
+		result.State = lookupRunning
 	case state == fence.Refused:
-		shown.State = lookupRefused
+		result.State = lookupRefused
 	case a.keep.Get(id) != nil:
-		shown.State = lookupKept
+		result.State = lookupKept
 	case state != fence.Unseen:
-		shown.State = lookupEnded
+		result.State = lookupEnded
 	default:
 		return nil
 	}
 	if kept := a.keep.Get(id); kept != nil && kept.Refuse != nil {
-		shown.Reason = kept.Refuse.Reason
+		result.Reason = kept.Refuse.Reason
 	}
-	return shown
+	return result
 }
--- a/internal/serve/agent/lookup_test.go
+++ b/internal/serve/agent/lookup_test.go
@@ -14,9 +14,9 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// An entry dies while it serves a request. The operator learns from the agent
-// whether the call ran, waits or is done.
-func TestLookupTellsWhatBecameOfARequest(t *testing.T) {
+// After the crash of an entry, operators look up the state of its requests at the
+// agent: running, kept or ended.
+func TestLookupReturnsStateOfAttempt(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/run" {
@@ -26,9 +26,9 @@
 	}))
 	t.Cleanup(endpoint.Close)
 	a, address := startAgent(t, manif.KindEncode, endpoint.URL)
-	entry := dial(t, address).ready()
+	entry := dial(t, address).awaitReady()
 	id := entry.send(wire.Call{Idempotent: true})
-	state := func(want string) {
+	waitForState := func(want string) {
 		t.Helper()
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			found := a.Lookup(id.Request)
@@ -36,13 +36,13 @@
 				return poll.Success()
 			}
 			return poll.Continue("%+v", found)
-		}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
+		}, poll.WithTimeout(testTimeout), poll.WithDelay(time.Millisecond))
 	}
-	state("running")
+	waitForState("running")
 	close(release)
-	entry.take(id, wire.KindEnd)
-	state("kept")
+	entry.receive(id, wire.KindEnd)
+	waitForState("kept")
 	assert.NilError(t, entry.s.Send(&wire.Frame{Kind: wire.KindAck, Ack: &wire.Ack{ID: id}}))
-	state("ended")
+	waitForState("ended")
 	assert.Assert(t, a.Lookup("another") == nil)
 }
--- a/internal/serve/agent/offer.go
+++ b/internal/serve/agent/offer.go
@@ -15,58 +15,60 @@
 )
 
 const (
-	// maxTimeLeft bounds what a call may claim, so that a broken entry can't
+	// maxTimeLeft limits the time left of a call, so that a faulty entry cannot
 	// make the agent keep answers for days.
 	maxTimeLeft = clock.Millis(manif.MaxDeadlineMs)
 	maxCost     = 1 << 20
 )
 
-// attempt is one call that waits or runs.
+// attempt is a queued or running call.
 type attempt struct {
 	call *wire.Call
-	// session gets the answer; asking on another session moves it there.
+	// session receives the answer. If the entry asks on another session, the answer
+	// moves to that session.
 	session *sess.Session
 	key     string
 	arrived clock.Millis
 	expires clock.Millis
 	ticket  admit.Ticket
-	// stop ends the run; nil while the attempt waits.
+	// stop cancels the run; it is nil while the attempt is queued.
 	stop context.CancelCauseFunc
 }
 
-// offer decides about a call that has arrived. The lock is held.
-func (a *Agent) offer(now clock.Millis, s *sess.Session, c *wire.Call) {
+// handleCall admits, queues or refuses a call. The caller holds the lock.
+func (a *Agent) handleCall(now clock.Millis, s *sess.Session, c *wire.Call) {
 	a.meter.calls.Inc()
-	a.follow(now)
-	if a.doubled(now, s, c) {
+	a.applyShared(now)
+	if a.handleDuplicate(now, s, c) {
 		return
 	}
 	if refuse := a.check(now, c); refuse != nil {
 		a.refuseNew(now, s, c, refuse)
 		return
 	}
-	at := a.enter(now, s, c)
+	at := a.openAttempt(now, s, c)
 	decision := a.gate.Offer(now, a.item(at))
 	if decision.Probe {
 		a.poller.Poke()
 	}
 	if decision.HasEvicted {
-		a.refuseWaiting(now, decision.Evicted, fault.QueueFull)
+		a.refuseQueued(now, decision.Evicted, fault.QueueFull)
 	}
 	switch decision.Verdict {
 	case admit.Admitted:
 		a.start(at, decision.Ticket)
 	case admit.Queued:
 	case admit.Refused:
-		refuse := a.refusal(decision.Reason, fault.NotRun, "")
+		refuse := a.newRefusal(decision.Reason, fault.NotRun, "")
 		refuse.RetryAfter = decision.RetryAfter
 		a.refuseOpen(now, at, refuse)
 	}
 }
 
-// doubled handles a call whose attempt is known already: it starts nothing. One
-// that was refused is refused again in the same words.
-func (a *Agent) doubled(now clock.Millis, s *sess.Session, c *wire.Call) bool {
+// handleDuplicate handles a call whose attempt is already recorded and reports
+// whether it is. Such a call starts no work. If the attempt was refused as not run,
+// it is refused again as not run.
+func (a *Agent) handleDuplicate(now clock.Millis, s *sess.Session, c *wire.Call) bool {
 	state := a.fence.State(c.ID)
 	if state == fence.Unseen {
 		return false
@@ -74,71 +76,73 @@
 	a.meter.dropped.WithLabelValues(string(fault.DoubledFrame)).Inc()
 	if state == fence.Refused {
 		a.fence.Set(now, c.ID, fence.Refused)
-		refuse := a.refusal(fault.DoubledFrame, fault.NotRun, "the attempt was refused before")
+		refuse := a.newRefusal(fault.DoubledFrame, fault.NotRun, "the attempt was refused before")
 		refuse.ID = c.ID
 		a.send(s, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
 	}
 	return true
 }
 
-// check returns why a new call can't be taken at all, or nil.
+// check returns a refusal if a new call cannot be accepted, else nil.
 func (a *Agent) check(now clock.Millis, c *wire.Call) *wire.Refuse {
 	switch {
 	case c.ID.Request == "":
-		return a.refusal(fault.BadRequest, fault.NotRun, "call without a request")
+		return a.newRefusal(fault.BadRequest, fault.NotRun, "call has no request ID")
 	case c.Endpoint != "" && c.Endpoint != a.settings.Endpoint:
-		return a.refusal(fault.WrongEndpoint, fault.NotRun, "this is endpoint "+a.settings.Endpoint)
+		return a.newRefusal(fault.WrongEndpoint, fault.NotRun, "this agent serves endpoint "+a.settings.Endpoint)
 	case c.Target != 0 && c.Target != a.incarnation:
-		// Whether the incarnation that was meant ran it can't be known here.
-		return a.refusal(fault.WrongEndpoint, fault.MayHaveRun, "this is another incarnation")
+		// The incarnation to which the call was sent may have run it.
+		return a.newRefusal(fault.WrongEndpoint, fault.MayHaveRun, "the call was sent to another incarnation of this agent")
 	case c.TimeLeft <= 0:
-		return a.refusal(fault.DeadlinePassed, fault.NotRun, "no time left")
+		return a.newRefusal(fault.DeadlinePassed, fault.NotRun, "no time left")
 	case a.drain.Reason() != "":
-		return a.refusal(a.drain.Reason(), fault.NotRun, "")
+		return a.newRefusal(a.drain.Reason(), fault.NotRun, "")
 	case a.caller == nil:
-		return a.refusal(fault.EndpointFailed, fault.NotRun, "endpoint can't be called")
+		return a.newRefusal(fault.EndpointFailed, fault.NotRun, "endpoint address cannot be used")
 	case !a.keep.HasRoom(c.Organisation):
-		return a.refusal(fault.Overloaded, fault.NotRun, "answers wait to be acknowledged")
+		return a.newRefusal(fault.Overloaded, fault.NotRun, "memory for unacknowledged answers is short")
 	}
 	return a.checkKey(now, c)
 }
 
-// checkKey holds the calls that may not be repeated to one run for each key.
+// checkKey reserves the key of a call that is not idempotent, so that only one call
+// with this key runs. It returns a refusal if the key is in use, else nil.
 func (a *Agent) checkKey(now clock.Millis, c *wire.Call) *wire.Refuse {
 	if c.Idempotent {
 		return nil
 	}
-	switch a.fence.KeyState(onceKey(c)) {
+	switch a.fence.KeyState(runOnceKey(c)) {
 	case fence.Open:
-		return a.refusal(fault.KeyInUse, fault.MayHaveRun, "a call with this key is open")
+		return a.newRefusal(fault.KeyInUse, fault.MayHaveRun, "a call with this key is open")
 	case fence.Ended:
-		return a.refusal(fault.KeyDone, fault.DidRun, "a call with this key has run")
+		return a.newRefusal(fault.KeyDone, fault.DidRun, "a call with this key has run")
 	default:
-		if !a.fence.SetKey(now, onceKey(c), fence.Open) {
-			return a.refusal(fault.Overloaded, fault.NotRun, "too many keys are open")
+		if !a.fence.SetKey(now, runOnceKey(c), fence.Open) {
+			return a.newRefusal(fault.Overloaded, fault.NotRun, "too many keys are open")
 		}
 		return nil
 	}
 }
 
-// onceKey is what a call that may not be repeated is known by: the caller's
-// key within its organisation, or else the request's stage, so that a second
-// try of it can't run either.
-func onceKey(c *wire.Call) string {
+// runOnceKey returns the key that identifies a call that is not idempotent. It is
+// the caller's idempotency key, which is unique within its organisation and path.
+// Without one, it is the stage of the request, so that a second attempt of the
+// stage cannot run either.
+func runOnceKey(c *wire.Call) string {
 	if c.Key != "" {
 		return "key/" + c.Organisation + "/" + c.Path + "/" + c.Key
 	}
 	return "stage/" + token.Attempt{Request: c.ID.Request, Stage: c.ID.Stage}.String()
 }
 
-// enter opens the books for a call that may run.
-func (a *Agent) enter(now clock.Millis, s *sess.Session, c *wire.Call) *attempt {
+// openAttempt records a call that has passed all checks and returns its attempt.
+func (a *Agent) openAttempt(now clock.Millis, s *sess.Session, c *wire.Call) *attempt {
 	at := &attempt{
 		call: c, session: s, arrived: now,
 		expires: now + min(c.TimeLeft, maxTimeLeft),
 	}
 	if !c.Idempotent {
-		at.key = onceKey(c)
+		at.key = runOnceKey(c)
 	}
 	a.fence.Set(now, c.ID, fence.Open)
 	a.keep.Open(c.ID, c.Organisation, at.expires)
@@ -159,23 +163,25 @@
 	return item
 }
 
-// refusal builds a refusal without its attempt.
-func (a *Agent) refusal(reason fault.Reason, ran fault.Ran, detail string) *wire.Refuse {
-	return &wire.Refuse{Reason: reason, Ran: ran, Detail: detail, Load: a.loadNow()}
+// newRefusal returns a refusal without attempt ID.
+func (a *Agent) newRefusal(reason fault.Reason, ran fault.Ran, detail string) *wire.Refuse {
+	return &wire.Refuse{Reason: reason, Ran: ran, Detail: detail, Load: a.currentLoad()}
 }
 
-// refuseNew refuses a call that was never opened. The fence comes first: what
-// is called not run must not run when a second copy of the frame arrives.
+// refuseNew refuses a call that was not opened. It first records the attempt as
+// refused: a call that is refused as not run must not run when a duplicate of its
+// frame arrives. If the attempt cannot be recorded, the refusal states that the
+// call may have run.
 func (a *Agent) refuseNew(now clock.Millis, s *sess.Session, c *wire.Call, refuse *wire.Refuse) {
 	if !a.fence.Set(now, c.ID, fence.Refused) && refuse.Ran == fault.NotRun {
 		refuse.Ran = fault.MayHaveRun
 	}
 	refuse.ID = c.ID
-	a.meter.refuse(refuse)
+	a.meter.countRefusal(refuse)
 	a.send(s, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
 }
 
-// refuseOpen ends an open attempt without an answer.
+// refuseOpen ends an open attempt with a refusal.
 func (a *Agent) refuseOpen(now clock.Millis, at *attempt, refuse *wire.Refuse) {
 	refuse.ID = at.call.ID
 	if refuse.Ran == fault.NotRun {
@@ -184,28 +190,28 @@
 			a.fence.ReleaseKey(at.key)
 		}
 	} else {
-		a.ended(now, at)
+		a.markEnded(now, at)
 	}
-	a.meter.refuse(refuse)
+	a.meter.countRefusal(refuse)
 	a.keep.Refuse(at.call.ID, refuse)
 	a.send(at.session, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
-	a.close(at)
+	a.removeOpen(at)
 }
 
-// ended marks an attempt and its key as run.
-func (a *Agent) ended(now clock.Millis, at *attempt) {
+// markEnded records that an attempt and its key have run.
+func (a *Agent) markEnded(now clock.Millis, at *attempt) {
 	a.fence.Set(now, at.call.ID, fence.Ended)
 	if at.key != "" {
 		a.fence.SetKey(now, at.key, fence.Ended)
 	}
 }
 
-func (a *Agent) refuseWaiting(now clock.Millis, at *attempt, reason fault.Reason) {
-	a.refuseOpen(now, at, a.refusal(reason, fault.NotRun, "waited and did not run"))
+func (a *Agent) refuseQueued(now clock.Millis, at *attempt, reason fault.Reason) {
+	a.refuseOpen(now, at, a.newRefusal(reason, fault.NotRun, "the call was queued and did not run"))
 }
 
-// close takes an attempt out of the open ones.
-func (a *Agent) close(at *attempt) {
+// removeOpen removes an attempt from the open attempts.
+func (a *Agent) removeOpen(at *attempt) {
 	delete(a.open, at.call.ID)
-	a.noteIdle()
+	a.closeIdleIfDone()
 }
--- a/internal/serve/agent/once_test.go
+++ b/internal/serve/agent/once_test.go
@@ -17,13 +17,13 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plain"
 )
 
-func booking(key string) wire.Call {
+func newBooking(key string) wire.Call {
 	return wire.Call{Method: http.MethodPost, Path: "/bookings", Key: key, Body: []byte(`{"echo":"` + key + `"}`)}
 }
 
-// The connection to the service breaks at every possible moment of a booking.
-// The caller must never hear "not run" of a booking that ran, and the service
-// must never see it twice.
+// The connection to the service is closed before, during and after a booking. The
+// test guards against the answer "not run" for a booking that ran, and against a
+// second run.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -38,31 +38,32 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			service := plain.New()
-			_, address := startAgent(t, manif.KindPlain, serve(t, service.Handler()))
-			p := dial(t, address).ready()
+			_, address := startAgent(t, manif.KindPlain, startServer(t, service.Handler()))
+			p := dial(t, address).awaitReady()
 			service.SetClose(tc.closeAt)
-			refuse := p.refusal(p.send(booking("k")))
+			refuse := p.refusal(p.send(newBooking("k")))
 			assert.Equal(t, refuse.Reason, fault.EndpointFailed)
 			assert.Equal(t, refuse.Ran, tc.ran)
 			assert.Equal(t, service.Runs("k"), tc.runs)
 			service.SetClose(plain.CloseNever)
-			assert.Equal(t, p.refusal(p.send(booking("k"))).Reason, fault.KeyDone)
+			assert.Equal(t, p.refusal(p.send(newBooking("k"))).Reason, fault.KeyDone)
 			assert.Equal(t, service.Runs("k"), tc.runs)
 		})
 	}
 }
 
-// A frame arrives again, or long after the agent has answered for its attempt.
-// Run then, a booking that was called "not run" would run here and elsewhere.
-func TestLateAndDoubledFrames(t *testing.T) {
-	setUp := func(t *testing.T) (*plain.Plain, *spread.Holder, *peer) {
-		service, holder := plain.New(), holderOf(manif.KindPlain, 2, 8)
-		_, address := startAgent(t, manif.KindPlain, serve(t, service.Handler()), agent.WithHolder(holder))
-		return service, holder, dial(t, address).ready()
+// A call frame arrives twice, or long after the agent has answered for its attempt.
+// The test guards against running a booking that was reported as not run: it may
+// have been retried elsewhere and would run twice.
+func TestLateAndDuplicateFrames(t *testing.T) {
+	setUp := func(t *testing.T) (*plain.Plain, *spread.Holder, *testEntry) {
+		service, holder := plain.New(), newHolder(manif.KindPlain, 2, 8)
+		_, address := startAgent(t, manif.KindPlain, startServer(t, service.Handler()), agent.WithHolder(holder))
+		return service, holder, dial(t, address).awaitReady()
 	}
-	t.Run("doubled after its end", func(t *testing.T) {
+	t.Run("duplicate after its end", func(t *testing.T) {
 		service, _, p := setUp(t)
-		c := booking("k")
+		c := newBooking("k")
 		c.ID = p.send(c)
 		end, refuse := p.result(c.ID)
 		assert.Assert(t, end != nil, "%+v", refuse)
@@ -74,7 +75,7 @@
 	t.Run("late after its refusal", func(t *testing.T) {
 		service, holder, p := setUp(t)
 		setZone(holder, spread.ZoneLeft)
-		c := booking("k")
+		c := newBooking("k")
 		c.ID = p.send(c)
 		refuse := p.refusal(c.ID)
 		assert.Equal(t, refuse.Reason, fault.ZoneLeft)
@@ -83,13 +84,13 @@
 		p.send(c)
 		assert.Equal(t, p.refusal(c.ID).Reason, fault.DoubledFrame)
 		assert.Equal(t, service.Runs("k"), 0)
-		end, _ := p.result(p.send(booking("k"))) // the key itself is free
+		end, _ := p.result(p.send(newBooking("k"))) // the key itself is free
 		assert.Assert(t, end != nil)
 	})
 	t.Run("late after an ask on another session", func(t *testing.T) {
 		service, _, old := setUp(t)
 		fresh := dial(t, old.address)
-		c := booking("k")
+		c := newBooking("k")
 		c.ID.Request = "late"
 		assert.Equal(t, fresh.ask(c.ID, old.s.Peer().Incarnation, 0), wire.StateRefused)
 		assert.Equal(t, fresh.refusal(c.ID).Ran, fault.NotRun)
@@ -97,15 +98,15 @@
 		assert.Equal(t, old.refusal(c.ID).Ran, fault.NotRun)
 		assert.Equal(t, service.Runs("k"), 0)
 	})
-	t.Run("asked by an entry that was away for long", func(t *testing.T) {
-		_, _, p := setUp(t) // the agent remembers no session of it before this one
-		c := booking("k")
+	t.Run("ask of an entry without an earlier session", func(t *testing.T) {
+		_, _, p := setUp(t) // the agent has no record of an earlier session of this entry
+		c := newBooking("k")
 		c.ID.Request = "forgotten"
 		assert.Equal(t, p.ask(c.ID, p.s.Peer().Incarnation, 0), wire.StateUnknown)
 	})
 	t.Run("late after a cancellation", func(t *testing.T) {
 		service, _, p := setUp(t)
-		c := booking("k")
+		c := newBooking("k")
 		c.ID.Request = "late"
 		assert.NilError(t, p.s.Send(&wire.Frame{Kind: wire.KindCancel, Cancel: &wire.Cancel{ID: c.ID}}))
 		p.send(c)
@@ -114,17 +115,17 @@
 	})
 }
 
-// The agent was replaced since the call went out. The new one can't know
-// whether the old one ran it, and must not call it "not run".
-func TestOtherIncarnationDoesNotKnow(t *testing.T) {
+// The agent was replaced after the call was sent. The test guards against the
+// answer "not run" from the new agent, because the old one may have run the call.
+func TestOutcomeIsUnknownToAnotherIncarnation(t *testing.T) {
 	service := plain.New()
-	_, address := startAgent(t, manif.KindPlain, serve(t, service.Handler()))
-	p := dial(t, address).ready()
+	_, address := startAgent(t, manif.KindPlain, startServer(t, service.Handler()))
+	p := dial(t, address).awaitReady()
 	other := p.s.Peer().Incarnation + 1
-	id := booking("k").ID
+	id := newBooking("k").ID
 	id.Request = "old"
 	assert.Equal(t, p.ask(id, other, 0), wire.StateUnknown)
-	c := booking("k")
+	c := newBooking("k")
 	c.Target = other
 	refuse := p.refusal(p.send(c))
 	assert.Equal(t, refuse.Reason, fault.WrongEndpoint)
@@ -137,48 +138,49 @@
 	assert.Equal(t, service.Runs("k"), 0)
 }
 
-// The same key comes through two entries at once: the second must not run,
-// and must not hear that nothing ran.
+// Two entries send calls with the same key at once. The second call must not run, and
+// must not be refused as not run, because the first one may have run.
 func TestKeyInUse(t *testing.T) {
 	service := plain.New(plain.WithWork(time.Minute))
-	_, address := startAgent(t, manif.KindPlain, serve(t, service.Handler()))
-	one, two := dial(t, address).ready(), dial(t, address)
-	first := booking("k")
+	_, address := startAgent(t, manif.KindPlain, startServer(t, service.Handler()))
+	one, two := dial(t, address).awaitReady(), dial(t, address)
+	first := newBooking("k")
 	first.ID.Request = "first"
 	one.send(first)
-	until(t, "first runs", func() bool { return service.Runs("k") == 1 })
-	refuse := two.refusal(two.send(booking("k")))
+	waitFor(t, "first call runs", func() bool { return service.Runs("k") == 1 })
+	refuse := two.refusal(two.send(newBooking("k")))
 	assert.Equal(t, refuse.Reason, fault.KeyInUse)
 	assert.Equal(t, refuse.Ran, fault.MayHaveRun)
 	assert.Equal(t, service.Runs("k"), 1)
 }
 
+// A call must be refused as not run if no connection to the service can be opened.
 func TestNoConnectionIsNotRun(t *testing.T) {
 	service := plain.New()
-	server := serve(t, service.Handler())
+	server := startServer(t, service.Handler())
 	_, address := startAgent(t, manif.KindPlain, "http://127.0.0.1:1")
 	_ = server
 	p := dial(t, address)
-	refuse := p.refusal(p.send(booking("k")))
+	refuse := p.refusal(p.send(newBooking("k")))
 	assert.Equal(t, refuse.Ran, fault.NotRun)
 }
 
-// The agent's host is busy while a session opens, and the entry loses its first
-// session right afterwards. It asks on a second one what became of a call. The
-// agent heard that entry a moment ago and can say "not run"; "unknown" would
-// cost the caller of a booking its answer.
+// The agent is slow while a session opens, and right afterwards the entry asks
+// about a call on a second session. The test guards against the answer "unknown",
+// which would fail the caller's booking: the entry was connected a moment ago, so
+// the agent can answer "not run".
 func TestAskRightAfterTheSessionOpened(t *testing.T) {
 	service := plain.New()
-	_, address := startAgent(t, manif.KindPlain, serve(t, service.Handler()), agent.WithLog(slowLog()))
-	c := booking("k")
+	_, address := startAgent(t, manif.KindPlain, startServer(t, service.Handler()), agent.WithLog(slowLog()))
+	c := newBooking("k")
 	c.ID.Request = "late"
-	old := dial(t, address).ready()
+	old := dial(t, address).awaitReady()
 	fresh := dial(t, address)
 	assert.Equal(t, fresh.ask(c.ID, old.s.Peer().Incarnation, 0), wire.StateRefused)
 	assert.Equal(t, fresh.refusal(c.ID).Ran, fault.NotRun)
 }
 
-// slowLog returns a logger that holds up whoever writes that a session opened.
+// slowLog returns a logger that blocks for 300 ms on the line "session open".
 func slowLog() *log.Logger {
 	l := log.New(&slowWriter{})
 	l.SetLevel(log.DebugLevel)
--- a/internal/serve/agent/order.go
+++ b/internal/serve/agent/order.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// DefaultWeightSlots is how many engines of the whole deployment load
-	// weights at once: the weight store is rate-limited.
+	// DefaultWeightSlots is the maximum number of engines in the whole deployment
+	// that load weights at once. The weight store is rate-limited.
 	DefaultWeightSlots = 4
-	orderPause         = 2 * clock.Second
-	orderLease         = "leases/orders/"
-	weightSlots        = "slots/weights"
+	reconcileInterval  = 2 * clock.Second
+	orderLeasePrefix   = "leases/orders/"
+	weightSlotPrefix   = "slots/weights"
 )
 
-// orders brings the engine's models to those that the manifest wants.
+// orders holds what the agent needs to make the loaded models of its engine equal to
+// those in the manifest.
 type orders struct {
-	caller *call.Caller
-	slots  int
-	poke   chan struct{}
-	total  *prometheus.CounterVec
+	caller   *call.Caller
+	slots    int
+	wake     chan struct{}
+	outcomes *prometheus.CounterVec
 }
 
-// WithOrders lets the agent order its engine to load and unload models, with
-// leases in the platform, and no more than so many loads at once in the whole
-// deployment.
+// WithOrders makes the agent send its engine orders to load and unload models. The
+// agent uses leases in the platform for this. At most slots engines of the whole
+// deployment load weights at once.
 func WithOrders(caller *call.Caller, slots int) Option {
 	return func(a *Agent) {
-		a.orders = &orders{caller: caller, slots: slots, poke: make(chan struct{}, 1), total: prometheus.NewCounterVec(
+		a.orders = &orders{caller: caller, slots: slots, wake: make(chan struct{}, 1), outcomes: prometheus.NewCounterVec(
 			prometheus.CounterOpts{
 				Name: "jujubescale_agent_orders_total",
 				Help: "Orders to the engine by operation and outcome.",
@@ -46,40 +47,40 @@
 	}
 }
 
-// beginOrders starts the reconciliation on model engines.
-func (a *Agent) beginOrders() {
+// startOrders starts the reconciliation if the endpoint is a model engine.
+func (a *Agent) startOrders() {
 	if a.orders == nil {
 		return
 	}
-	a.registerer.MustRegister(a.orders.total)
+	a.registerer.MustRegister(a.orders.outcomes)
 	if a.settings.Kind != manif.KindGenerate {
 		return
 	}
 	a.group.Go(func() { a.reconcile(a.base) })
 }
 
-// reconcile looks again and again what differs between what the engine has
-// loaded and what the manifest wants. An order whose answer was lost, and a
-// model that vanished with a restart of the engine, show in the next look.
+// reconcile periodically compares the models that the engine has loaded with those
+// that the manifest lists, and orders the changes. The next comparison also covers
+// an order whose answer was lost, and models that the engine lost in a restart.
 func (a *Agent) reconcile(ctx context.Context) {
 	reader := load.New(a.settings.EndpointURL, func(load.Reading) {}, load.WithClock(a.clock))
 	sender := order.NewClient(a.settings.EndpointURL, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}})
 	holder := a.settings.Process + "/" + a.incarnation.String()
-	held := lease.New(a.orders.caller.Store(call.Lease), orderLease+a.settings.Pool+"/"+a.settings.Endpoint, holder, lease.WithClock(a.clock))
-	places := slot.New(a.orders.caller.Store(call.Lease), weightSlots, a.orders.slots, holder, slot.WithClock(a.clock))
+	engineLease := lease.New(a.orders.caller.Store(call.Lease), orderLeasePrefix+a.settings.Pool+"/"+a.settings.Endpoint, holder, lease.WithClock(a.clock))
+	loadSlots := slot.New(a.orders.caller.Store(call.Lease), weightSlotPrefix, a.orders.slots, holder, slot.WithClock(a.clock))
 	var giver *order.Giver
 	for ctx.Err() == nil {
-		if pool := a.wantedPool(); pool != nil {
+		if pool := a.currentPool(); pool != nil {
 			if giver == nil {
-				giver = order.NewGiver(a.clock, held, pool.Fencing != manif.FencingChecked, sender.Send)
+				giver = order.NewGiver(a.clock, engineLease, pool.Fencing != manif.FencingChecked, sender.Send)
 			}
-			a.align(ctx, pool, reader, giver, places)
+			a.applyOrders(ctx, pool, reader, giver, loadSlots)
 		}
-		a.awaitOrders(ctx)
+		a.waitForOrders(ctx)
 	}
 }
 
-func (a *Agent) wantedPool() *manif.Pool {
+func (a *Agent) currentPool() *manif.Pool {
 	release := a.holder.Current()
 	if release == nil {
 		return nil
@@ -90,36 +91,37 @@
 	return nil
 }
 
-func (a *Agent) awaitOrders(ctx context.Context) {
-	due, stop := a.clock.After(orderPause)
+func (a *Agent) waitForOrders(ctx context.Context) {
+	due, stop := a.clock.After(reconcileInterval)
 	defer stop()
 	select {
 	case <-due:
-	case <-a.orders.poke:
+	case <-a.orders.wake:
 	case <-ctx.Done():
 	}
 }
 
-// align gives the orders that are due, one after another, until one fails.
-func (a *Agent) align(ctx context.Context, pool *manif.Pool, reader *load.Poller, giver *order.Giver, places *slot.Slots) {
+// applyOrders sends the orders that the engine needs, one after another, until one
+// fails.
+func (a *Agent) applyOrders(ctx context.Context, pool *manif.Pool, reader *load.Poller, giver *order.Giver, loadSlots *slot.Slots) {
 	reading := reader.Read(ctx)
 	if reading.Report == nil {
-		return // what is loaded is unknown, so nothing is ordered
+		return // no order can be planned: the loaded models are unknown
 	}
 	for _, next := range order.Plan(pool.Models, pool.Role, reading.Report.Models, reading.Report.Role) {
-		give := func(ctx context.Context) error { return giver.Give(ctx, next) }
+		send := func(ctx context.Context) error { return giver.Give(ctx, next) }
 		var err error
 		if next.Loads() {
-			err = places.Do(ctx, give)
+			err = loadSlots.Do(ctx, send)
 		} else {
-			err = give(ctx)
+			err = send(ctx)
 		}
-		a.orders.total.WithLabelValues(string(next.Op), orderOutcome(err)).Inc()
+		a.orders.outcomes.WithLabelValues(string(next.Op), orderOutcome(err)).Inc()
 		if err != nil {
-			a.log.Warn("order not carried out", "op", next.Op, "model", next.Model, "version", next.Version, "error", err)
+			a.log.Warn("order to the engine failed", "op", next.Op, "model", next.Model, "version", next.Version, "error", err)
 			return
 		}
-		a.log.Info("order carried out", "op", next.Op, "model", next.Model, "version", next.Version, "adapter", next.Adapter)
+		a.log.Info("order to the engine completed", "op", next.Op, "model", next.Model, "version", next.Version, "adapter", next.Adapter)
 	}
 }
 
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -14,14 +14,14 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Causes that end a run early, besides its deadline.
+// Reasons other than the deadline why a run is stopped early.
 var (
 	errCancelled = errors.New("cancelled by the entry")
 	errFailing   = errors.New("endpoint does not answer")
-	errCut       = errors.New("cut by a stop that ran out of time")
+	errCut       = errors.New("cut at the time limit of a planned stop")
 )
 
-// start runs an admitted attempt. The lock is held.
+// start starts the run of an admitted attempt. The caller holds the lock.
 func (a *Agent) start(at *attempt, ticket admit.Ticket) {
 	at.ticket = ticket
 	ctx, stop := context.WithCancelCause(a.base)
@@ -39,41 +39,43 @@
 	request := &call.Request{
 		ID: at.call.ID.String(), Idempotent: at.call.Idempotent, Key: at.call.Key, TimeLeft: left,
 		Method: at.call.Method, Path: at.call.Path, Body: at.call.Body,
-		Model: at.call.Model, Priority: at.call.Priority, Cut: a.doubt,
+		Model: at.call.Model, Priority: at.call.Priority, Cut: a.markSuspect,
 	}
 	began := time.Now()
-	answer, err := a.perform(ctx, request, func(bytes []byte) error { return a.part(at, bytes) })
+	answer, err := a.callEndpoint(ctx, request, func(bytes []byte) error { return a.appendPart(at, bytes) })
 	a.finish(at, &answer, ctx, err, time.Since(began))
 }
 
-// doubt is told of a stream that was cut. Its engine may have fallen over, and
-// taking the stream up again takes a while; new work at the full limit would
-// fell the engine again meanwhile. The next report tells which it was.
-func (a *Agent) doubt() {
+// markSuspect handles the interruption of an engine stream. The engine may have
+// restarted and be cold, and new work at the full limit would overload it again
+// while the stream is being resumed. At most the cold limit applies until the next
+// liveness signal. The load report that is requested here shows whether the engine
+// restarted.
+func (a *Agent) markSuspect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.gate.MarkSuspect(a.clock.Now())
 	a.poller.Poke()
 }
 
-func (a *Agent) perform(ctx context.Context, request *call.Request, take call.Taker) (call.Answer, error) {
+func (a *Agent) callEndpoint(ctx context.Context, request *call.Request, appendBytes call.Taker) (call.Answer, error) {
 	switch a.settings.Kind {
 	case manif.KindGenerate:
-		return a.caller.Generate(ctx, request, take)
+		return a.caller.Generate(ctx, request, appendBytes)
 	case manif.KindPlain:
-		return a.caller.Plain(ctx, request, take)
+		return a.caller.Plain(ctx, request, appendBytes)
 	default:
-		return a.caller.Run(ctx, request, take)
+		return a.caller.Run(ctx, request, appendBytes)
 	}
 }
 
-// part keeps bytes of an answer and sends them on.
-func (a *Agent) part(at *attempt, bytes []byte) error {
+// appendPart stores bytes of an answer and sends them to the entry.
+func (a *Agent) appendPart(at *attempt, bytes []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
 	a.gate.MarkAlive(now)
-	a.watch.heard = now
+	a.watch.lastByteAt = now
 	offset, err := a.keep.Append(now, at.call.ID, bytes)
 	if err != nil {
 		return err
@@ -82,61 +84,62 @@
 	return nil
 }
 
-// sendPart sends the kept bytes from an offset on. They may be shared with the
-// frame because kept bytes never change.
+// sendPart sends the stored bytes of an answer from an offset on. The frames share
+// the memory of the stored bytes, which never change.
 func (a *Agent) sendPart(at *attempt, offset int64) {
-	for _, part := range partsOf(a.keep.Get(at.call.ID).Bytes, offset) {
+	for _, part := range splitParts(a.keep.Get(at.call.ID).Bytes, offset) {
 		part.ID = at.call.ID
 		a.send(at.session, &wire.Frame{Kind: wire.KindPart, Part: part})
 	}
 }
 
-// partBytes bounds one part; a larger one would not fit into a message.
-const partBytes = 256 << 10
+// maxPartBytes is the maximum length of a part. A larger part would not fit into a
+// message.
+const maxPartBytes = 256 << 10
 
-func partsOf(bytes []byte, offset int64) []*wire.Part {
+func splitParts(bytes []byte, offset int64) []*wire.Part {
 	var parts []*wire.Part
 	for from := max(offset, 0); from < int64(len(bytes)); {
-		to := min(from+partBytes, int64(len(bytes)))
+		to := min(from+maxPartBytes, int64(len(bytes)))
 		parts = append(parts, &wire.Part{Offset: from, Bytes: bytes[from:to:to]})
 		from = to
 	}
 	return parts
 }
 
-// finish takes the end of a run, and starts what waited for its place.
-func (a *Agent) finish(at *attempt, answer *call.Answer, ctx context.Context, err error, took time.Duration) { //nolint:revive // the context is a result here: its cause tells why the run ended
+// finish handles the end of a run and starts queued attempts.
+func (a *Agent) finish(at *attempt, answer *call.Answer, ctx context.Context, err error, took time.Duration) { //nolint:revive // the context is a result here: its cause is the reason why the run ended
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	spent := max(answer.EngineTime, clock.FromDuration(took))
-	a.gate.Done(now, at.ticket, outcomeOf(err))
-	a.meter.engineTime(took, err == nil)
+	engineTime := max(answer.EngineTime, clock.FromDuration(took))
+	a.gate.Done(now, at.ticket, gateOutcome(err))
+	a.meter.countEngineTime(took, err == nil)
 	if err == nil {
-		a.finishWhole(now, at, answer, spent)
+		a.finishAnswered(now, at, answer, engineTime)
 	} else {
-		refuse := a.explain(ctx, err)
-		refuse.EngineTime = spent
+		refuse := a.runRefusal(ctx, err)
+		refuse.EngineTime = engineTime
 		a.refuseOpen(now, at, refuse)
 	}
-	a.pump(now)
+	a.startQueued(now)
 }
 
-func (a *Agent) finishWhole(now clock.Millis, at *attempt, answer *call.Answer, spent clock.Millis) {
+func (a *Agent) finishAnswered(now clock.Millis, at *attempt, answer *call.Answer, engineTime clock.Millis) {
 	end := &wire.End{
 		Status: answer.Status, ContentType: answer.ContentType, Tokens: answer.Tokens,
-		EngineTime: spent, Load: a.loadNow(),
+		EngineTime: engineTime, Load: a.currentLoad(),
 	}
 	a.keep.Finish(at.call.ID, end)
-	a.ended(now, at)
-	a.watch.heard = now
+	a.markEnded(now, at)
+	a.watch.lastByteAt = now
 	a.meter.answers.Inc()
 	a.send(at.session, &wire.Frame{Kind: wire.KindEnd, End: end})
-	a.close(at)
+	a.removeOpen(at)
 }
 
-// outcomeOf is what the end of a run says about the endpoint.
-func outcomeOf(err error) admit.Outcome {
+// gateOutcome returns the outcome of a run for the admission gate.
+func gateOutcome(err error) admit.Outcome {
 	var failed *call.FailedError
 	var status *call.StatusError
 	switch {
@@ -151,9 +154,9 @@
 	}
 }
 
-// explain turns the error of a run into its refusal. Only a call that never
-// got a connection may be said not to have run.
-func (a *Agent) explain(ctx context.Context, err error) *wire.Refuse {
+// runRefusal returns the refusal for a run that failed. It states that the work did
+// not run only if the request was invalid or no connection was established.
+func (a *Agent) runRefusal(ctx context.Context, err error) *wire.Refuse {
 	var failed *call.FailedError
 	var status *call.StatusError
 	var invalid *fault.InvalidError
@@ -161,27 +164,27 @@
 	var large *call.TooLargeError
 	switch {
 	case errors.As(err, &failed) && failed.Ran == fault.NotRun:
-		return a.refusal(fault.EndpointFailed, fault.NotRun, err.Error())
+		return a.newRefusal(fault.EndpointFailed, fault.NotRun, err.Error())
 	case errors.As(err, &invalid):
-		return a.refusal(fault.BadRequest, fault.NotRun, err.Error())
+		return a.newRefusal(fault.BadRequest, fault.NotRun, err.Error())
 	case errors.As(err, &full), errors.As(err, &large):
-		return a.refusal(fault.AnswerBroken, fault.DidRun, err.Error())
+		return a.newRefusal(fault.AnswerBroken, fault.DidRun, err.Error())
 	case ctx.Err() != nil:
-		return a.refusal(reasonOf(ctx), fault.MayHaveRun, context.Cause(ctx).Error())
+		return a.newRefusal(contextReason(ctx), fault.MayHaveRun, context.Cause(ctx).Error())
 	case errors.As(err, &failed):
-		// Also when the engine says that it does not know the stream any more: it
-		// restarted, and another endpoint can answer.
-		return a.refusal(fault.EndpointFailed, fault.MayHaveRun, err.Error())
+		// This includes an engine that no longer knows the stream. It has restarted,
+		// and another endpoint can answer the call.
+		return a.newRefusal(fault.EndpointFailed, fault.MayHaveRun, err.Error())
 	case errors.As(err, &status):
-		refuse := a.refusal(statusReason(status), fault.MayHaveRun, status.Body)
+		refuse := a.newRefusal(statusReason(status), fault.MayHaveRun, status.Body)
 		refuse.Status = status.Status
 		return refuse
 	default:
-		return a.refusal(fault.EndpointFailed, fault.MayHaveRun, err.Error())
+		return a.newRefusal(fault.EndpointFailed, fault.MayHaveRun, err.Error())
 	}
 }
 
-func reasonOf(ctx context.Context) fault.Reason {
+func contextReason(ctx context.Context) fault.Reason {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
@@ -197,25 +200,26 @@
 
 const firstServerStatus = 500
 
-func statusReason(status *call.StatusError) fault.Reason {
-	if status.Status >= firstServerStatus && !status.Busy() {
+func statusReason(err *call.StatusError) fault.Reason {
+	if err.Status >= firstServerStatus && !err.Busy() {
 		return fault.EndpointFailed
 	}
 	return fault.BackendRejected
 }
 
-// pump starts waiting work for which there is room now. The lock is held.
-func (a *Agent) pump(now clock.Millis) {
+// startQueued starts queued attempts as far as the limit allows. The caller holds
+// the lock.
+func (a *Agent) startQueued(now clock.Millis) {
 	if a.closed {
 		return
 	}
-	late := func(at *attempt) { a.refuseWaiting(now, at, fault.WontMakeIt) }
+	late := func(at *attempt) { a.refuseQueued(now, at, fault.WontMakeIt) }
 	for {
 		at, ticket, ok := a.gate.Next(now, late)
 		if !ok {
 			return
 		}
-		a.meter.waited.Observe((now - at.arrived).Duration().Seconds())
+		a.meter.queueSeconds.Observe((now - at.arrived).Duration().Seconds())
 		a.start(at, ticket)
 	}
 }
--- a/internal/serve/agent/share.go
+++ b/internal/serve/agent/share.go
@@ -7,43 +7,44 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// WithSharing adds options to the sharing of the agent, such as a way to the
-// platform.
+// WithSharing adds options of the node that shares the configuration, such as access
+// to the platform.
 func WithSharing(opts ...node.Option) Option {
-	return func(a *Agent) { a.sharing = append(a.sharing, opts...) }
+	return func(a *Agent) { a.nodeOptions = append(a.nodeOptions, opts...) }
 }
 
-// share starts the sharing: the configuration comes over the sessions of
-// entries.
-func (a *Agent) share() {
+// startSharing starts the node that receives the configuration. Entries send it over
+// their sessions.
+func (a *Agent) startSharing() {
 	place := avail.Place{
 		AvailabilityZone: a.settings.AvailabilityZone, Pool: a.settings.Pool, Endpoint: a.settings.Endpoint,
 	}
 	opts := append([]node.Option{
-		node.WithClock(a.clock), node.WithLog(a.log), node.WithAccepted(a.pokeOrders),
-	}, a.sharing...)
-	a.shared = node.NewAgent(place, a.holder, opts...)
-	a.shared.Run(a.base)
+		node.WithClock(a.clock), node.WithLog(a.log), node.WithAccepted(a.wakeOrders),
+	}, a.nodeOptions...)
+	a.node = node.NewAgent(place, a.holder, opts...)
+	a.node.Run(a.base)
 }
 
-// Refuses returns the reason why the agent takes no new work now, whatever
-// the entries believe: a planned stop, no configuration yet, its zone or endpoint
-// taken out, cut off from every other zone, or an endpoint that does not answer.
+// Refuses reports whether the agent currently refuses new work, and why: a planned
+// stop, no configuration yet, an evacuated availability zone, an endpoint taken out
+// of service, isolation from all other zones, or an endpoint that does not answer.
+// The reason applies even if entries have not received it yet.
 func (a *Agent) Refuses() (fault.Reason, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.follow(a.clock.Now())
+	a.applyShared(a.clock.Now())
 	reason := a.drain.Reason()
 	return reason, reason != ""
 }
 
-// pokeOrders lets the orders look at a new release at once.
-func (a *Agent) pokeOrders(*spread.Release) {
+// wakeOrders makes the reconciliation use a new release at once.
+func (a *Agent) wakeOrders(*spread.Release) {
 	if a.orders == nil {
 		return
 	}
 	select {
-	case a.orders.poke <- struct{}{}:
+	case a.orders.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/serve/agent/silent_test.go
+++ b/internal/serve/agent/silent_test.go
@@ -17,45 +17,46 @@
 	"github.com/jujubescale/jujubescale/internal/stand/engine"
 )
 
-// relay passes bytes on until it is told to lose track of its open connections:
-// it then swallows their bytes without a word, while new ones work.
-type relay struct {
-	listener net.Listener
-	target   string
-	lost     atomic.Int64
-	opened   atomic.Int64
+// lossyRelay forwards bytes between connections. Connections are numbered from 1 in
+// order of opening; the bytes of those up to droppedUpTo are discarded without an
+// error.
+type lossyRelay struct {
+	listener    net.Listener
+	target      string
+	droppedUpTo atomic.Int64
+	opened      atomic.Int64
 }
 
-func startRelay(t *testing.T, target string) *relay {
+func startLossyRelay(t *testing.T, target string) *lossyRelay {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	r := &relay{listener: listener, target: target}
+	r := &lossyRelay{listener: listener, target: target}
 	t.Cleanup(func() { assert.Check(t, listener.Close()) })
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", target)
+			server, err := net.Dial("tcp", target)
 			if err != nil {
-				_ = near.Close()
+				_ = client.Close()
 				return
 			}
 			number := r.opened.Add(1)
-			go r.pass(near, far, number)
-			go r.pass(far, near, number)
+			go r.forward(client, server, number)
+			go r.forward(server, client, number)
 		}
 	}()
 	return r
 }
 
-func (r *relay) pass(from, to net.Conn, number int64) {
+func (r *lossyRelay) forward(from, to net.Conn, number int64) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
-		if number <= r.lost.Load() {
+		if number <= r.droppedUpTo.Load() {
 			if err != nil {
 				return
 			}
@@ -68,25 +69,26 @@
 	}
 }
 
-// Something between entry and agent loses track of an open connection: neither
-// end hears of it. The caller would wait until its deadline; instead the session
-// ends after a few heartbeats, and a new one takes the stream up where it was.
+// A device between entry and agent drops all bytes of an open connection, and
+// neither side gets an error. The test guards against a caller that waits until its
+// deadline: the session must end after a few heartbeats, and the stream must resume
+// on a new session at its last offset.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	e := engine.New(engine.WithTimes(0, 0, 5*time.Millisecond), engine.WithTokens(100))
-	_, address := startAgent(t, manif.KindGenerate, serve(t, e.Handler()))
-	r := startRelay(t, address)
-	old := dial(t, r.listener.Addr().String(), sess.WithBeats(50, 20)).ready()
+	_, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()))
+	r := startLossyRelay(t, address)
+	old := dial(t, r.listener.Addr().String(), sess.WithBeats(50, 20)).awaitReady()
 	old.s.Busy(1)
 	id := old.send(wire.Call{Idempotent: true})
 	var got strings.Builder
 	for range 10 {
-		got.Write(old.take(id, wire.KindPart).Part.Bytes)
+		got.Write(old.receive(id, wire.KindPart).Part.Bytes)
 	}
-	r.lost.Store(r.opened.Load())
+	r.droppedUpTo.Store(r.opened.Load())
 	select {
 	case <-old.s.Done():
-	case <-time.After(patience):
-		t.Fatal("the silent session was not noticed")
+	case <-time.After(testTimeout):
+		t.Fatal("the silent session did not end")
 	}
 	var silent *sess.SilentError
 	assert.Assert(t, errors.As(old.s.Err(), &silent))
@@ -94,7 +96,7 @@
 	fresh := dial(t, r.listener.Addr().String())
 	fresh.ask(id, fresh.s.Peer().Incarnation, int64(got.Len()))
 	for {
-		f := fresh.take(id, wire.KindPart, wire.KindEnd)
+		f := fresh.receive(id, wire.KindPart, wire.KindEnd)
 		if f.Kind == wire.KindEnd {
 			assert.Equal(t, f.End.Length, int64(got.Len()))
 			assert.Equal(t, f.End.Digest, xxhash.Sum64String(got.String()))
--- a/internal/serve/agent/status.go
+++ b/internal/serve/agent/status.go
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/ops/build"
 )
 
-// Status returns what the agent says of itself on the operators' port.
+// Status returns the status that the agent shows on the operators' port.
 func (a *Agent) Status() admin.Status {
 	load := a.load()
 	reason, refuses := a.Refuses()
--- a/internal/serve/agent/stop.go
+++ b/internal/serve/agent/stop.go
@@ -8,70 +8,74 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// lingerMost is how long a planned stop waits, after the last work has ended, for
-// entries to take the answers and close their sessions.
-const lingerMost = 2 * clock.Second
+// sessionCloseTimeout is how long a planned stop waits for entries to receive their
+// answers and close their sessions after the last attempt has ended.
+const sessionCloseTimeout = 2 * clock.Second
 
-// StopResult says how a planned stop went.
+// StopResult is the result of a planned stop.
 type StopResult struct {
-	// Cut names the attempts that were ended because time ran out.
+	// Cut lists the IDs of the attempts that were cut at the time limit.
 	Cut []string
-	// Unacknowledged is how many answers were still kept at the end.
+	// Unacknowledged is the number of answers that entries had not acknowledged at
+	// the end.
 	Unacknowledged int
 }
 
-// Shutdown is a planned stop: it takes no new work, hands waiting work back as
-// not run, lets running work end and its answers be fetched, and then closes.
-// What still runs when the context ends is cut and reported.
+// Shutdown performs a planned stop. It refuses new and queued work as not run, waits
+// until running work has ended and entries have received the answers, and then
+// closes the agent. Attempts that are still open when the context ends are cut and
+// listed in the result.
 func (a *Agent) Shutdown(ctx context.Context) StopResult {
 	a.SetCause(drain.CauseLeaving, true)
-	a.awaitHeard(ctx)
+	a.awaitLeaveConfirmed(ctx)
 	a.mu.Lock()
-	a.noteIdle()
+	a.closeIdleIfDone()
 	a.mu.Unlock()
 	select {
 	case <-a.idle:
 	case <-ctx.Done():
 	}
-	stopped := StopResult{Cut: a.cutRest()}
-	stopped.Unacknowledged = a.linger(ctx)
-	a.end(errCut)
+	stopped := StopResult{Cut: a.cutOpen()}
+	stopped.Unacknowledged = a.awaitSessionsClosed(ctx)
+	a.closeWith(errCut)
 	a.log.Info("agent stopped", "endpoint", a.settings.Endpoint,
 		"cut", len(stopped.Cut), "unacknowledged", stopped.Unacknowledged)
 	return stopped
 }
 
-// leaveMark marks the heartbeat that follows the word that this agent leaves.
-const leaveMark = 1
+// leaveBeatMark marks the heartbeat that is sent after the leave frame.
+const leaveBeatMark = 1
 
-// heardGrace is how long a planned stop waits until every entry has heard of it.
-const heardGrace = 2 * clock.Second
+// leaveConfirmTimeout is how long a planned stop waits for all entries to confirm it.
+const leaveConfirmTimeout = 2 * clock.Second
 
-// awaitHeard waits until every entry has heard that this agent leaves. Calls
-// that were sent before are on their way still: if the session closed first,
-// they would be lost, and a booking among them could neither be repeated nor
-// called not run. A heartbeat follows the word on the same session, and an
-// entry sends no call after its answer.
-func (a *Agent) awaitHeard(ctx context.Context) {
+// awaitLeaveConfirmed waits until every entry has confirmed the planned stop, at most
+// leaveConfirmTimeout. Calls that an entry sent earlier may still be in transit. If
+// the session closed first, they would be lost, and a booking among them could
+// neither be retried nor be reported as not run. A heartbeat is sent after the leave
+// frame on the same session; an entry sends no call after it has answered the
+// heartbeat.
+func (a *Agent) awaitLeaveConfirmed(ctx context.Context) {
 	a.mu.Lock()
 	for s := range a.sessions {
-		a.unsure[s] = true
-		a.send(s, &wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Mark: leaveMark, Load: a.loadNow()}})
+		a.unconfirmed[s] = true
+		a.send(s, &wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Mark: leaveBeatMark, Load: a.currentLoad()}})
 	}
 	a.mu.Unlock()
-	until := a.clock.Now() + heardGrace
+	until := a.clock.Now() + leaveConfirmTimeout
 	for {
 		a.mu.Lock()
-		left := len(a.unsure)
+		unconfirmed := len(a.unconfirmed)
 		a.mu.Unlock()
-		if left == 0 || a.clock.Now() >= until || a.clock.Sleep(ctx, tick) != nil {
+		if unconfirmed == 0 || a.clock.Now() >= until || a.clock.Sleep(ctx, maintenanceInterval) != nil {
 			return
 		}
 	}
 }
 
-// noteIdle tells a planned stop that nothing is open any more. The lock is held.
-func (a *Agent) noteIdle() {
+// closeIdleIfDone closes the idle channel if a planned stop has begun and no attempt
+// is open. The caller holds the lock.
+func (a *Agent) closeIdleIfDone() {
 	if len(a.open) > 0 || !a.drain.Has(drain.CauseLeaving) {
 		return
 	}
@@ -82,8 +86,8 @@
 	}
 }
 
-// cutRest ends what still runs and names it.
-func (a *Agent) cutRest() []string {
+// cutOpen cancels all open attempts and returns their IDs.
+func (a *Agent) cutOpen() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var cut []string
@@ -96,16 +100,17 @@
 	return cut
 }
 
-// linger waits until every entry has closed its session, which it does once it
-// has nothing in flight here, and returns how many answers were still kept.
-// Those of attempts that an entry has given up are never acknowledged.
-func (a *Agent) linger(ctx context.Context) int {
-	until := a.clock.Now() + lingerMost
+// awaitSessionsClosed waits until every entry has closed its session, at most
+// sessionCloseTimeout, and returns the number of unacknowledged answers. An entry
+// closes its session once it has no attempt in flight here. It never acknowledges
+// the answers of attempts that it has abandoned.
+func (a *Agent) awaitSessionsClosed(ctx context.Context) int {
+	until := a.clock.Now() + sessionCloseTimeout
 	for {
 		a.mu.Lock()
 		kept, sessions := a.keep.Len(), len(a.sessions)
 		a.mu.Unlock()
-		if sessions == 0 || a.clock.Now() >= until || a.clock.Sleep(ctx, tick) != nil {
+		if sessions == 0 || a.clock.Now() >= until || a.clock.Sleep(ctx, maintenanceInterval) != nil {
 			return kept
 		}
 	}
--- a/internal/serve/agent/stop_test.go
+++ b/internal/serve/agent/stop_test.go
@@ -16,15 +16,15 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-// An operator stops the agent under load. What runs is answered, what waits
-// comes back as not run, and nothing is cut.
+// A planned stop under load: running calls must be answered, queued and new calls must
+// be refused as not run, and nothing may be cut.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	e := engine.New(engine.WithTimes(0, 0, 5*time.Millisecond), engine.WithTokens(40), engine.WithCapacity(slots.Config{Limit: 2, ColdLimit: 2}))
-	a, address := startAgent(t, manif.KindGenerate, serve(t, e.Handler()), agent.WithHolder(holderOf(manif.KindGenerate, 2, 2)))
-	p := dial(t, address).ready()
+	a, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()), agent.WithHolder(newHolder(manif.KindGenerate, 2, 2)))
+	p := dial(t, address).awaitReady()
 	first := p.send(wire.Call{Idempotent: true})
 	p.send(wire.Call{Idempotent: true})
-	until(t, "two run", func() bool { return e.Slots.State().Running == 2 })
+	waitFor(t, "two calls run", func() bool { return e.Slots.State().Running == 2 })
 	waiting := p.send(wire.Call{Idempotent: true})
 	assert.Equal(t, p.ask(waiting, 0, 0), wire.StateQueued)
 	stopped := make(chan agent.StopResult)
@@ -34,34 +34,35 @@
 	assert.Equal(t, refuse.Ran, fault.NotRun)
 	late := p.refusal(p.send(wire.Call{Idempotent: true}))
 	assert.Equal(t, late.Reason, fault.Leaving)
-	end := p.take(first, wire.KindEnd).End
+	end := p.receive(first, wire.KindEnd).End
 	assert.Equal(t, end.Tokens, int64(40))
-	// A call that was already on its way meets a process that still reads.
+	// The agent still answers a call that was in transit.
 	assert.Equal(t, p.refusal(p.send(wire.Call{})).Ran, fault.NotRun)
 	p.s.Close(nil)
 	result := <-stopped
 	assert.Equal(t, len(result.Cut), 0)
 }
 
-func TestStopThatRunsOutOfTimeSaysWhatItCut(t *testing.T) {
+// A planned stop at its time limit must cancel running work and report it.
+func TestPlannedStopReportsCutAttempts(t *testing.T) {
 	e := engine.New(engine.WithTimes(0, 0, time.Minute))
-	a, address := startAgent(t, manif.KindGenerate, serve(t, e.Handler()))
-	p := dial(t, address).ready()
+	a, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()))
+	p := dial(t, address).awaitReady()
 	p.send(wire.Call{Idempotent: true})
-	until(t, "it runs", func() bool { return e.Slots.State().Running == 1 })
+	waitFor(t, "call runs", func() bool { return e.Slots.State().Running == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.Equal(t, len(a.Shutdown(ctx).Cut), 1)
-	until(t, "engine stops", func() bool { return e.Slots.State().Running == 0 })
+	waitFor(t, "engine stops", func() bool { return e.Slots.State().Running == 0 })
 }
 
-// An operator takes the availability zone out. The agent refuses new work at
-// once, as the second line behind the entries, and takes it again on return.
-func TestZoneLeavesAndReturns(t *testing.T) {
+// Operators evacuate the availability zone. The agent must refuse new work at once, in
+// case an entry still sends some, and must accept it again when the zone returns.
+func TestWorkIsRefusedInEvacuatedZone(t *testing.T) {
 	e := engine.New(engine.WithTimes(0, 0, time.Millisecond))
-	holder := holderOf(manif.KindGenerate, 2, 8)
-	_, address := startAgent(t, manif.KindGenerate, serve(t, e.Handler()), agent.WithHolder(holder))
-	p := dial(t, address).ready()
+	holder := newHolder(manif.KindGenerate, 2, 8)
+	_, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()), agent.WithHolder(holder))
+	p := dial(t, address).awaitReady()
 	setZone(holder, spread.ZoneLeft)
 	refuse := p.refusal(p.send(wire.Call{Idempotent: true}))
 	assert.Equal(t, refuse.Reason, fault.ZoneLeft)
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// tick is how often waiting work and kept answers are looked through.
-	tick clock.Millis = 25
-	// failingAfter is how many readings in a row must fail, without a byte from
-	// the endpoint in between, before it counts as failing.
-	failingAfter = 3
-	// unknownMost is how long the agent waits for a load report from after its
-	// own start. Longer lags are not waited for.
-	unknownMost = 5 * clock.Second
-	// rejoinSpan is how long isolation lasts on after something was heard from
-	// outside. The first thing heard may be a heartbeat; that the zone was taken
-	// out meanwhile comes a little later, and work taken in between would run in
-	// a zone that operators took out.
-	rejoinSpan = 1 * clock.Second
-	// shownSpan is how long the agent's own running work is remembered, to
-	// tell it apart from what others left at the endpoint.
-	shownSpan = 3 * clock.Second
+	// maintenanceInterval is the interval between checks of queued attempts and kept
+	// answers.
+	maintenanceInterval clock.Millis = 25
+	// maxFailedReadings is the number of consecutive failed readings, without a byte
+	// from the endpoint in between, after which the endpoint is considered failing.
+	maxFailedReadings = 3
+	// maxReportWait is how long after its start the agent waits for a load report
+	// that is newer than its start. It does not wait for reports with a larger lag.
+	maxReportWait = 5 * clock.Second
+	// rejoinDelay is how long the process still counts as isolated after the first
+	// message from outside its zone. That message may be a heartbeat, and the message
+	// that operators evacuated the zone may arrive a little later. Work accepted in
+	// between would run in an evacuated zone.
+	rejoinDelay = 1 * clock.Second
+	// ownWorkRetention is how long past counts of the agent's own running work are
+	// kept. They are needed to compute the foreign work from lagging load reports.
+	ownWorkRetention = 3 * clock.Second
 )
 
-// watch is what the agent has seen of its endpoint.
+// watch is the observed state of the endpoint.
 type watch struct {
-	startID string
-	failed  int
-	// heard is when the last byte of an answer came.
-	heard clock.Millis
-	good  clock.Millis
-	// own is the agent's running work at past readings.
+	startID        string
+	failedReadings int
+	// lastByteAt is when the last byte of an answer arrived.
+	lastByteAt clock.Millis
+	lastGoodAt clock.Millis
+	// own holds the counts of the agent's own running work at past readings.
 	own []ownWork
 }
 
@@ -48,32 +49,33 @@
 	running int
 }
 
-// tend looks after everything that time alone changes, until the context ends.
-func (a *Agent) tend(ctx context.Context) {
-	for a.clock.Sleep(ctx, tick) == nil {
+// runMaintenance periodically applies shared state, expires queued attempts and kept
+// answers, and starts queued attempts, until the context ends.
+func (a *Agent) runMaintenance(ctx context.Context) {
+	for a.clock.Sleep(ctx, maintenanceInterval) == nil {
 		a.mu.Lock()
 		now := a.clock.Now()
-		a.follow(now)
-		a.gate.Expire(now, func(at *attempt) { a.refuseWaiting(now, at, fault.WontMakeIt) })
+		a.applyShared(now)
+		a.gate.Expire(now, func(at *attempt) { a.refuseQueued(now, at, fault.WontMakeIt) })
 		a.keep.Sweep(now)
-		a.pump(now)
+		a.startQueued(now)
 		a.mu.Unlock()
 	}
 }
 
-// follow takes in what is shared: a new release, and the reasons to take no new
-// work that lie in it and in the reach of this process. The lock is held.
-func (a *Agent) follow(now clock.Millis) {
-	reason, _ := a.shared.Refuses()
+// applyShared applies a new release, and the reasons for refusing new work that come
+// from the release or from isolation. The caller holds the lock.
+func (a *Agent) applyShared(now clock.Millis) {
+	reason, _ := a.node.Refuses()
 	switch {
 	case reason == fault.Isolated:
-		a.cutOff = now
-	case reason == "" && a.cutOff > 0 && now-a.cutOff < rejoinSpan:
+		a.isolatedAt = now
+	case reason == "" && a.isolatedAt > 0 && now-a.isolatedAt < rejoinDelay:
 		reason = fault.Isolated
 	default:
 	}
 	for _, cause := range sharedCauses {
-		a.hold(now, cause, cause.Reason() == reason)
+		a.setCauseLocked(now, cause, cause.Reason() == reason)
 	}
 	if release := a.holder.Current(); release != a.applied.Load() {
 		a.applied.Store(release)
@@ -81,11 +83,12 @@
 	}
 }
 
-// sharedCauses are the causes that the sharing finds out, one at a time.
+// sharedCauses lists the causes that the node reports. It reports at most one at a
+// time.
 var sharedCauses = []drain.Cause{drain.CauseZone, drain.CauseEndpoint, drain.CauseIsolated, drain.CauseNoRelease}
 
-// setLimits takes the limits of the release; what the endpoint states as its
-// warm limit goes before the manifest's.
+// setLimits applies the limits of the release. A warm limit that the endpoint reports
+// takes precedence over the manifest.
 func (a *Agent) setLimits() {
 	release := a.applied.Load()
 	if release == nil {
@@ -96,44 +99,45 @@
 		return
 	}
 	warm := pool.Limit
-	if a.stated > 0 {
-		warm = a.stated
+	if a.reportedLimit > 0 {
+		warm = a.reportedLimit
 	}
 	a.gate.SetLimits(pool.ColdLimit, warm)
 }
 
-// SetCause says whether a cause to take no new work holds, for causes that others
-// find out: isolation and planned stops.
-func (a *Agent) SetCause(cause drain.Cause, holds bool) {
+// SetCause activates or ends a cause for refusing new work that is detected outside
+// the agent: isolation and planned stops.
+func (a *Agent) SetCause(cause drain.Cause, active bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.hold(a.clock.Now(), cause, holds)
+	a.setCauseLocked(a.clock.Now(), cause, active)
 }
 
-// hold changes a cause, hands waiting work back as not run when work stops, and
-// tells entries.
-func (a *Agent) hold(now clock.Millis, cause drain.Cause, holds bool) {
+// setCauseLocked activates or ends a cause. If this changes the reason for refusing
+// new work, it sends the change to all entries. If there is a reason, queued work is
+// refused as not run. The caller holds the lock.
+func (a *Agent) setCauseLocked(now clock.Millis, cause drain.Cause, active bool) {
 	before := a.drain.Reason()
-	if !a.drain.Set(cause, holds) {
+	if !a.drain.Set(cause, active) {
 		return
 	}
 	reason := a.drain.Reason()
 	if reason == before {
 		return
 	}
-	a.log.Info("taking work changed", "endpoint", a.settings.Endpoint, "before", before, "reason", reason)
+	a.log.Info("reason for refusing work changed", "endpoint", a.settings.Endpoint, "before", before, "reason", reason)
 	if reason == "" {
 		a.gate.Open()
-		a.pump(now)
+		a.startQueued(now)
 	} else {
-		a.gate.Close(reason, func(at *attempt) { a.refuseWaiting(now, at, reason) })
+		a.gate.Close(reason, func(at *attempt) { a.refuseQueued(now, at, reason) })
 	}
 	for s := range a.sessions {
 		a.send(s, a.leaveFrame())
 	}
 }
 
-// observe takes one reading of the load report.
+// observe handles a reading of the load report.
 func (a *Agent) observe(reading load.Reading) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,40 +148,40 @@
 	case reading.Absent:
 		a.gate.SetNoReports()
 		a.observeGood(now)
-		a.hold(now, drain.CauseUnknownLoad, false)
+		a.setCauseLocked(now, drain.CauseUnknownLoad, false)
 	default:
 		a.observeGood(now)
 		a.observeReport(now, reading.Report)
 	}
-	a.pump(now)
+	a.startQueued(now)
 }
 
 func (a *Agent) observeGood(now clock.Millis) {
-	a.watch.failed = 0
-	a.watch.good = now
-	a.hold(now, drain.CauseFailing, false)
+	a.watch.failedReadings = 0
+	a.watch.lastGoodAt = now
+	a.setCauseLocked(now, drain.CauseFailing, false)
 }
 
 func (a *Agent) observeReport(now clock.Millis, report *load.Report) {
 	restarted := a.watch.startID != "" && a.watch.startID != report.StartID
 	a.watch.startID = report.StartID
-	if !report.Cold && report.Limit > 0 && report.Limit != a.stated {
-		a.stated = report.Limit
+	if !report.Cold && report.Limit > 0 && report.Limit != a.reportedLimit {
+		a.reportedLimit = report.Limit
 		a.setLimits()
 	}
 	a.gate.Observe(now, admit.Report{
 		StartID: report.StartID, Cold: report.Cold, Warm: report.Warm, Limit: report.Limit, AsOf: report.AsOf,
 	})
-	a.countForeign(report, restarted)
-	if report.AsOf >= a.started || now-a.started > unknownMost {
-		a.hold(now, drain.CauseUnknownLoad, false)
+	a.updateForeign(report, restarted)
+	if report.AsOf >= a.started || now-a.started > maxReportWait {
+		a.setCauseLocked(now, drain.CauseUnknownLoad, false)
 	}
-	a.watch.remember(now, a.gate.Running()-a.gate.Foreign())
+	a.watch.recordOwnWork(now, a.gate.Running()-a.gate.Foreign())
 }
 
-// countForeign finds out how much work runs that this agent did not start: the
-// agent before it may have left some. It only ever gets less.
-func (a *Agent) countForeign(report *load.Report, restarted bool) {
+// updateForeign updates the amount of work that another process, such as the previous
+// agent, started at the endpoint. Once the load is known, it can only decrease.
+func (a *Agent) updateForeign(report *load.Report, restarted bool) {
 	if restarted {
 		a.gate.SetForeign(0)
 		return
@@ -187,50 +191,51 @@
 		return
 	}
 	if foreign := a.gate.Foreign(); foreign > 0 {
-		a.gate.SetForeign(min(foreign, max(report.Busy()-a.watch.ownAt(report.AsOf), 0)))
+		a.gate.SetForeign(min(foreign, max(report.Busy()-a.watch.ownWorkAt(report.AsOf), 0)))
 	}
 }
 
-func (w *watch) remember(now clock.Millis, running int) {
+func (w *watch) recordOwnWork(now clock.Millis, running int) {
 	w.own = append(w.own, ownWork{at: now, running: running})
-	for len(w.own) > 1 && now-w.own[0].at > shownSpan {
+	for len(w.own) > 1 && now-w.own[0].at > ownWorkRetention {
 		w.own = w.own[1:]
 	}
 }
 
-// ownAt is the least own work around an instant: counting too little of it
-// only makes the foreign work look larger.
-func (w *watch) ownAt(instant clock.Millis) int {
-	const around = 2 * load.DefaultInterval
-	least, found := 0, false
+// ownWorkAt returns the lowest count of own work near an instant. A count that is too
+// low only makes the estimate of foreign work too high, which is safe.
+func (w *watch) ownWorkAt(instant clock.Millis) int {
+	const tolerance = 2 * load.DefaultInterval
+	lowest, found := 0, false
 	for _, own := range w.own {
-		if own.at < instant-around || own.at > instant+around {
+		if own.at < instant-tolerance || own.at > instant+tolerance {
 			continue
 		}
-		if !found || own.running < least {
-			least, found = own.running, true
+		if !found || own.running < lowest {
+			lowest, found = own.running, true
 		}
 	}
-	return least
+	return lowest
 }
 
-// observeFailure takes a reading that failed. An endpoint that refuses or cuts
-// connections has most likely fallen over. One that stays silent while nothing
-// comes from it gets no new work, and work that may be repeated is given up
-// while there is still time to run it elsewhere.
+// observeFailure handles a failed reading. An endpoint that refuses or resets
+// connections has probably crashed, so its limit drops to the cold limit. After
+// maxFailedReadings failures without a byte of an answer, the endpoint gets no new
+// work, and idempotent running work is cancelled while there is still time to run it
+// elsewhere.
 func (a *Agent) observeFailure(now clock.Millis, err error) {
 	a.meter.readingsFailed.Inc()
-	a.watch.failed++
-	if !isTimeout(err) && a.watch.failed == 1 {
+	a.watch.failedReadings++
+	if !isTimeout(err) && a.watch.failedReadings == 1 {
 		a.gate.ConnectionReset(now)
 	}
-	if a.watch.failed < failingAfter || a.watch.heard > a.watch.good {
-		if a.watch.heard > a.watch.good {
-			a.watch.failed, a.watch.good = 1, now
+	if a.watch.failedReadings < maxFailedReadings || a.watch.lastByteAt > a.watch.lastGoodAt {
+		if a.watch.lastByteAt > a.watch.lastGoodAt {
+			a.watch.failedReadings, a.watch.lastGoodAt = 1, now
 		}
 		return
 	}
-	a.hold(now, drain.CauseFailing, true)
+	a.setCauseLocked(now, drain.CauseFailing, true)
 	for _, at := range a.open {
 		if at.stop != nil && at.call.Idempotent {
 			at.stop(errFailing)
@@ -243,11 +248,13 @@
 	return errors.Is(err, context.DeadlineExceeded) || (errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// coldDrop counts a drop to the cold limit. What restarted has lost its prefix cache.
-func (a *Agent) coldDrop(cause ramp.Cause) {
-	a.meter.coldDrops.WithLabelValues(string(cause)).Inc()
-	a.log.Warn("cold limit in force", "endpoint", a.settings.Endpoint, "cause", cause)
+// recordColdDrop counts a drop to the cold limit. After a restart or a connection
+// reset it also changes the prefix epoch, because a restarted endpoint has lost its
+// prefix cache.
+func (a *Agent) recordColdDrop(cause ramp.Cause) {
+	a.meter.coldLimitDrops.WithLabelValues(string(cause)).Inc()
+	a.log.Warn("limit dropped to the cold limit", "endpoint", a.settings.Endpoint, "cause", cause)
 	if cause == ramp.CauseRestart || cause == ramp.CauseReset {
-		a.epoch++
+		a.prefixEpoch++
 	}
 }
