--- a/internal/serve/meter/meter.go
+++ b/internal/serve/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter holds the entry's metrics. Each refusal, retry, hedge and
-// dropped frame has a counter for its reason, present from the start so that
-// an operator sees a zero and not a gap.
+// Package meter defines the metrics of the entry. Refusals, retries, hedges and
+// dropped frames are counted by reason or outcome. The counters of refusals, dropped
+// frames and claims exist from the start, so that operators see a zero and not a gap.
 package meter
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/jujubescale/jujubescale/internal/flow/stage"
 )
 
-// Use of engine time.
+// Uses of engine time.
 const (
-	// UseUseful is engine time of stages whose request was answered whole.
+	// UseUseful is engine time of stages whose request got a complete answer.
 	UseUseful = "useful"
-	// UseWasted is engine time of everything else: losers of hedges, broken
-	// attempts, and stages whose request was refused later.
+	// UseWasted is all other engine time: hedges that lost, failed attempts, and
+	// stages whose request was refused later.
 	UseWasted = "wasted"
 )
 
@@ -29,7 +29,7 @@
 	ClaimOutcomeNotStored = "outcomeUnkept"
 )
 
-// Entry is the entry's metrics.
+// Entry holds the metrics of an entry.
 type Entry struct {
 	Answered     *prometheus.CounterVec
 	Refused      *prometheus.CounterVec
@@ -46,31 +46,31 @@
 	Cut          prometheus.Counter
 }
 
-// New returns the metrics and registers them.
+// New creates the metrics and registers them.
 func New(registerer prometheus.Registerer) *Entry {
 	e := &Entry{
-		Answered:     counter("answered_total", "Requests answered whole, by service.", "service"),
-		Refused:      counter("refused_total", "Requests refused, by reason and what is known of their running.", "reason", "ran"),
-		Retried:      counter("retried_total", "Attempts repeated elsewhere, by pool and reason of the failed one.", "pool", "reason"),
-		Hedged:       counter("hedged_total", "Second attempts beside slow ones, by pool and outcome.", "pool", "outcome"),
-		Dropped:      counter("dropped_frames_total", "Frames dropped because they did not fit their request, by reason.", "reason"),
-		Engine:       counter("engine_seconds_total", "Engine time by pool and use, in seconds.", "pool", "use"),
+		Answered:     counter("answered_total", "Requests with a complete answer, by service.", "service"),
+		Refused:      counter("refused_total", "Refused requests, by reason and by whether the work may have run.", "reason", "ran"),
+		Retried:      counter("retried_total", "Retries at another endpoint, by pool and reason of the failed attempt.", "pool", "reason"),
+		Hedged:       counter("hedged_total", "Hedges (second attempts in parallel with slow ones), by pool and outcome.", "pool", "outcome"),
+		Dropped:      counter("dropped_frames_total", "Frames dropped because they did not match the state of their request, by reason.", "reason"),
+		Engine:       counter("engine_seconds_total", "Engine time, by pool and use, in seconds.", "pool", "use"),
 		Claims:       counter("claims_total", "Claims of idempotency keys, by outcome.", "outcome"),
 		SessionsLost: counter("sessions_lost_total", "Sessions to agents that ended, by cause.", "cause"),
 		StageSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "jujubescale_entry_stage_seconds", Help: "Time of answered stages with their retries, in seconds.",
+			Name: "jujubescale_entry_stage_seconds", Help: "Duration of answered stages including retries, in seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 		}, []string{"pipeline", "stage"}),
 		Sessions: gauge("sessions", "Open sessions to agents."),
-		Open:     gauge("open_requests", "Requests of callers that are not finished."),
+		Open:     gauge("open_requests", "Open requests of callers."),
 		Resumed: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "jujubescale_entry_resumed_total", Help: "Attempts asked for again on a new session.",
+			Name: "jujubescale_entry_resumed_total", Help: "Attempts resumed on a new session.",
 		}),
 		Cut: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "jujubescale_entry_cut_total", Help: "Requests that a planned stop cut at its time limit.",
+			Name: "jujubescale_entry_cut_total", Help: "Requests cut at the time limit of a planned stop.",
 		}),
 	}
-	e.present()
+	e.initCounters()
 	registerer.MustRegister(e.Answered, e.Refused, e.Retried, e.Hedged, e.Dropped, e.Engine, e.Claims,
 		e.SessionsLost, e.StageSeconds, e.Sessions, e.Open, e.Resumed, e.Cut)
 	return e
@@ -84,8 +84,9 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Name: "jujubescale_entry_" + name, Help: help})
 }
 
-// present makes the counters of closed sets appear as zeros.
-func (e *Entry) present() {
+// initCounters creates the counters with a fixed set of label values, so that they are
+// exported as zeros.
+func (e *Entry) initCounters() {
 	for _, reason := range fault.Reasons() {
 		e.Refused.WithLabelValues(string(reason), string(fault.NotRun))
 	}
@@ -97,7 +98,7 @@
 	}
 }
 
-// Hedge counts how a hedge ended.
+// Hedge counts a hedge by its outcome.
 func (e *Entry) Hedge(pool string, outcome hedge.Outcome) {
 	e.Hedged.WithLabelValues(pool, string(outcome)).Inc()
 }
@@ -105,7 +106,7 @@
 // Drop counts a dropped frame.
 func (e *Entry) Drop(reason stage.DropReason) { e.Dropped.WithLabelValues(string(reason)).Inc() }
 
-// EngineTime counts engine time.
+// EngineTime adds engine time of a pool to one of its uses.
 func (e *Entry) EngineTime(pool, use string, span clock.Millis) {
 	if span > 0 {
 		e.Engine.WithLabelValues(pool, use).Add(span.Duration().Seconds())
--- a/internal/serve/trace/trace.go
+++ b/internal/serve/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace remembers the last requests of an entry, so that an operator
-// can look one up by its id while it is in flight and for a while after.
+// Package trace records the most recent requests of an entry. Operators can look up a
+// request by its ID while it is in flight and for some time afterwards.
 package trace
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// DefaultCapacity is the default number of requests remembered; with a handful of
-// attempts each that is a few megabytes.
+// DefaultCapacity is the default number of recorded requests. With a few attempts per
+// request, they take a few megabytes of memory.
 const DefaultCapacity = 8192
 
-// State of a request or an attempt.
+// State is the state of a request or an attempt.
 type State string
 
 // States.
@@ -24,7 +24,7 @@
 	Withdrawn State = "withdrawn"
 )
 
-// Attempt is one try of one stage.
+// Attempt is the record of one attempt of one stage.
 type Attempt struct {
 	Stage            int
 	Try              int
@@ -34,12 +34,12 @@
 	Hedge            bool
 	State            State
 	Reason           fault.Reason
-	// SentAt and Took by the entry's clock.
+	// SentAt and Took are measured with the entry's clock.
 	SentAt clock.Millis
 	Took   clock.Millis
 }
 
-// Request is what is remembered of one request.
+// Request is the recorded data of a request.
 type Request struct {
 	ID           string
 	Organisation string
@@ -53,14 +53,14 @@
 	Attempts     []Attempt
 }
 
-// Record is one request while it runs. Its methods are safe for use by
-// several goroutines, and on a nil record.
+// Record records one request while it runs. Its methods are safe for concurrent use. On
+// a nil Record, AddAttempt, EndAttempt and End do nothing.
 type Record struct {
 	mu      sync.Mutex
 	request Request
 }
 
-// AddAttempt adds an attempt.
+// AddAttempt adds a running attempt.
 func (r *Record) AddAttempt(attempt Attempt) {
 	if r == nil {
 		return
@@ -71,7 +71,8 @@
 	r.request.Attempts = append(r.request.Attempts, attempt)
 }
 
-// EndAttempt notes how an attempt ended; only the first end counts.
+// EndAttempt records how an attempt ended. Later calls for the same attempt are
+// ignored.
 func (r *Record) EndAttempt(stage, try int, now clock.Millis, state State, reason fault.Reason) {
 	if r == nil {
 		return
@@ -79,14 +80,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.request.Attempts {
-		a := &r.request.Attempts[i]
-		if a.Stage == stage && a.Try == try && a.State == Running {
-			a.State, a.Reason, a.Took = state, reason, now-a.SentAt
+		attempt := &r.request.Attempts[i]
+		if attempt.Stage == stage && attempt.Try == try && attempt.State == Running {
+			attempt.State, attempt.Reason, attempt.Took = state, reason, now-attempt.SentAt
 		}
 	}
 }
 
-// End notes how the request ended.
+// End records how the request ended.
 func (r *Record) End(now clock.Millis, state State, reason fault.Reason, ran fault.Ran) {
 	if r == nil {
 		return
@@ -96,49 +97,50 @@
 	r.request.State, r.request.Reason, r.request.Ran, r.request.EndedAt = state, reason, ran, now
 }
 
-func (r *Record) copy() Request {
+func (r *Record) snapshot() Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	copied := r.request
-	copied.Attempts = append([]Attempt(nil), r.request.Attempts...)
-	return copied
+	request := r.request
+	request.Attempts = append([]Attempt(nil), r.request.Attempts...)
+	return request
 }
 
-// Trace remembers a bounded number of requests, the newest.
+// Trace records the newest requests, up to its capacity.
 type Trace struct {
-	mu    sync.Mutex
-	ring  []*Record
-	next  int
-	known map[string]*Record
+	mu      sync.Mutex
+	ring    []*Record
+	next    int
+	records map[string]*Record
 }
 
-// New returns a trace of so many requests.
+// New returns a trace that records up to capacity requests, but at least one.
 func New(capacity int) *Trace {
-	return &Trace{ring: make([]*Record, max(capacity, 1)), known: make(map[string]*Record)}
+	return &Trace{ring: make([]*Record, max(capacity, 1)), records: make(map[string]*Record)}
 }
 
-// Begin remembers a request and forgets the oldest.
+// Begin starts the record of a request. If the trace is full, it removes the oldest
+// record.
 func (t *Trace) Begin(request Request) *Record {
 	request.State = Running
 	record := &Record{request: request}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if old := t.ring[t.next]; old != nil {
-		delete(t.known, old.request.ID)
+		delete(t.records, old.request.ID)
 	}
 	t.ring[t.next] = record
 	t.next = (t.next + 1) % len(t.ring)
-	t.known[request.ID] = record
+	t.records[request.ID] = record
 	return record
 }
 
-// Find returns what is remembered of a request.
+// Find returns the recorded data of a request, or false if there is none.
 func (t *Trace) Find(id string) (Request, bool) {
 	t.mu.Lock()
-	record := t.known[id]
+	record := t.records[id]
 	t.mu.Unlock()
 	if record == nil {
 		return Request{}, false
 	}
-	return record.copy(), true
+	return record.snapshot(), true
 }
--- a/internal/serve/trace/trace_test.go
+++ b/internal/serve/trace/trace_test.go
@@ -9,7 +9,8 @@
 	"github.com/jujubescale/jujubescale/internal/serve/trace"
 )
 
-func TestRemembersTheNewestRequests(t *testing.T) {
+// The oldest request must be removed when the trace is full.
+func TestTraceKeepsNewestRequests(t *testing.T) {
 	tr := trace.New(2)
 	for _, id := range []string{"a", "b", "c"} {
 		tr.Begin(trace.Request{ID: id})
@@ -20,7 +21,8 @@
 	assert.Assert(t, found)
 }
 
-func TestOnlyTheFirstEndOfAnAttemptCounts(t *testing.T) {
+// The first recorded end of an attempt must not be overwritten.
+func TestEndAttemptIgnoresLaterEnds(t *testing.T) {
 	tr := trace.New(1)
 	record := tr.Begin(trace.Request{ID: "a"})
 	record.AddAttempt(trace.Attempt{Stage: 1, Try: 0, SentAt: 10})
