--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -63,8 +63,9 @@
 // answerWithoutResult answers a request about an attempt that is not open and has
 // no kept result. An attempt that is recorded as refused is refused again as not
 // run. So is an unseen attempt, but only if the call was sent to this incarnation,
-// no record has been evicted early and the entry was heard recently. The attempt is
-// then recorded as refused, so that its call does not run if it still arrives.
+// no record has been evicted early and a message of the entry arrived recently. The
+// attempt is then recorded as refused, so that its call does not run if it still
+// arrives.
 func (a *Agent) answerWithoutResult(now clock.Millis, s *sess.Session, ask *wire.Ask) {
 	state := a.fence.State(ask.ID)
 	if state == fence.Unseen && ask.Target == a.incarnation && a.fence.Complete(now) && a.heardRecently(now, s) {
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -172,7 +172,7 @@
 	case ctx.Err() != nil:
 		return a.newRefusal(contextReason(ctx), fault.MayHaveRun, context.Cause(ctx).Error())
 	case errors.As(err, &failed):
-		// This includes an engine that no longer knows the stream. It has restarted,
+		// This includes an engine that no longer has the stream. It has restarted,
 		// and another endpoint can answer the call.
 		return a.newRefusal(fault.EndpointFailed, fault.MayHaveRun, err.Error())
 	case errors.As(err, &status):
