--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -245,7 +245,7 @@
 		x.meter.Retried.WithLabelValues(x.job.pool, string(x.retryReason)).Inc()
 		x.retryReason = ""
 	}
-	x.job.record.Sent(trace.Attempt{
+	x.job.record.AddAttempt(trace.Attempt{
 		Stage: call.ID.Stage, Try: action.Attempt, Pool: x.job.pool, Endpoint: endpoint.Name,
 		AvailabilityZone: endpoint.AvailabilityZone, Hedge: action.Hedge, SentAt: now,
 	})
@@ -273,7 +273,7 @@
 	default:
 		a.endpoint.RecordAnswer(now, 0)
 	}
-	x.job.record.Ended(a.id.Stage, number, now, state, reason)
+	x.job.record.EndAttempt(a.id.Stage, number, now, state, reason)
 }
 
 // closeAll stops the timer and closes all attempts that are still open.
