--- a/internal/serve/feed/feed.go
+++ b/internal/serve/feed/feed.go
@@ -87,9 +87,9 @@
 // WithWait sets how long one call waits for changes.
 func WithWait(wait func() clock.Millis) Option { return func(f *Feed) { f.wait = wait } }
 
-// WithRest sets a pause between two calls, so that changes which come many
+// WithPause sets a pause between two calls, so that changes which come many
 // times a second are read several at a time.
-func WithRest(rest func() clock.Millis) Option { return func(f *Feed) { f.rest = rest } }
+func WithPause(rest func() clock.Millis) Option { return func(f *Feed) { f.rest = rest } }
 
 // WithBackoff sets the longest pause after a failed call.
 func WithBackoff(longest func() clock.Millis) Option { return func(f *Feed) { f.longest = longest } }
@@ -102,9 +102,9 @@
 // whether the store is in reach, and peers are told none.
 func WithoutAge() Option { return func(f *Feed) { f.ageless = true } }
 
-// WithPeers sets for how long a peer's word is awaited before the store is asked:
+// WithPeerWait sets for how long a peer's word is awaited before the store is asked:
 // after the store's last word, and before the list is read for the first time.
-func WithPeers(grace func() clock.Millis, firstWait func(kind string) clock.Millis) Option {
+func WithPeerWait(grace func() clock.Millis, firstWait func(kind string) clock.Millis) Option {
 	return func(f *Feed) { f.grace, f.firstWait = grace, firstWait }
 }
 
@@ -136,9 +136,9 @@
 	return f
 }
 
-// Again makes the feed read the whole list once more, soon: somebody else knows
+// RequestList makes the feed read the whole list once more, soon: somebody else knows
 // something newer.
-func (f *Feed) Again() {
+func (f *Feed) RequestList() {
 	select {
 	case f.wakeUp <- struct{}{}:
 	default:
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -115,7 +115,7 @@
 	}
 	f, h := run(t, &script{scans: []func() (store.Listing, error){listed(5, "k/a")}, follows: []func(context.Context) (store.Changes, error){one, waits}})
 	h.until(t, func(h *heard) bool { return len(h.lists) == 1 && h.changes == 1 })
-	assert.Equal(t, f.Changed(), uint64(9))
+	assert.Equal(t, f.LastChange(), uint64(9))
 }
 
 // The store was away. Whoever reads the list must learn for how long, because
@@ -152,7 +152,7 @@
 		assert.Assert(t, f.Confirm(wire.Seen{Kind: "k", Revision: 7, Changed: 7}, 1))
 		time.Sleep(20 * time.Millisecond)
 		h.until(t, func(h *heard) bool { return len(h.lists) == 1 })
-		f.Again()
+		f.RequestList()
 		h.until(t, func(h *heard) bool { return len(h.lists) == 2 })
 		assert.Assert(t, !f.Confirm(wire.Seen{Kind: "k", Revision: 8, Changed: 8}, 1))
 	})
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -49,8 +49,8 @@
 	return f.state.objects[name].Version
 }
 
-// Changed returns the revision of the last change that was read.
-func (f *Feed) Changed() uint64 {
+// LastChange returns the revision of the last change that was read.
+func (f *Feed) LastChange() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.changed
@@ -129,8 +129,8 @@
 	}
 }
 
-// Seen returns how far the kind was followed.
-func (f *Feed) Seen() wire.Seen {
+// Progress returns how far the kind was followed.
+func (f *Feed) Progress() wire.Seen {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen := wire.Seen{Kind: f.kind, Revision: f.state.known, Changed: min(f.state.changed, f.state.known)}
@@ -140,8 +140,8 @@
 	return seen
 }
 
-// Whole returns all objects, nil before they were read.
-func (f *Feed) Whole() *wire.Update {
+// Snapshot returns all objects, nil before they were read.
+func (f *Feed) Snapshot() *wire.Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.state.listed {
@@ -239,9 +239,9 @@
 	return update
 }
 
-// Take takes what a peer relays, and reports whether changes before it are
+// Apply takes what a peer relays, and reports whether changes before it are
 // missing.
-func (f *Feed) Take(update *wire.Update, now clock.Millis) (missing bool) {
+func (f *Feed) Apply(update *wire.Update, now clock.Millis) (missing bool) {
 	at := now - update.Age
 	if update.Whole {
 		f.takeList(objectsOf(update), update.Revision, update.Changed, update.Away, at)
@@ -269,8 +269,8 @@
 	return false
 }
 
-// Alone has the store asked at once: no peer is followed any more.
-func (f *Feed) Alone() {
+// EndRelay has the store asked at once: no peer is followed any more.
+func (f *Feed) EndRelay() {
 	f.mu.Lock()
 	f.state.relayed = 0
 	f.mu.Unlock()
--- a/internal/serve/feed/peer_test.go
+++ b/internal/serve/feed/peer_test.go
@@ -95,9 +95,9 @@
 		p.fake.Advance(500)
 		p.confirm(t)
 	}
-	assert.Assert(t, !p.Take(update(5, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
+	assert.Assert(t, !p.Apply(update(5, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
 	p.until(t, func(h *heard) bool { return h.changes == 1 })
-	assert.Equal(t, p.Changed(), uint64(7))
+	assert.Equal(t, p.LastChange(), uint64(7))
 	assert.Equal(t, p.scans.Load(), int64(1))
 	assert.Assert(t, p.follows.Load() <= 1, "%d", p.follows.Load())
 	assert.Equal(t, p.passed.Load(), int64(2), "the list and the change are relayed")
@@ -111,13 +111,13 @@
 	p.await(t, func() bool { return p.Relayed() && p.passed.Load() == 1 })
 	whole := &wire.Update{Kind: "k", Revision: 5, Changed: 5, Whole: true, Objects: []wire.Stored{{Name: "k/a", Version: 5}}}
 	for range 3 {
-		assert.Assert(t, !p.Take(whole, p.now()))
+		assert.Assert(t, !p.Apply(whole, p.now()))
 	}
 	assert.Equal(t, p.passed.Load(), int64(1))
 	assert.Equal(t, len(p.lists), 1)
 	newer := *whole
 	newer.Revision, newer.Changed = 6, 6
-	assert.Assert(t, !p.Take(&newer, p.now()))
+	assert.Assert(t, !p.Apply(&newer, p.now()))
 	assert.Equal(t, p.passed.Load(), int64(2))
 }
 
@@ -141,12 +141,12 @@
 // leave endpoints in use that are gone.
 func TestMissingChangesAreNoticed(t *testing.T) {
 	p := newPassing(t)
-	assert.Assert(t, p.Take(update(6, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
+	assert.Assert(t, p.Apply(update(6, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
 	assert.Assert(t, p.Confirm(wire.Seen{Kind: "k", Revision: 9, Changed: 7}, p.now()))
 	assert.Assert(t, !p.Relayed(), "it goes on asking the store itself")
 	all := update(0, 9, wire.Stored{Name: "k/a", Version: 5}, wire.Stored{Name: "k/b", Version: 7})
 	all.Whole = true
-	assert.Assert(t, !p.Take(all, p.now()))
+	assert.Assert(t, !p.Apply(all, p.now()))
 	p.until(t, func(h *heard) bool { return len(h.lists) == 2 && h.lists[1] == 2 })
 	assert.Assert(t, p.Relayed())
 }
@@ -155,14 +155,14 @@
 // changes that overlap with those read another way.
 func TestOlderMessagesChangeNothing(t *testing.T) {
 	p := newPassing(t)
-	p.Take(update(5, 9, wire.Stored{Name: "k/b", Version: 6, Deleted: true}, wire.Stored{Name: "k/b", Version: 8}), p.now())
+	p.Apply(update(5, 9, wire.Stored{Name: "k/b", Version: 6, Deleted: true}, wire.Stored{Name: "k/b", Version: 8}), p.now())
 	old := update(0, 4)
 	old.Whole = true
-	p.Take(old, p.now())
-	p.Take(update(5, 8, wire.Stored{Name: "k/b", Version: 6, Deleted: true}), p.now())
+	p.Apply(old, p.now())
+	p.Apply(update(5, 8, wire.Stored{Name: "k/b", Version: 6, Deleted: true}), p.now())
 	// Overlaps: the end of the first b is known, that of a is not.
-	p.Take(update(5, 10, wire.Stored{Name: "k/b", Version: 6, Deleted: true}, wire.Stored{Name: "k/a", Version: 5, Deleted: true}), p.now())
-	whole := p.Whole()
+	p.Apply(update(5, 10, wire.Stored{Name: "k/b", Version: 6, Deleted: true}, wire.Stored{Name: "k/a", Version: 5, Deleted: true}), p.now())
+	whole := p.Snapshot()
 	assert.Equal(t, len(whole.Objects), 1)
 	assert.Equal(t, whole.Objects[0].Version, uint64(8))
 	assert.Equal(t, whole.Revision, uint64(10))
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -110,7 +110,7 @@
 	t.Load.AddPrompt(l.prefill, g.rates.of(req.pool.Name).TokensPerMs(), l.from)
 	t.Load.Memory.Add(l.memory)
 	if l.prefill >= longPrompt {
-		g.mesh.Tell()
+		g.mesh.ReportNow()
 	}
 	return l
 }
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -105,7 +105,7 @@
 	}
 	q := reach.Merge(parts)
 	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.Room
-	q.PendingArrivals = inflow.AddClasses(g.inflow.PoolPieces(name, g.Clock.Now()), g.mesh.Inflow(name))
+	q.PendingArrivals = inflow.AddClasses(g.inflow.PoolPieces(name, g.Clock.Now()), g.mesh.PendingArrivals(name))
 	return q
 }
 
@@ -130,7 +130,7 @@
 		load, known = g.host.Load(part.Name)
 		return load, 0, known
 	}
-	return g.mesh.Pool(part.Name)
+	return g.mesh.PoolLoad(part.Name)
 }
 
 // ownerOf returns the process that owns a shard, or a pool that is not divided.
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -223,7 +223,7 @@
 
 func (g *Gate) askOwner(ctx context.Context, ask *wire.Pieces, fetched func()) (*wire.Made, error) {
 	if to := g.ownerOf(ask.Pool); to != g.mesh.Self() {
-		return g.mesh.Ask(ctx, to, ask, fetched)
+		return g.mesh.RequestPieces(ctx, to, ask, fetched)
 	}
 	answer := make(chan host.Outcome, 1)
 	job := g.host.Submit(ask, fetched, func(outcome host.Outcome) { answer <- outcome })
@@ -272,7 +272,7 @@
 	}
 	for pool, unused := range byPool {
 		if to := g.ownerOf(pool); to != g.mesh.Self() {
-			g.mesh.GiveBack(to, unused)
+			g.mesh.FreeResults(to, unused)
 			continue
 		}
 		g.host.Unused(unused)
--- a/internal/serve/mesh/ask.go
+++ b/internal/serve/mesh/ask.go
@@ -19,10 +19,10 @@
 // Error implements error.
 func (e *LostError) Error() string { return fmt.Sprintf("session with %s was lost", e.Peer) }
 
-// Ask asks a peer for pieces and waits for its answer. When the context ends
+// RequestPieces asks a peer for pieces and waits for its answer. When the context ends
 // first, the request is withdrawn. Fetched is called, on the session's reader,
 // when all pieces have read their inputs.
-func (m *Mesh) Ask(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Made, error) {
+func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Made, error) {
 	l := m.openLink(ctx, to)
 	if l == nil {
 		if ctx.Err() != nil {
@@ -68,9 +68,9 @@
 	delete(l.pending, callID)
 }
 
-// GiveBack tells a peer of results that nobody needs any more. It may get
+// FreeResults tells a peer of results that nobody needs any more. It may get
 // lost; results expire by themselves.
-func (m *Mesh) GiveBack(to string, unused *wire.Unused) {
+func (m *Mesh) FreeResults(to string, unused *wire.Unused) {
 	l := m.linkTo(to)
 	if l == nil {
 		return
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -45,7 +45,7 @@
 	}
 	r.upstreamLink = open
 	if upstream == "" {
-		m.follower.AloneFunc()
+		m.follower.NoUpstreamFunc()
 	}
 	if open != nil {
 		m.askFor(open, nil)
@@ -79,9 +79,9 @@
 	switch {
 	case now < r.followUntil:
 		return true
-	case isStale(m.follower.SeenFunc(), m.follower.Lost), now < r.trialUntil && m.follower.DownFunc():
+	case isStale(m.follower.ProgressFunc(), m.follower.MaxWatcherAge), now < r.trialUntil && m.follower.DownFunc():
 		r.followUntil = now + retryStore
-		r.trialUntil = r.followUntil + m.follower.Lost
+		r.trialUntil = r.followUntil + m.follower.MaxWatcherAge
 		return true
 	}
 	return false
@@ -105,7 +105,7 @@
 // isFresh reports whether a process has heard from the store a moment ago.
 func (m *Mesh) isFresh(name string, now clock.Millis) bool {
 	for _, source := range []sums.Source{{Process: name, OtherGroup: true}, {Process: name}} {
-		if seen, at := m.book.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.Fresh-(now-at)) {
+		if seen, at := m.book.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.MaxPeerAge-(now-at)) {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 // askFor asks a peer to pass changes on, of some kinds again, or of all.
 func (m *Mesh) askFor(l *link, kinds []string) {
 	follow := &wire.Follow{}
-	for _, seen := range m.follower.SeenFunc() {
+	for _, seen := range m.follower.ProgressFunc() {
 		if kinds == nil || slices.Contains(kinds, seen.Kind) {
 			follow.Kinds = append(follow.Kinds, wire.Revision{Kind: seen.Kind, Revision: seen.Revision})
 		}
@@ -146,7 +146,7 @@
 	}
 	m.mu.Unlock()
 	for _, kind := range follow.Kinds {
-		whole := m.follower.WholeFunc(kind.Kind)
+		whole := m.follower.SnapshotFunc(kind.Kind)
 		if whole != nil && whole.Changed > kind.Revision {
 			_ = s.Send(&wire.Frame{Kind: wire.KindUpdate, Update: whole}) // a session that can't send is ending
 		}
@@ -171,7 +171,7 @@
 		return
 	}
 	if m.uplink.Load().upstream == from {
-		m.askAgain(from, m.follower.TakeFunc(update, m.clock.Now()))
+		m.askAgain(from, m.follower.ApplyFunc(update, m.clock.Now()))
 	}
 }
 
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -159,7 +159,7 @@
 	if restarted {
 		m.endedFunc(hello.Process)
 	}
-	m.Tell()
+	m.ReportNow()
 }
 
 // unlinked removes a link whose session ended or was not opened, and reports
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -69,22 +69,22 @@
 
 // Follower is how this process follows the store, on its own and through peers.
 type Follower struct {
-	// SeenFunc returns how far each kind of objects was followed.
-	SeenFunc func() []wire.Seen
-	// WholeFunc returns all objects of a kind, nil before they were read.
-	WholeFunc func(kind string) *wire.Update
-	// TakeFunc takes changes from a peer, and ConfirmFunc how far that peer has
+	// ProgressFunc returns how far each kind of objects was followed.
+	ProgressFunc func() []wire.Seen
+	// SnapshotFunc returns all objects of a kind, nil before they were read.
+	SnapshotFunc func(kind string) *wire.Update
+	// ApplyFunc takes changes from a peer, and ConfirmFunc how far that peer has
 	// followed, as of an instant. Both return the kinds of which changes are
 	// missing.
-	TakeFunc    func(update *wire.Update, now clock.Millis) []string
+	ApplyFunc   func(update *wire.Update, now clock.Millis) []string
 	ConfirmFunc func(seen []wire.Seen, now clock.Millis) []string
-	// Fresh bounds how long ago a peer that this process follows may have heard from
-	// the store, Lost how long ago a watcher; in milliseconds.
-	Fresh, Lost clock.Millis
+	// MaxPeerAge bounds how long ago a peer that this process follows may have heard from
+	// the store, MaxWatcherAge how long ago a watcher; in milliseconds.
+	MaxPeerAge, MaxWatcherAge clock.Millis
 	// DownFunc reports whether the last call to the store for some kind failed.
 	DownFunc func() bool
-	// AloneFunc is called when this process is to follow the store by itself.
-	AloneFunc func()
+	// NoUpstreamFunc is called when this process is to follow the store by itself.
+	NoUpstreamFunc func()
 }
 
 // Mesh is this process's sessions with the others.
@@ -232,14 +232,14 @@
 		release:     func() uint64 { return 0 },
 		newerFunc:   func() {},
 		follower: Follower{
-			SeenFunc:    func() []wire.Seen { return nil },
-			WholeFunc:   func(string) *wire.Update { return nil },
-			TakeFunc:    func(*wire.Update, clock.Millis) []string { return nil },
-			ConfirmFunc: func([]wire.Seen, clock.Millis) []string { return nil },
-			DownFunc:    func() bool { return false },
-			AloneFunc:   func() {},
-			Fresh:       defaultFresh,
-			Lost:        defaultLost,
+			ProgressFunc:   func() []wire.Seen { return nil },
+			SnapshotFunc:   func(string) *wire.Update { return nil },
+			ApplyFunc:      func(*wire.Update, clock.Millis) []string { return nil },
+			ConfirmFunc:    func([]wire.Seen, clock.Millis) []string { return nil },
+			DownFunc:       func() bool { return false },
+			NoUpstreamFunc: func() {},
+			MaxPeerAge:     defaultFresh,
+			MaxWatcherAge:  defaultLost,
 		},
 		book:    sums.New(),
 		wake:    make(chan struct{}, 1),
@@ -322,13 +322,13 @@
 	return m.owns
 }
 
-// Open tells peers that this process owns its pools from now on. A process that
+// StartOwning tells peers that this process owns its pools from now on. A process that
 // is restarted while the store is away is reached by its peers before it knows
 // any endpoint; as an owner it would refuse all work of its pools.
-func (m *Mesh) Open() { m.setOwns(true, &wire.Leave{Back: true}) }
+func (m *Mesh) StartOwning() { m.setOwns(true, &wire.Leave{Back: true}) }
 
-// Leave tells peers that this process owns nothing from now on.
-func (m *Mesh) Leave() { m.setOwns(false, &wire.Leave{Reason: "planned stop"}) }
+// StopOwning tells peers that this process owns nothing from now on.
+func (m *Mesh) StopOwning() { m.setOwns(false, &wire.Leave{Reason: "planned stop"}) }
 
 func (m *Mesh) setOwns(owns bool, leave *wire.Leave) {
 	m.mu.Lock()
@@ -341,7 +341,7 @@
 	for _, s := range m.sessions() {
 		_ = s.Send(&wire.Frame{Kind: wire.KindLeave, Leave: leave}) // a session that can't send is ending
 	}
-	m.Tell()
+	m.ReportNow()
 }
 
 // sessions returns all open sessions; the caller holds the lock.
--- a/internal/serve/mesh/mesh_test.go
+++ b/internal/serve/mesh/mesh_test.go
@@ -58,15 +58,15 @@
 		all, members = append(all, p), append(members, p.member)
 	}
 	for _, p := range all {
-		p.Open()
+		p.StartOwning()
 		p.SetMembers(members)
 	}
 	for _, p := range all {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if len(p.Alive()) == len(all) {
+			if len(p.LiveProcesses()) == len(all) {
 				return poll.Success()
 			}
-			return poll.Continue("%v", p.Alive())
+			return poll.Continue("%v", p.LiveProcesses())
 		}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 	}
 	return all
@@ -96,7 +96,7 @@
 	}
 	advance(20, func() bool { return false })
 	all[0].waiting.Store(6300)
-	all[0].Tell()
+	all[0].ReportNow()
 	heard := func() bool { return all[1].heard.Load() == 6300 && all[2].heard.Load() == 6300 }
 	assert.Assert(t, advance(60, heard), "%d %d", all[1].heard.Load(), all[2].heard.Load())
 }
@@ -111,7 +111,7 @@
 	all[0].waiting.Store(100)
 	waitFor(t, func() bool { return all[1].heard.Load() == 100 })
 	all[0].Stop()
-	waitFor(t, func() bool { return all[1].heard.Load() == 0 && len(all[1].Alive()) == 1 })
+	waitFor(t, func() bool { return all[1].heard.Load() == 0 && len(all[1].LiveProcesses()) == 1 })
 }
 
 func waitFor(t *testing.T, until func() bool) {
@@ -144,11 +144,11 @@
 	}
 	fresh.SetMembers([]mesh.Member{all[0].member, all[1].member, fresh.member})
 	waitFor(t, func() bool { return fresh.Sessions() > 0 })
-	waitFor(t, func() bool { return len(all[0].Alive()) == 2 && len(all[1].Alive()) == 2 })
-	fresh.Open()
-	waitFor(t, func() bool { return len(all[0].Alive()) == 3 && len(all[1].Alive()) == 3 })
-	fresh.Leave()
-	waitFor(t, func() bool { return len(all[0].Alive()) == 2 && len(all[1].Alive()) == 2 })
+	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 2 && len(all[1].LiveProcesses()) == 2 })
+	fresh.StartOwning()
+	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 3 && len(all[1].LiveProcesses()) == 3 })
+	fresh.StopOwning()
+	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 2 && len(all[1].LiveProcesses()) == 2 })
 }
 
 // A process is killed and started again. Its peers must hear that its requests
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -49,7 +49,7 @@
 		hang = hanging(members)
 	}
 	for _, p := range f.all {
-		p.Open()
+		p.StartOwning()
 		p.SetMembers(members)
 	}
 	for _, p := range f.all {
@@ -154,7 +154,7 @@
 	load(left, 7000)
 	f.knows(left)
 	for _, p := range left {
-		waitFor(t, func() bool { return len(p.Alive()) == len(left) })
+		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(left) })
 	}
 }
 
@@ -188,13 +188,13 @@
 	for _, zone := range []string{"zone-0", "zone-1"} {
 		own := slices.DeleteFunc(slices.Clone(f.all), func(p *process) bool { return p.member.Zone != zone })
 		for _, p := range own {
-			waitFor(t, func() bool { return len(p.Alive()) == len(own) })
+			waitFor(t, func() bool { return len(p.LiveProcesses()) == len(own) })
 		}
 		f.knows(own)
 	}
 	f.cut.Store(false)
 	for _, p := range f.all {
-		waitFor(t, func() bool { return len(p.Alive()) == len(f.all) })
+		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(f.all) })
 	}
 	f.knows(f.all)
 }
@@ -210,9 +210,9 @@
 		p.SetMembers(append(slices.Clone(members), double))
 	}
 	for _, p := range f.all {
-		waitFor(t, func() bool { return slices.Equal(p.Alive(), []string{"g00", "g01"}) })
+		waitFor(t, func() bool { return slices.Equal(p.LiveProcesses(), []string{"g00", "g01"}) })
 	}
-	_, err := f.all[1].Ask(t.Context(), "a-double", &wire.Pieces{Pool: "p"}, func() {})
+	_, err := f.all[1].RequestPieces(t.Context(), "a-double", &wire.Pieces{Pool: "p"}, func() {})
 	var lost *mesh.LostError
 	assert.Assert(t, errors.As(err, &lost))
 }
@@ -284,7 +284,7 @@
 func TestOwnerIsReachedOnDemand(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	for _, p := range f.all {
-		waitFor(t, func() bool { return len(p.Alive()) == len(f.all) })
+		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(f.all) })
 	}
 	asked := make(chan string, 1)
 	f2 := f.add("late", "zone-0")
@@ -296,9 +296,9 @@
 	server := httptest.NewServer(f2.Handler())
 	t.Cleanup(func() { f2.Stop(); server.Close() })
 	f2.member.Address = strings.TrimPrefix(server.URL, "http://")
-	f2.Open()
+	f2.StartOwning()
 	f.all[0].SetMembers(append(membersOf(f.all[:4]), f2.member))
-	made, err := f.all[0].Ask(t.Context(), "late", &wire.Pieces{Pool: "p"}, func() {})
+	made, err := f.all[0].RequestPieces(t.Context(), "late", &wire.Pieces{Pool: "p"}, func() {})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, made.References, []string{"r"})
 	assert.Equal(t, <-asked, "g00")
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -81,8 +81,8 @@
 	r.avoided, r.seen = make(map[string]clock.Millis), make(map[string]lastReport)
 }
 
-// Tell has the loads reported at once, because others choose by them.
-func (m *Mesh) Tell() {
+// ReportNow has the loads reported at once, because others choose by them.
+func (m *Mesh) ReportNow() {
 	m.urgent.Store(true)
 	m.wakeUp()
 }
@@ -345,9 +345,9 @@
 	return nil
 }
 
-// InTouch reports whether what peers report arrives: this process adds it up by
+// ReceivesReports reports whether what peers report arrives: this process adds it up by
 // itself, or its aggregator has told of it a moment ago.
-func (m *Mesh) InTouch() bool {
+func (m *Mesh) ReceivesReports() bool {
 	aggregator := m.uplink.Load().aggregator
 	if aggregator == "" {
 		return true
@@ -358,9 +358,9 @@
 	return l != nil && m.clock.Since(l.total) < muteAfter
 }
 
-// Inflow returns the pieces that requests of peers will ask for in a pool, by
+// PendingArrivals returns the pieces that requests of peers will ask for in a pool, by
 // class of rank; nil for none.
-func (m *Mesh) Inflow(pool string) []int {
+func (m *Mesh) PendingArrivals(pool string) []int {
 	loads := m.inflow.Load()
 	if loads == nil {
 		return nil
@@ -368,9 +368,9 @@
 	return inflow.PoolPieces(*loads, pool)
 }
 
-// Pool returns what peers said of a pool's queue last, false when none did. Late
+// PoolLoad returns what peers said of a pool's queue last, false when none did. Late
 // is how much older it is than usual.
-func (m *Mesh) Pool(name string) (load wire.PoolLoad, late clock.Millis, known bool) {
+func (m *Mesh) PoolLoad(name string) (load wire.PoolLoad, late clock.Millis, known bool) {
 	pools := m.pools.Load()
 	if pools == nil {
 		return wire.PoolLoad{}, 0, false
--- a/internal/serve/mesh/send.go
+++ b/internal/serve/mesh/send.go
@@ -21,7 +21,7 @@
 	all := m.destinations()
 	var seen []wire.Seen
 	if regular {
-		seen = m.follower.SeenFunc()
+		seen = m.follower.ProgressFunc()
 	}
 	for _, to := range all {
 		m.sendTo(to, regular, seen, now)
--- a/internal/serve/mesh/view.go
+++ b/internal/serve/mesh/view.go
@@ -72,16 +72,16 @@
 	}
 }
 
-// Alive returns the names of the processes that can own pools, this one among
+// LiveProcesses returns the names of the processes that can own pools, this one among
 // them.
-func (m *Mesh) Alive() []string { return m.view.Load().names }
+func (m *Mesh) LiveProcesses() []string { return m.view.Load().names }
 
 // Count returns the number of processes that share what is bounded for all.
 func (m *Mesh) Count() int { return len(m.view.Load().names) }
 
-// Relays reports whether others will hear from this process once it can serve:
+// MayRelay reports whether others will hear from this process once it can serve:
 // there are no others yet, or it would be an aggregator among them.
-func (m *Mesh) Relays() bool {
+func (m *Mesh) MayRelay() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	processes := []owner.Process{processOf(m.self)}
@@ -98,8 +98,8 @@
 	return slices.ContainsFunc(owner.Eligible(processes), func(p owner.Process) bool { return p.Name == self.Name })
 }
 
-// Watches reports whether this process watches the store for others.
-func (m *Mesh) Watches() bool { return slices.Contains(m.view.Load().plan.Watchers, m.self.Name) }
+// IsWatcher reports whether this process watches the store for others.
+func (m *Mesh) IsWatcher() bool { return slices.Contains(m.view.Load().plan.Watchers, m.self.Name) }
 
 // Owner returns the process that owns a subject now.
 func (m *Mesh) Owner(subject string) string { return m.OwnerIn(subject, "") }
--- a/internal/serve/router/export_test.go
+++ b/internal/serve/router/export_test.go
@@ -6,4 +6,4 @@
 func (g *Gateway) Gate() *gate.Gate { return g.gate }
 
 // Watches reports whether this process watches the store for the others.
-func (g *Gateway) Watches() bool { return g.mesh.Watches() }
+func (g *Gateway) Watches() bool { return g.mesh.IsWatcher() }
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -77,7 +77,7 @@
 // openIfReady lets this process own pools once it knows routes and endpoints.
 func (g *Gateway) openIfReady() {
 	if g.gate.Ready() {
-		g.mesh.Open()
+		g.mesh.StartOwning()
 	}
 }
 
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -122,19 +122,19 @@
 		return nil
 	}
 	return mesh.Follower{
-		SeenFunc: func() []wire.Seen {
+		ProgressFunc: func() []wire.Seen {
 			var seen []wire.Seen
 			for _, f := range g.feeds.all() {
-				seen = append(seen, f.Seen())
+				seen = append(seen, f.Progress())
 			}
 			return seen
 		},
-		WholeFunc: func(kind string) (whole *wire.Update) {
-			each(kind, func(f *feed.Feed) bool { whole = f.Whole(); return false })
+		SnapshotFunc: func(kind string) (whole *wire.Update) {
+			each(kind, func(f *feed.Feed) bool { whole = f.Snapshot(); return false })
 			return whole
 		},
-		TakeFunc: func(update *wire.Update, now clock.Millis) []string {
-			return each(update.Kind, func(f *feed.Feed) bool { return f.Take(update, now) })
+		ApplyFunc: func(update *wire.Update, now clock.Millis) []string {
+			return each(update.Kind, func(f *feed.Feed) bool { return f.Apply(update, now) })
 		},
 		ConfirmFunc: func(seen []wire.Seen, now clock.Millis) []string {
 			var missing []string
@@ -143,12 +143,12 @@
 			}
 			return missing
 		},
-		Fresh:    clock.Millis(freshShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
-		Lost:     clock.Millis(lostShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
-		DownFunc: func() bool { return slices.ContainsFunc(g.feeds.all(), (*feed.Feed).Down) },
-		AloneFunc: func() {
+		MaxPeerAge:    clock.Millis(freshShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		MaxWatcherAge: clock.Millis(lostShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		DownFunc:      func() bool { return slices.ContainsFunc(g.feeds.all(), (*feed.Feed).Down) },
+		NoUpstreamFunc: func() {
 			for _, f := range g.feeds.all() {
-				f.Alone()
+				f.EndRelay()
 			}
 		},
 	}
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -161,7 +161,7 @@
 		deploy.WithPools(g.knowsPool, g.repeats),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
-			InTouchFunc: func() bool { return g.mesh.InTouch() },
+			InTouchFunc: func() bool { return g.mesh.ReceivesReports() },
 		}))
 }
 
@@ -186,7 +186,7 @@
 func (g *Gateway) SessionHandler() http.Handler { return g.mesh.Handler() }
 
 // Alive returns the names of the processes that this one sees.
-func (g *Gateway) Alive() []string { return g.mesh.Alive() }
+func (g *Gateway) Alive() []string { return g.mesh.LiveProcesses() }
 
 // Owner returns the process that owns a subject as this one sees it.
 func (g *Gateway) Owner(subject string) string { return g.mesh.Owner(subject) }
@@ -211,7 +211,7 @@
 // its way here.
 func (g *Gateway) newerRelease() {
 	if !g.feeds.config.Relayed() {
-		g.feeds.config.Again()
+		g.feeds.config.RequestList()
 	}
 }
 
@@ -225,18 +225,18 @@
 		own := []feed.Option{
 			feed.WithMaxAge(clock.Millis(maxAgeShare * float64(bound))),
 			feed.WithWait(func() clock.Millis { return watchSpan(wait, rand.Float64()) }),
-			feed.WithPeers(func() clock.Millis { return g.relayGrace(wait) }, g.firstWait),
+			feed.WithPeerWait(func() clock.Millis { return g.relayGrace(wait) }, g.firstWait),
 		}
 		return feed.New(kind, g.Store, slices.Concat(common, own, more)...)
 	}
 	rest := clock.Millis(restShare * float64(g.LeaveWithin))
 	g.feeds.config = with(g.Dialect.ConfigKind, g.ChangeWithin, feed.WithList(g.listConfig), feed.WithChanges(g.changeConfig))
-	g.feeds.endpoints = with(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithRest(func() clock.Millis { return rest }),
+	g.feeds.endpoints = with(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithPause(func() clock.Millis { return rest }),
 		feed.WithList(g.listEndpoints), feed.WithChanges(g.changeEndpoints))
 	zones := newNames(func(names []string) { g.setEmptied(names) })
 	g.feeds.emptied = with(g.Dialect.EmptiedKind, g.ChangeWithin, feed.WithList(zones.list), feed.WithChanges(zones.change))
 	members := newMembers(g.setMembers)
-	g.feeds.members = with(g.Dialect.MemberKind, g.ChangeWithin, feed.WithRest(func() clock.Millis { return memberRest }),
+	g.feeds.members = with(g.Dialect.MemberKind, g.ChangeWithin, feed.WithPause(func() clock.Millis { return memberRest }),
 		feed.WithList(members.list), feed.WithChanges(members.change))
 	quarantines := newQuarantines(g.gate.SetQuarantines)
 	g.feeds.quarantines = with(g.Dialect.QuarantineKind, quarantineRead, feed.WithoutAge(),
@@ -293,7 +293,7 @@
 	switch {
 	case g.Clock.Since(g.began) < startSpan:
 		return settleWait
-	case g.mesh.Watches():
+	case g.mesh.IsWatcher():
 		return 0
 	}
 	return wait
@@ -308,7 +308,7 @@
 	}
 	for began := g.Clock.Now(); g.Clock.Since(began) < peersFirst; {
 		if g.feeds.members.Listed() {
-			if g.mesh.Relays() {
+			if g.mesh.MayRelay() {
 				return 0
 			}
 			return peersFirst - g.Clock.Since(began)
@@ -323,7 +323,7 @@
 // storeBackoff is the longest pause after a failed call to the store. Watchers
 // ask often, because all others hear from them.
 func (g *Gateway) storeBackoff() clock.Millis {
-	if g.mesh.Watches() {
+	if g.mesh.IsWatcher() {
 		return leastBackoff
 	}
 	return min(max(backoffEach*clock.Millis(g.mesh.Count()), leastBackoff), longestPauses)
@@ -362,7 +362,7 @@
 // serves as owner for the requests that are still open here.
 func (g *Gateway) Leave() {
 	g.gate.StartDrain()
-	g.mesh.Leave()
+	g.mesh.StopOwning()
 	g.host.Retire()
 }
 
