--- a/internal/serve/mesh/ask.go
+++ b/internal/serve/mesh/ask.go
@@ -9,9 +9,9 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// LostError says that the owner of a pool ended, or that the session with it
-// did, before it answered. Pieces may be made again, so another owner can be
-// asked.
+// LostError reports that the session with the owner of a pool could not be opened
+// or ended before the owner answered. Pieces may be computed twice, so the request
+// can be sent to another owner.
 type LostError struct {
 	Peer string
 }
@@ -19,9 +19,10 @@
 // Error implements error.
 func (e *LostError) Error() string { return fmt.Sprintf("session with %s was lost", e.Peer) }
 
-// RequestPieces asks a peer for pieces and waits for its answer. When the context ends
-// first, the request is withdrawn. Fetched is called, on the session's reader,
-// when all pieces have read their inputs.
+// RequestPieces sends a request for pieces to a peer and waits for its answer. If
+// the context ends first, the request is withdrawn. The session's reader calls
+// fetched when all pieces have read their inputs. RequestPieces returns a
+// LostError if the peer can't answer.
 func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Made, error) {
 	l := m.openLink(ctx, to)
 	if l == nil {
@@ -30,46 +31,46 @@
 		}
 		return nil, &LostError{Peer: to}
 	}
-	pieces.CallID = m.next.Add(1)
-	waiting := &request{answer: make(chan *wire.Made, 1), fetched: fetched}
+	pieces.CallID = m.lastCallID.Add(1)
+	request := &pendingRequest{answer: make(chan *wire.Made, 1), fetched: fetched}
 	m.mu.Lock()
 	if l.pending == nil {
 		m.mu.Unlock()
 		return nil, &LostError{Peer: to}
 	}
-	l.pending[pieces.CallID] = waiting
+	l.pending[pieces.CallID] = request
 	m.mu.Unlock()
 	l.session.Busy(1)
 	defer l.session.Busy(-1)
 	if err := l.session.Send(&wire.Frame{Kind: wire.KindPieces, Pieces: pieces}); err != nil {
-		m.withdraw(l, pieces.CallID)
+		m.removePending(l, pieces.CallID)
 		return nil, &LostError{Peer: to}
 	}
 	select {
-	case made := <-waiting.answer:
+	case made := <-request.answer:
 		if made == nil {
 			return nil, &LostError{Peer: to}
 		}
 		if made.Reason == fault.Leaving {
-			m.leaves(l.session.Peer(), true)
+			m.setLeaving(l.session.Peer(), true)
 		}
 		return made, nil
 	case <-ctx.Done():
-		m.withdraw(l, pieces.CallID)
-		// If it can't be sent, the session is ending, and with it the request.
+		m.removePending(l, pieces.CallID)
+		// If the frame can't be sent, the session is ending, which withdraws the request.
 		_ = l.session.Send(&wire.Frame{Kind: wire.KindDropped, Dropped: &wire.Dropped{CallID: pieces.CallID}})
 		return nil, ctx.Err()
 	}
 }
 
-func (m *Mesh) withdraw(l *link, callID uint64) {
+func (m *Mesh) removePending(l *link, callID uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(l.pending, callID)
 }
 
-// FreeResults tells a peer of results that nobody needs any more. It may get
-// lost; results expire by themselves.
+// FreeResults tells a peer which of its results are not needed any more. The
+// message may be lost: results expire anyway.
 func (m *Mesh) FreeResults(to string, unused *wire.Unused) {
 	l := m.linkTo(to)
 	if l == nil {
@@ -87,9 +88,9 @@
 	if m.stopped {
 		return
 	}
-	m.group.Add(1)
+	m.goroutines.Add(1)
 	go func() {
-		defer m.group.Done()
+		defer m.goroutines.Done()
 		<-l.opened
 		m.sendOn(l, frame)
 	}()
@@ -104,79 +105,80 @@
 	}
 }
 
-// takeLinked handles one frame on a session that this process opened.
-func (m *Mesh) takeLinked(s *sess.Session, frame *wire.Frame) {
+// handleLinkFrame handles one frame on a session that this process opened.
+func (m *Mesh) handleLinkFrame(s *sess.Session, frame *wire.Frame) {
 	m.checkRelease(frame)
 	from := s.Peer().Process
 	switch frame.Kind {
 	case wire.KindFetched:
-		m.fetched(s, frame.Fetched.CallID)
+		m.handleFetched(s, frame.Fetched.CallID)
 	case wire.KindMade:
-		m.answered(s, frame.Made)
+		m.handleMade(s, frame.Made)
 	case wire.KindTotal:
-		m.takeTotal(from, frame.Sums)
+		m.handleTotal(from, frame.Sums)
 	case wire.KindGroup:
-		m.takeSums(s, true, frame.Sums)
+		m.recordSums(s, true, frame.Sums)
 	case wire.KindUpdate:
-		m.takeUpdate(from, frame.Update)
+		m.handleUpdate(from, frame.Update)
 	case wire.KindLeave:
-		m.leaves(s.Peer(), !frame.Leave.Back)
+		m.setLeaving(s.Peer(), !frame.Leave.Back)
 	case wire.KindRenew:
-		m.renew(s)
+		m.requestResend(s)
 	default:
-		// Heartbeats are the session's own; a newer peer may send more.
+		// The session handles heartbeats; a peer of a newer version may send other kinds.
 	}
 }
 
-// renew has everything told anew on a session.
-func (m *Mesh) renew(s *sess.Session) {
+// requestResend makes the next round send complete sums on a session.
+func (m *Mesh) requestResend(s *sess.Session) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	name := s.Peer().Process
 	if l := m.links[name]; l != nil && l.session == s {
-		l.renewed = true
+		l.resendAll = true
 	}
 	if in := m.inbound[name]; in != nil && in.session == s {
-		in.renewed = true
+		in.resendAll = true
 	}
 }
 
-// takeInbound handles one frame on a session that a peer opened.
-func (m *Mesh) takeInbound(s *sess.Session, frame *wire.Frame) {
+// handleInboundFrame handles one frame on a session that a peer opened.
+func (m *Mesh) handleInboundFrame(s *sess.Session, frame *wire.Frame) {
 	m.checkRelease(frame)
 	from := s.Peer().Process
 	switch frame.Kind {
 	case wire.KindPieces:
-		m.piecesFunc(from, frame.Pieces, replyOn(s, frame.Pieces.CallID))
+		m.piecesFunc(from, frame.Pieces, newReply(s, frame.Pieces.CallID))
 	case wire.KindDropped:
 		m.droppedFunc(from, frame.Dropped.CallID)
 	case wire.KindUnused:
 		m.unusedFunc(frame.Unused)
 	case wire.KindReport:
-		m.takeReport(s, frame.Sums)
+		m.handleReport(s, frame.Sums)
 	case wire.KindGroup:
-		m.takeGroup(s, frame.Sums)
+		m.handleGroup(s, frame.Sums)
 	case wire.KindLoads:
-		m.takeLoads(s, frame.Loads)
+		m.handleLoads(s, frame.Loads)
 	case wire.KindFollow:
-		m.takeFollow(s, frame.Follow)
+		m.handleFollow(s, frame.Follow)
 	case wire.KindLeave:
-		m.leaves(s.Peer(), !frame.Leave.Back)
+		m.setLeaving(s.Peer(), !frame.Leave.Back)
 	case wire.KindRenew:
-		m.renew(s)
+		m.requestResend(s)
 	default:
-		// Heartbeats are the session's own; a newer peer may send more.
+		// The session handles heartbeats; a peer of a newer version may send other kinds.
 	}
 }
 
 func (m *Mesh) checkRelease(frame *wire.Frame) {
-	if frame.Release > m.release() {
-		m.newerFunc()
+	if frame.Release > m.releaseFunc() {
+		m.newerReleaseFunc()
 	}
 }
 
-// replyOn answers a request on its session. If that has ended, the peer knows.
-func replyOn(s *sess.Session, callID uint64) Reply {
+// newReply returns a reply that answers a request on its session. Send errors are
+// ignored: if the session has ended, the peer has detected it too.
+func newReply(s *sess.Session, callID uint64) Reply {
 	return Reply{
 		FetchedFunc: func() {
 			_ = s.Send(&wire.Frame{Kind: wire.KindFetched, Fetched: &wire.Fetched{CallID: callID}})
@@ -188,28 +190,29 @@
 	}
 }
 
-// pendingOn returns what waits on a session; the caller holds the lock.
-func (m *Mesh) pendingOn(s *sess.Session) map[uint64]*request {
+// pendingOn returns the requests without an answer on a session; the caller holds
+// the lock.
+func (m *Mesh) pendingOn(s *sess.Session) map[uint64]*pendingRequest {
 	if l := m.links[s.Peer().Process]; l != nil && l.session == s {
 		return l.pending
 	}
 	return nil
 }
 
-func (m *Mesh) fetched(s *sess.Session, callID uint64) {
+func (m *Mesh) handleFetched(s *sess.Session, callID uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if waiting := m.pendingOn(s)[callID]; waiting != nil {
-		waiting.fetched()
+	if request := m.pendingOn(s)[callID]; request != nil {
+		request.fetched()
 	}
 }
 
-func (m *Mesh) answered(s *sess.Session, made *wire.Made) {
+func (m *Mesh) handleMade(s *sess.Session, made *wire.Made) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pending := m.pendingOn(s)
-	if waiting := pending[made.CallID]; waiting != nil {
+	if request := pending[made.CallID]; request != nil {
 		delete(pending, made.CallID)
-		waiting.answer <- made
+		request.answer <- made
 	}
 }
--- a/internal/serve/mesh/export_test.go
+++ b/internal/serve/mesh/export_test.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// CloseTo cuts the sessions to and from some processes.
-func (m *Mesh) CloseTo(which func(Member) bool) {
+// CloseSessions closes the sessions to and from the members that match.
+func (m *Mesh) CloseSessions(matches func(Member) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	cut := errors.New("cut")
 	for name, member := range m.members {
-		if !which(member) {
+		if !matches(member) {
 			continue
 		}
 		if l := m.links[name]; l != nil && l.session != nil {
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// defaultFresh bounds how long ago an upstream may have heard from the store, and
-	// defaultLost how long ago a watcher that is not cut off.
-	defaultFresh = 1300 * clock.Millis(1)
-	defaultLost  = 1800 * clock.Millis(1)
-	// askPause is the shortest pause between two requests for missing changes.
-	askPause = 300 * clock.Millis(1)
-	// retryStore is how long a watcher that is cut off from the store follows a peer
-	// before it tries the store again.
-	retryStore = 5 * clock.Second
+	// defaultMaxPeerAge and defaultMaxWatcherAge are the defaults of
+	// Follower.MaxPeerAge and Follower.MaxWatcherAge.
+	defaultMaxPeerAge    = 1300 * clock.Millis(1)
+	defaultMaxWatcherAge = 1800 * clock.Millis(1)
+	// minRequestPause is the shortest pause between two requests for missing changes.
+	minRequestPause = 300 * clock.Millis(1)
+	// storeRetryPause is how long a watcher that can't reach the store follows a
+	// peer before it tries the store again.
+	storeRetryPause = 5 * clock.Second
 )
 
-// chooseUpstream decides through whom the store is followed: a process through
-// its aggregator, an aggregator through a watcher. Watchers follow it themselves,
-// and so does everybody whose upstream stops.
+// chooseUpstream selects the peer through which this process follows the store: a
+// process uses its aggregator, an aggregator uses a watcher. Watchers read the
+// store themselves, and so does every process whose upstream stops relaying.
 func (m *Mesh) chooseUpstream(now clock.Millis) {
 	r, before := &m.reports, m.uplink.Load()
 	upstream := before.aggregator
 	if upstream == "" {
-		upstream = m.freshest(before.upstream, now)
+		upstream = m.selectUpstream(before.upstream, now)
 	}
 	var open *link
 	if upstream != "" {
@@ -48,15 +48,16 @@
 		m.follower.NoUpstreamFunc()
 	}
 	if open != nil {
-		m.askFor(open, nil)
+		m.requestChanges(open, nil)
 	}
 }
 
-// freshest returns the process through which an aggregator follows the store, "" for
-// none. A watcher that is cut off from the store follows another process, too.
-func (m *Mesh) freshest(current string, now clock.Millis) string {
+// selectUpstream returns the process through which an aggregator follows the
+// store, "" for none. A watcher that can't reach the store follows another
+// process, too.
+func (m *Mesh) selectUpstream(current string, now clock.Millis) string {
 	plan := m.view.Load().plan
-	if slices.Contains(plan.Watchers, m.self.Name) && !m.cutOff(now) {
+	if slices.Contains(plan.Watchers, m.self.Name) && !m.isCutOff(now) {
 		return ""
 	}
 	candidates := slices.Concat(plan.Watchers, plan.Aggregators, m.reporters())
@@ -71,24 +72,25 @@
 	return ""
 }
 
-// cutOff reports whether this process, a watcher, can't reach the store. What a peer
-// relays doesn't tell that it can again: it tries, and returns to a peer at the first
-// call that fails.
-func (m *Mesh) cutOff(now clock.Millis) bool {
+// isCutOff reports whether this process, a watcher, can't reach the store. Data
+// that a peer relays doesn't show whether this process can reach the store again.
+// So it tries the store after storeRetryPause, and follows a peer again at the
+// first call that fails.
+func (m *Mesh) isCutOff(now clock.Millis) bool {
 	r := &m.reports
 	switch {
 	case now < r.followUntil:
 		return true
-	case isStale(m.follower.ProgressFunc(), m.follower.MaxWatcherAge), now < r.trialUntil && m.follower.DownFunc():
-		r.followUntil = now + retryStore
-		r.trialUntil = r.followUntil + m.follower.MaxWatcherAge
+	case isStale(m.follower.ProgressFunc(), m.follower.MaxWatcherAge), now < r.retryUntil && m.follower.DownFunc():
+		r.followUntil = now + storeRetryPause
+		r.retryUntil = r.followUntil + m.follower.MaxWatcherAge
 		return true
 	}
 	return false
 }
 
 // reporters returns the processes that report to this one. One of them may reach
-// the store when no aggregator does.
+// the store when no aggregator can.
 func (m *Mesh) reporters() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,18 +104,19 @@
 	return names
 }
 
-// isFresh reports whether a process has heard from the store a moment ago.
+// isFresh reports whether a process has received an answer of the store within
+// Follower.MaxPeerAge.
 func (m *Mesh) isFresh(name string, now clock.Millis) bool {
 	for _, source := range []sums.Source{{Process: name, OtherGroup: true}, {Process: name}} {
-		if seen, at := m.book.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.MaxPeerAge-(now-at)) {
+		if seen, at := m.totals.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.MaxPeerAge-(now-at)) {
 			return true
 		}
 	}
 	return false
 }
 
-// isStale reports whether some kind of objects was last confirmed by the store
-// longer ago than a bound.
+// isStale reports whether the store last confirmed some kind of objects longer ago
+// than bound.
 func isStale(seen []wire.Seen, bound clock.Millis) bool {
 	return slices.ContainsFunc(seen, func(s wire.Seen) bool { return s.Age > bound })
 }
@@ -127,8 +130,9 @@
 	return l
 }
 
-// askFor asks a peer to pass changes on, of some kinds again, or of all.
-func (m *Mesh) askFor(l *link, kinds []string) {
+// requestChanges asks a peer to relay changes of the given kinds, or of all kinds
+// if kinds is nil.
+func (m *Mesh) requestChanges(l *link, kinds []string) {
 	follow := &wire.Follow{}
 	for _, seen := range m.follower.ProgressFunc() {
 		if kinds == nil || slices.Contains(kinds, seen.Kind) {
@@ -138,63 +142,66 @@
 	m.sendOn(l, &wire.Frame{Kind: wire.KindFollow, Follow: follow})
 }
 
-// takeFollow begins to pass changes on to a peer.
-func (m *Mesh) takeFollow(s *sess.Session, follow *wire.Follow) {
+// handleFollow starts to relay changes to a peer. It sends a snapshot of each kind
+// of which the peer lacks changes.
+func (m *Mesh) handleFollow(s *sess.Session, follow *wire.Follow) {
 	m.mu.Lock()
 	if in := m.inbound[s.Peer().Process]; in != nil && in.session == s {
 		in.follows = true
 	}
 	m.mu.Unlock()
 	for _, kind := range follow.Kinds {
-		whole := m.follower.SnapshotFunc(kind.Kind)
-		if whole != nil && whole.Changed > kind.Revision {
-			_ = s.Send(&wire.Frame{Kind: wire.KindUpdate, Update: whole}) // a session that can't send is ending
+		snapshot := m.follower.SnapshotFunc(kind.Kind)
+		if snapshot != nil && snapshot.Changed > kind.Revision {
+			_ = s.Send(&wire.Frame{Kind: wire.KindUpdate, Update: snapshot}) // a session that can't send is ending
 		}
 	}
 }
 
-// Forward sends changes to all who follow the store through this process.
+// Forward sends changes to all peers that follow the store through this process.
 func (m *Mesh) Forward(update *wire.Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, in := range m.inbound {
 		if in.follows {
-			_ = in.session.Send(&wire.Frame{Kind: wire.KindUpdate, Update: update}) // they ask again for what is missing
+			_ = in.session.Send(&wire.Frame{Kind: wire.KindUpdate, Update: update}) // a peer requests missing changes again
 		}
 	}
 }
 
-func (m *Mesh) takeUpdate(from string, update *wire.Update) {
+func (m *Mesh) handleUpdate(from string, update *wire.Update) {
 	if update.Kind == "" || update.Age < 0 || update.Changed > update.Revision {
 		m.ignoredFunc("contradictory")
 		m.log.Warn("update ignored", "peer", from, "kind", update.Kind, "revision", update.Revision)
 		return
 	}
 	if m.uplink.Load().upstream == from {
-		m.askAgain(from, m.follower.ApplyFunc(update, m.clock.Now()))
+		m.requestMissing(from, m.follower.ApplyFunc(update, m.clock.Now()))
 	}
 }
 
-// confirm takes how far the upstream has followed the store.
-func (m *Mesh) confirm(from string, seen []wire.Seen, now clock.Millis) {
-	m.askAgain(from, m.follower.ConfirmFunc(seen, now))
+// confirmProgress applies the progress of the upstream and requests missing
+// changes.
+func (m *Mesh) confirmProgress(from string, seen []wire.Seen, now clock.Millis) {
+	m.requestMissing(from, m.follower.ConfirmFunc(seen, now))
 }
 
-// askAgain asks the upstream for changes that are missing.
-func (m *Mesh) askAgain(from string, missing []string) {
+// requestMissing requests changes of the given kinds from the upstream, at most
+// once per minRequestPause.
+func (m *Mesh) requestMissing(from string, missing []string) {
 	if len(missing) == 0 {
 		return
 	}
 	now := m.clock.Now()
 	m.mu.Lock()
 	l := m.links[from]
-	due := l != nil && now-l.asked >= askPause
+	due := l != nil && now-l.changesRequested >= minRequestPause
 	if due {
-		l.asked = now
+		l.changesRequested = now
 	}
 	m.mu.Unlock()
 	if due {
 		m.log.Info("changes missing", "peer", from, "kinds", missing)
-		m.askFor(l, missing)
+		m.requestChanges(l, missing)
 	}
 }
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -11,80 +11,82 @@
 	"github.com/jujubescale/jujubescale/internal/ops/logs"
 )
 
-// request is a request for pieces that waits for its answer.
-type request struct {
+// pendingRequest is a request for pieces without an answer yet.
+type pendingRequest struct {
 	answer  chan *wire.Made
 	fetched func()
 }
 
-// link is this process's session to a peer. Only the process that opened a
-// session asks on it.
+// link is a session that this process opened to a peer. Only the process that
+// opened a session sends requests on it.
 type link struct {
 	member Member
-	// opened closes once session is set or the attempt has failed.
-	opened  chan struct{}
-	session *sess.Session
-	pending map[uint64]*request
-	used    clock.Millis
-	// target is what was reported there; only Run uses it.
+	// opened is closed once session is set or the attempt to open it has failed.
+	opened   chan struct{}
+	session  *sess.Session
+	pending  map[uint64]*pendingRequest
+	lastUsed clock.Millis
+	// target is the state of the reports on this session; only Run uses it.
 	target target
-	// total is when sums came from there last.
-	total clock.Millis
-	// renewed is set when the peer requests whole sums.
-	renewed bool
-	// asked is when missing changes were asked for last.
-	asked clock.Millis
+	// lastTotal is when the last total arrived on this session.
+	lastTotal clock.Millis
+	// resendAll is set when the peer requests complete sums.
+	resendAll bool
+	// changesRequested is when missing changes were last requested.
+	changesRequested clock.Millis
 }
 
-// target is a session that reports are sent on.
+// target is the state of the reports that are sent on a session.
 type target struct {
 	kind        wire.Kind
 	cursor      sums.Cursor
 	membersSent clock.Millis
-	// regular is when everything that changed was sent last.
-	regular clock.Millis
-	// interest is what was sent last, if hasInterest is set.
+	// lastRegular is when all changes were last sent.
+	lastRegular clock.Millis
+	// interest is the list that was sent last; it is valid if hasInterest is set.
 	interest    []string
 	hasInterest bool
 }
 
-// inbound is the session that a peer opened.
+// inbound is a session that a peer opened.
 type inbound struct {
 	session *sess.Session
-	// reports and groups are set by what the peer sends, follows if it follows the
-	// store through this process, and legacy if it doesn't take totals.
+	// reports is set while the peer sends its reports here, groups while it sends
+	// the sums of its group, follows if it follows the store through this process,
+	// and legacy if it has the previous version, which receives no totals.
 	reports, groups, follows, legacy bool
-	// renewed is set when the peer requests whole sums.
-	renewed bool
+	// resendAll is set when the peer requests complete sums.
+	resendAll bool
 	// target is only used by Run.
 	target target
 }
 
-// linkTo returns the link to a listed process, which may still be opening; nil
-// for one that is not listed or can't be reached.
+// linkTo returns the link to a process, which may still be opening. It returns
+// nil if the process is not listed or unreachable.
 func (m *Mesh) linkTo(name string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	if l := m.links[name]; l != nil {
-		l.used = now
+		l.lastUsed = now
 		return l
 	}
 	member, listed := m.members[name]
-	if !listed || m.stopped || m.base.Err() != nil || isRun(m.lost, name, member.Incarnation) {
+	if !listed || m.stopped || m.base.Err() != nil || hasIncarnation(m.unreachable, name, member.Incarnation) {
 		return nil
 	}
 	l := newLink(member, now)
 	m.links[name] = l
-	m.group.Add(1)
+	m.goroutines.Add(1)
 	go func() {
-		defer m.group.Done()
+		defer m.goroutines.Done()
 		m.maintain(l)
 	}()
 	return l
 }
 
-// openLink is linkTo that waits until the session is open; nil if it can't be.
+// openLink returns the link to a process once its session is open. It returns nil
+// if the session can't be opened or the context ends.
 func (m *Mesh) openLink(ctx context.Context, name string) *link {
 	l := m.linkTo(name)
 	if l == nil {
@@ -98,31 +100,31 @@
 	return m.ifOpen(l)
 }
 
-// newLink returns a link that is not open yet.
+// newLink returns a link without a session.
 func newLink(member Member, now clock.Millis) *link {
-	return &link{member: member, opened: make(chan struct{}), pending: make(map[uint64]*request), used: now}
+	return &link{member: member, opened: make(chan struct{}), pending: make(map[uint64]*pendingRequest), lastUsed: now}
 }
 
-// maintain opens a link and keeps it until its session ends. A process that can't be
-// reached is tried again for a while: it may only have been cut off.
+// maintain opens a link and waits until its session ends. Then it redials the
+// process, which may have been unreachable only for a short time.
 func (m *Mesh) maintain(l *link) {
 	s, err := m.dial(l.member)
 	if err == nil && s.Peer().Incarnation != l.member.Incarnation {
-		// The listed run has ended; its successor is used once it is listed.
+		// The listed incarnation has ended; the new one is used once it is listed.
 		s.Close(errIdle)
 		err = errRestarted
 	}
 	if err == nil {
-		m.linked(l, s)
+		m.addSession(l, s)
 		<-s.Done()
 		err = s.Err()
 	}
-	m.linkEnded(l, err)
+	m.handleLinkEnd(l, err)
 }
 
-// linkEnded removes a link, and tries to reach its process again if it is lost.
-func (m *Mesh) linkEnded(l *link, cause error) {
-	if !m.unlinked(l, cause) {
+// handleLinkEnd removes a link and redials its process if that is unreachable.
+func (m *Mesh) handleLinkEnd(l *link, cause error) {
+	if !m.removeLink(l, cause) {
 		return
 	}
 	m.log.Info("peer lost", "peer", l.member.Name, logs.KeyIncarnation, l.member.Incarnation, logs.KeyError, cause)
@@ -130,7 +132,7 @@
 }
 
 func (m *Mesh) dial(member Member) (*sess.Session, error) {
-	s, err := sess.Dial(m.base, member.Address, m.options(m.takeLinked, sess.WithOpening(openTimeout))...)
+	s, err := sess.Dial(m.base, member.Address, m.newSessionOptions(m.handleLinkFrame, sess.WithOpening(openTimeout))...)
 	if err != nil {
 		return nil, err
 	}
@@ -141,8 +143,8 @@
 	return s, nil
 }
 
-// linked enters a session that was opened.
-func (m *Mesh) linked(l *link, s *sess.Session) {
+// addSession records the session of a link once it is open.
+func (m *Mesh) addSession(l *link, s *sess.Session) {
 	hello := s.Peer()
 	m.mu.Lock()
 	l.session = s
@@ -150,21 +152,21 @@
 	if m.stopped {
 		s.Close(errStopped)
 	}
-	restarted := m.newRun(hello.Process, hello.Incarnation)
+	restarted := m.recordIncarnation(hello.Process, hello.Incarnation)
 	m.mu.Unlock()
 	m.log.Info("peer joined", "peer", hello.Process, logs.KeyIncarnation, hello.Incarnation)
 	if hello.Leaving {
-		m.leaves(hello, true)
+		m.setLeaving(hello, true)
 	}
 	if restarted {
-		m.endedFunc(hello.Process)
+		m.restartedFunc(hello.Process)
 	}
 	m.ReportNow()
 }
 
-// unlinked removes a link whose session ended or was not opened, and reports
-// whether the process counts as lost.
-func (m *Mesh) unlinked(l *link, cause error) bool {
+// removeLink removes a link whose session ended or was not opened. It reports
+// whether the process is now marked as unreachable.
+func (m *Mesh) removeLink(l *link, cause error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.links[l.member.Name] == l {
@@ -180,45 +182,47 @@
 	if m.stopped || errors.Is(cause, errIdle) || m.base.Err() != nil {
 		return false
 	}
-	if m.members[l.member.Name] != l.member || isRun(m.lost, l.member.Name, l.member.Incarnation) {
+	if m.members[l.member.Name] != l.member || hasIncarnation(m.unreachable, l.member.Name, l.member.Incarnation) {
 		return false
 	}
-	m.lost[l.member.Name] = l.member.Incarnation
-	m.publish()
+	m.unreachable[l.member.Name] = l.member.Incarnation
+	m.updateView()
 	return true
 }
 
-// redial tries to reach a lost process until it answers, is listed no longer, or
-// for redialFor. After that it counts as reachable until somebody needs it again.
+// redial dials an unreachable process until that succeeds, the process is not
+// listed any more, or redialTimeout has passed. After the timeout it removes the
+// unreachable mark; the next use of the process dials it again.
 func (m *Mesh) redial(member Member) {
 	began, pause := m.clock.Now(), clock.Millis(0)
-	for m.clock.Since(began) < redialFor {
-		if m.clock.Sleep(m.base, pause) != nil || !m.listed(member) {
+	for m.clock.Since(began) < redialTimeout {
+		if m.clock.Sleep(m.base, pause) != nil || !m.isListed(member) {
 			return
 		}
 		if s, err := m.dial(member); err == nil {
-			if m.relinked(member, s) {
+			if m.restoreLink(member, s) {
 				return
 			}
 		}
-		pause = min(max(2*pause, firstRedial), maxRedial)
+		pause = min(max(2*pause, firstRedialPause), maxRedialPause)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.lost, member.Name)
-	m.publish()
+	delete(m.unreachable, member.Name)
+	m.updateView()
 }
 
-// listed reports whether a process is still listed as it was.
-func (m *Mesh) listed(member Member) bool {
+// isListed reports whether the list still holds exactly this member.
+func (m *Mesh) isListed(member Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.stopped && m.members[member.Name] == member
 }
 
-// relinked takes up the session with a process that was lost. Another run under
-// the same name is used only once it is listed.
-func (m *Mesh) relinked(member Member, s *sess.Session) bool {
+// restoreLink adds a link for the new session with a process that was
+// unreachable. It reports false if the session can't be used: another incarnation
+// of the process is used only once it is listed.
+func (m *Mesh) restoreLink(member Member, s *sess.Session) bool {
 	m.mu.Lock()
 	if m.stopped || s.Peer().Incarnation != member.Incarnation || m.links[member.Name] != nil {
 		m.mu.Unlock()
@@ -227,53 +231,54 @@
 	}
 	l := newLink(member, m.clock.Now())
 	m.links[member.Name] = l
-	delete(m.lost, member.Name)
-	m.publish()
-	m.group.Add(1)
+	delete(m.unreachable, member.Name)
+	m.updateView()
+	m.goroutines.Add(1)
 	m.mu.Unlock()
-	m.linked(l, s)
+	m.addSession(l, s)
 	go func() {
-		defer m.group.Done()
+		defer m.goroutines.Done()
 		<-s.Done()
-		m.linkEnded(l, s.Err())
+		m.handleLinkEnd(l, s.Err())
 	}()
 	return true
 }
 
-// closeIdle closes the links that are needed no longer.
+// closeIdle closes links that were not used for idleTimeout.
 func (m *Mesh) closeIdle(now clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
-		if l.session != nil && len(l.pending) == 0 && now-l.used > idleClose {
+		if l.session != nil && len(l.pending) == 0 && now-l.lastUsed > idleTimeout {
 			l.session.Close(errIdle)
 		}
 	}
 }
 
-// accepted enters a session that a peer opened, before the peer sends on it.
-func (m *Mesh) accepted(s *sess.Session) {
+// addInbound records a session that a peer opened, before its first frame is
+// handled.
+func (m *Mesh) addInbound(s *sess.Session) {
 	hello := s.Peer()
 	name := hello.Process
 	m.mu.Lock()
-	before := m.inbound[name]
+	previous := m.inbound[name]
 	m.inbound[name] = &inbound{session: s, legacy: !hello.Relays}
-	restarted := m.newRun(name, hello.Incarnation)
+	restarted := m.recordIncarnation(name, hello.Incarnation)
 	if m.stopped {
 		s.Close(errStopped)
 	}
 	m.mu.Unlock()
-	if before != nil {
-		before.session.Close(errReplaced)
-		m.lostFunc(name)
+	if previous != nil {
+		previous.session.Close(errReplaced)
+		m.sessionLostFunc(name)
 	}
 	if restarted {
-		m.endedFunc(name)
+		m.restartedFunc(name)
 	}
 	m.log.Info("session accepted", "peer", name, logs.KeyIncarnation, hello.Incarnation)
 }
 
-func (m *Mesh) inboundEnded(s *sess.Session) {
+func (m *Mesh) removeInbound(s *sess.Session) {
 	name := s.Peer().Process
 	m.mu.Lock()
 	current := m.inbound[name] != nil && m.inbound[name].session == s
@@ -284,8 +289,8 @@
 	if !current {
 		return
 	}
-	m.lostFunc(name)
-	m.forget(sums.Source{Process: name})
-	m.forget(sums.Source{Process: name, OtherGroup: true})
+	m.sessionLostFunc(name)
+	m.removeSource(sums.Source{Process: name})
+	m.removeSource(sums.Source{Process: name, OtherGroup: true})
 	m.log.Info("session ended", "peer", name, logs.KeyError, s.Err())
 }
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -1,10 +1,11 @@
-// Package mesh joins the processes of the system that take callers. They ask
-// the owner of a pool for pieces, give results back, report their work at the
-// endpoints, and pass on what they read in the platform's store.
+// Package mesh connects the processes that serve callers. Over its sessions a
+// process requests pieces from the owner of a pool, frees results, reports its
+// work at the endpoints, and relays what it has read from the platform's store.
 //
-// Who they are is learned from the store. A process opens sessions to the few
-// that it needs: the owners that it asks and the aggregator that it reports to;
-// see route/relay. What it sends and keeps does not grow with the fleet.
+// The list of processes comes from the store. A process opens sessions only to
+// the owners that it requests pieces from and to the aggregator that it reports
+// to; see route/relay. The amount of data that it sends and keeps does not grow
+// with the fleet.
 package mesh
 
 import (
@@ -26,103 +27,105 @@
 )
 
 const (
-	// Heartbeats: an idle session that went silent is noticed after three
-	// seconds, one with work in flight after three quarters of a second.
-	beatIdle = clock.Second
-	beatBusy = 250 * clock.Millis(1)
-	// openTimeout bounds opening a session: a host without power does not answer.
+	// Heartbeat intervals. A broken idle session is detected after three seconds,
+	// a broken session with calls in flight after 750 ms.
+	idleHeartbeat = clock.Second
+	busyHeartbeat = 250 * clock.Millis(1)
+	// openTimeout bounds the opening of a session: a host without power sends no
+	// reply, not even a refusal.
 	openTimeout = 800 * clock.Millis(1)
-	// firstRedial and maxRedial bound the pause between two tries to reach a
-	// process, redialFor how long it is tried.
-	firstRedial = 100 * clock.Millis(1)
-	maxRedial   = 4 * clock.Second
-	redialFor   = clock.Minute
-	// idleClose is how long a session to a process that is not asked any more is
-	// kept open.
-	idleClose = 30 * clock.Second
+	// firstRedialPause and maxRedialPause bound the pause between two attempts to
+	// reach a process. redialTimeout bounds the time for all attempts.
+	firstRedialPause = 100 * clock.Millis(1)
+	maxRedialPause   = 4 * clock.Second
+	redialTimeout    = clock.Minute
+	// idleTimeout is how long a session that this process opened stays open
+	// without use.
+	idleTimeout = 30 * clock.Second
 )
 
 var (
 	errReplaced  = errors.New("the peer opened a newer session")
-	errStopped   = errors.New("this process stops")
-	errIdle      = errors.New("the session was idle")
-	errWrongPeer = errors.New("another process answers at the address")
+	errStopped   = errors.New("this process is stopping")
+	errIdle      = errors.New("the session is not needed any more")
+	errWrongPeer = errors.New("a different process listens at the address")
 	errRestarted = errors.New("the process was restarted")
 )
 
-// Member is one process of the system.
+// Member is one process of the fleet, as the store lists it.
 type Member struct {
 	Name        string            `json:"name"`
 	Address     string            `json:"address"`
 	Incarnation token.Incarnation `json:"incarnation"`
 	Zone        string            `json:"availabilityZone"`
-	// Capacity is what the process may use of its host, in cores.
+	// Capacity is the number of cores that the process may use.
 	Capacity float64 `json:"capacity,omitempty"`
 }
 
-// Reply is how a request for pieces is answered: that inputs were read, and what
-// became of the pieces.
+// Reply holds the functions that answer a request for pieces: FetchedFunc
+// reports that the inputs were read, MadeFunc sends the result.
 type Reply struct {
 	FetchedFunc func()
 	MadeFunc    func(*wire.Made)
 }
 
-// Follower is how this process follows the store, on its own and through peers.
+// Follower connects the mesh to this process's copy of the store, which is read
+// from the store itself or through a peer.
 type Follower struct {
-	// ProgressFunc returns how far each kind of objects was followed.
+	// ProgressFunc returns, for each kind of objects, the revision that was read.
 	ProgressFunc func() []wire.Seen
-	// SnapshotFunc returns all objects of a kind, nil before they were read.
+	// SnapshotFunc returns all objects of a kind, nil before the first read.
 	SnapshotFunc func(kind string) *wire.Update
-	// ApplyFunc takes changes from a peer, and ConfirmFunc how far that peer has
-	// followed, as of an instant. Both return the kinds of which changes are
-	// missing.
+	// ApplyFunc applies changes that a peer relays. ConfirmFunc takes the progress
+	// of that peer as of an instant. Both return the kinds that lack changes.
 	ApplyFunc   func(update *wire.Update, now clock.Millis) []string
 	ConfirmFunc func(seen []wire.Seen, now clock.Millis) []string
-	// MaxPeerAge bounds how long ago a peer that this process follows may have heard from
-	// the store, MaxWatcherAge how long ago a watcher; in milliseconds.
+	// MaxPeerAge bounds the age of the last store answer at a peer that this
+	// process follows; MaxWatcherAge bounds it at this process while it is a
+	// watcher. Both are in milliseconds.
 	MaxPeerAge, MaxWatcherAge clock.Millis
-	// DownFunc reports whether the last call to the store for some kind failed.
+	// DownFunc reports whether the last call to the store failed for any kind.
 	DownFunc func() bool
-	// NoUpstreamFunc is called when this process is to follow the store by itself.
+	// NoUpstreamFunc is called when this process has to read the store itself.
 	NoUpstreamFunc func()
 }
 
-// Mesh is this process's sessions with the others.
+// Mesh holds this process's sessions with its peers and what they report.
 type Mesh struct {
-	self    Member
-	clock   *clock.Clock
-	log     *log.Logger
-	session []sess.Option
-
-	piecesFunc  func(from string, pieces *wire.Pieces, reply Reply)
-	droppedFunc func(from string, callID uint64)
-	unusedFunc  func(unused *wire.Unused)
-	loadsFunc   func() *wire.Loads
-	workFunc    func(work []wire.Work, whole bool)
-	prefixFunc  func([]wire.PrefixUse)
-	refusedFunc func([]wire.Refused)
-	crashesFunc func([]wire.Crash)
-	lostFunc    func(peer string)
-	endedFunc   func(peer string)
-	ignoredFunc func(reason string)
-	release     func() uint64
-	newerFunc   func()
-	follower    Follower
-
-	book *sums.Totals
-	view atomic.Pointer[view]
-	// pools and inflow are what all peers report.
-	pools  atomic.Pointer[map[string]sums.Pool]
-	inflow atomic.Pointer[[]inflow.Load]
-	trials atomic.Pointer[[]wire.Trial]
-	next   atomic.Uint64
-	// urgent says that this process has something to report at once, and wake
-	// wakes the round that sends reports.
+	self           Member
+	clock          *clock.Clock
+	log            *log.Logger
+	sessionOptions []sess.Option
+
+	piecesFunc       func(from string, pieces *wire.Pieces, reply Reply)
+	droppedFunc      func(from string, callID uint64)
+	unusedFunc       func(unused *wire.Unused)
+	loadsFunc        func() *wire.Loads
+	workFunc         func(work []wire.Work, whole bool)
+	prefixFunc       func([]wire.PrefixUse)
+	refusedFunc      func([]wire.Refused)
+	crashesFunc      func([]wire.Crash)
+	sessionLostFunc  func(peer string)
+	restartedFunc    func(peer string)
+	ignoredFunc      func(reason string)
+	releaseFunc      func() uint64
+	newerReleaseFunc func()
+	follower         Follower
+
+	totals *sums.Totals
+	view   atomic.Pointer[view]
+	// pools, pendingArrivals and trials hold the sums of the reports of all peers.
+	pools           atomic.Pointer[map[string]sums.Pool]
+	pendingArrivals atomic.Pointer[[]inflow.Load]
+	trials          atomic.Pointer[[]wire.Trial]
+	lastCallID      atomic.Uint64
+	// urgent is set when the loads have to be reported at once; wake starts a
+	// round of reports.
 	urgent atomic.Bool
 	wake   chan struct{}
 
-	// workLock orders the calls of workFunc: what was added up first is passed on
-	// first.
+	// workLock makes the calls of workFunc follow the order in which the sums
+	// were computed.
 	workLock sync.Mutex
 
 	// reports is the state of sending reports; only Run uses it.
@@ -133,23 +136,24 @@
 	members map[string]Member
 	links   map[string]*link
 	inbound map[string]*inbound
-	// runs holds the newest run of each process that was ever seen.
-	runs map[string]token.Incarnation
-	// lost and leaving are the runs that this process can't reach, and those that
-	// said that they own nothing.
-	lost    map[string]token.Incarnation
-	leaving map[string]token.Incarnation
-	// absent are the runs that do not report to any aggregator.
+	// incarnations holds the last known incarnation of each process.
+	incarnations map[string]token.Incarnation
+	// unreachable holds the incarnations that this process can't reach, leaving
+	// those that announced that they own nothing.
+	unreachable map[string]token.Incarnation
+	leaving     map[string]token.Incarnation
+	// absent holds the incarnations that report to no aggregator or may not own
+	// pools.
 	absent map[string]token.Incarnation
-	// owns says that this process may own pools: it knows routes and endpoints,
-	// and no planned stop has begun.
-	owns    bool
-	stopped bool
-	base    context.Context
-	group   sync.WaitGroup
+	// owns is set while this process may own pools: it has read routes and
+	// endpoints, and no planned stop has begun.
+	owns       bool
+	stopped    bool
+	base       context.Context
+	goroutines sync.WaitGroup
 }
 
-// Option changes a Mesh while it is built.
+// Option configures a Mesh.
 type Option func(*Mesh)
 
 // WithClock sets the clock.
@@ -160,77 +164,82 @@
 
 // WithSession adds options to each session.
 func WithSession(opts ...sess.Option) Option {
-	return func(m *Mesh) { m.session = append(m.session, opts...) }
+	return func(m *Mesh) { m.sessionOptions = append(m.sessionOptions, opts...) }
 }
 
-// WithPieces sets who takes the requests for pieces of others, and their
+// WithPieces sets the handlers for a peer's request for pieces and for its
 // withdrawal.
 func WithPieces(pieces func(from string, pieces *wire.Pieces, reply Reply), dropped func(from string, callID uint64)) Option {
 	return func(m *Mesh) { m.piecesFunc, m.droppedFunc = pieces, dropped }
 }
 
-// WithUnused sets who takes results back.
+// WithUnused sets the handler for results that a peer doesn't need any more.
 func WithUnused(unused func(*wire.Unused)) Option { return func(m *Mesh) { m.unusedFunc = unused } }
 
-// WithLoads sets what is reported, and who takes the work of all peers at
-// endpoints: what changed, or, if whole is set, all of it.
+// WithLoads sets the source of the loads that this process reports, and the
+// handler for the work of all peers at endpoints: the endpoints that changed or,
+// if whole is true, all of them.
 func WithLoads(loads func() *wire.Loads, work func(work []wire.Work, whole bool)) Option {
 	return func(m *Mesh) { m.loadsFunc, m.workFunc = loads, work }
 }
 
-// WithPrefixes sets who takes which prompts peers have sent where.
+// WithPrefixes sets the handler for the prompt prefixes that peers have sent to
+// endpoints.
 func WithPrefixes(take func([]wire.PrefixUse)) Option {
 	return func(m *Mesh) { m.prefixFunc = take }
 }
 
-// WithRefused sets who takes which callers peers have told to come back.
+// WithRefused sets the handler for the callers that peers have refused with a
+// time to retry.
 func WithRefused(take func([]wire.Refused)) Option {
 	return func(m *Mesh) { m.refusedFunc = take }
 }
 
-// WithCrashes sets who takes which requests crashed endpoints at peers.
+// WithCrashes sets the handler for the requests under which endpoints crashed at
+// peers.
 func WithCrashes(take func([]wire.Crash)) Option {
 	return func(m *Mesh) { m.crashesFunc = take }
 }
 
-// WithLost sets who is told that the session of a peer ended, whose requests are
-// answered by nobody here any more, and who is told that a peer was restarted:
-// the run of it before holds no request any more.
+// WithLost sets two handlers: lost is called when the session that a peer opened
+// has ended, so that its requests can't be answered any more; ended is called
+// when a peer was restarted, so that its previous incarnation has no requests
+// any more.
 func WithLost(lost, ended func(peer string)) Option {
-	return func(m *Mesh) { m.lostFunc, m.endedFunc = lost, ended }
+	return func(m *Mesh) { m.sessionLostFunc, m.restartedFunc = lost, ended }
 }
 
-// WithIgnored sets who counts reports that were ignored, by reason.
+// WithIgnored sets the counter of ignored reports, by reason.
 func WithIgnored(ignored func(reason string)) Option {
 	return func(m *Mesh) { m.ignoredFunc = ignored }
 }
 
-// WithRelease sets the version of the routes in force here, which every frame
-// carries, and who is told that a peer has a newer one.
+// WithRelease sets the source of the version of the routes in force, which every
+// frame carries, and the handler for a peer's frame with a newer version.
 func WithRelease(release func() uint64, newer func()) Option {
-	return func(m *Mesh) { m.release, m.newerFunc = release, newer }
+	return func(m *Mesh) { m.releaseFunc, m.newerReleaseFunc = release, newer }
 }
 
-// WithFollower sets how the store is followed.
+// WithFollower connects the mesh to this process's copy of the store.
 func WithFollower(follower Follower) Option { return func(m *Mesh) { m.follower = follower } }
 
-// New returns a mesh of this process alone.
+// New returns a mesh without peers; SetMembers adds them.
 func New(ctx context.Context, self Member, opts ...Option) *Mesh {
 	m := &Mesh{
 		self: self, clock: clock.New(), log: log.New(io.Discard), base: ctx,
-		piecesFunc:  func(string, *wire.Pieces, Reply) {},
-		droppedFunc: func(string, uint64) {},
-		unusedFunc:  func(*wire.Unused) {},
-		loadsFunc:   func() *wire.Loads { return &wire.Loads{} },
-		workFunc:    func([]wire.Work, bool) {},
-		prefixFunc:  func([]wire.PrefixUse) {},
-		refusedFunc: func([]wire.Refused) {},
-		crashesFunc: func([]wire.Crash) {},
-		lostFunc:    func(string) {},
-		endedFunc:   func(string) {},
-		ignoredFunc: func(string) {},
-		release:     func() uint64 { return 0 },
-		newerFunc:   func() {},
+		piecesFunc:       func(string, *wire.Pieces, Reply) {},
+		droppedFunc:      func(string, uint64) {},
+		unusedFunc:       func(*wire.Unused) {},
+		loadsFunc:        func() *wire.Loads { return &wire.Loads{} },
+		workFunc:         func([]wire.Work, bool) {},
+		prefixFunc:       func([]wire.PrefixUse) {},
+		refusedFunc:      func([]wire.Refused) {},
+		crashesFunc:      func([]wire.Crash) {},
+		sessionLostFunc:  func(string) {},
+		restartedFunc:    func(string) {},
+		ignoredFunc:      func(string) {},
+		releaseFunc:      func() uint64 { return 0 },
+		newerReleaseFunc: func() {},
 		follower: Follower{
 			ProgressFunc:   func() []wire.Seen { return nil },
 			SnapshotFunc:   func(string) *wire.Update { return nil },
@@ -238,13 +247,13 @@
 			ConfirmFunc:    func([]wire.Seen, clock.Millis) []string { return nil },
 			DownFunc:       func() bool { return false },
 			NoUpstreamFunc: func() {},
-			MaxPeerAge:     defaultFresh,
-			MaxWatcherAge:  defaultLost,
+			MaxPeerAge:     defaultMaxPeerAge,
+			MaxWatcherAge:  defaultMaxWatcherAge,
 		},
-		book:    sums.New(),
+		totals:  sums.New(),
 		wake:    make(chan struct{}, 1),
 		members: make(map[string]Member), links: make(map[string]*link), inbound: make(map[string]*inbound),
-		runs: make(map[string]token.Incarnation), lost: make(map[string]token.Incarnation),
+		incarnations: make(map[string]token.Incarnation), unreachable: make(map[string]token.Incarnation),
 		leaving: make(map[string]token.Incarnation), absent: make(map[string]token.Incarnation),
 	}
 	m.reports.init()
@@ -252,7 +261,7 @@
 	for _, opt := range opts {
 		opt(m)
 	}
-	m.publish()
+	m.updateView()
 	return m
 }
 
@@ -272,7 +281,7 @@
 	return open
 }
 
-// SetMembers takes the processes that the store lists.
+// SetMembers replaces the list of processes with the one from the store.
 func (m *Mesh) SetMembers(members []Member) {
 	var restarted []string
 	m.mu.Lock()
@@ -282,31 +291,31 @@
 			continue
 		}
 		m.members[member.Name] = member
-		if m.newRun(member.Name, member.Incarnation) {
+		if m.recordIncarnation(member.Name, member.Incarnation) {
 			restarted = append(restarted, member.Name)
 		}
 	}
-	m.publish()
+	m.updateView()
 	m.mu.Unlock()
 	for _, name := range restarted {
-		m.endedFunc(name)
+		m.restartedFunc(name)
 	}
 }
 
-// newRun notes a run of a process and reports whether it replaces another. The
-// caller holds the lock.
-func (m *Mesh) newRun(name string, run token.Incarnation) bool {
-	last, known := m.runs[name]
-	m.runs[name] = run
-	return known && last != run
+// recordIncarnation stores the incarnation of a process and reports whether it
+// replaces another one. The caller holds the lock.
+func (m *Mesh) recordIncarnation(name string, incarnation token.Incarnation) bool {
+	previous, known := m.incarnations[name]
+	m.incarnations[name] = incarnation
+	return known && previous != incarnation
 }
 
-func (m *Mesh) options(handler sess.Handler, more ...sess.Option) []sess.Option {
+func (m *Mesh) newSessionOptions(handler sess.Handler, more ...sess.Option) []sess.Option {
 	opts := []sess.Option{
 		sess.WithClock(m.clock), sess.WithHello(m.hello), sess.WithHandler(handler),
-		sess.WithBeats(beatIdle, beatBusy), sess.WithRelease(m.release),
+		sess.WithBeats(idleHeartbeat, busyHeartbeat), sess.WithRelease(m.releaseFunc),
 	}
-	return append(append(opts, m.session...), more...)
+	return append(append(opts, m.sessionOptions...), more...)
 }
 
 func (m *Mesh) hello() wire.Hello {
@@ -322,12 +331,13 @@
 	return m.owns
 }
 
-// StartOwning tells peers that this process owns its pools from now on. A process that
-// is restarted while the store is away is reached by its peers before it knows
-// any endpoint; as an owner it would refuse all work of its pools.
+// StartOwning announces to the peers that this process may own pools from now
+// on. A process that is restarted during an outage of the store is reached by its
+// peers before it has read any endpoint; as an owner it would refuse all work of
+// its pools.
 func (m *Mesh) StartOwning() { m.setOwns(true, &wire.Leave{Back: true}) }
 
-// StopOwning tells peers that this process owns nothing from now on.
+// StopOwning announces to the peers that this process owns no pools from now on.
 func (m *Mesh) StopOwning() { m.setOwns(false, &wire.Leave{Reason: "planned stop"}) }
 
 func (m *Mesh) setOwns(owns bool, leave *wire.Leave) {
@@ -337,15 +347,15 @@
 		return
 	}
 	m.owns = owns
-	m.publish()
-	for _, s := range m.sessions() {
+	m.updateView()
+	for _, s := range m.openSessions() {
 		_ = s.Send(&wire.Frame{Kind: wire.KindLeave, Leave: leave}) // a session that can't send is ending
 	}
 	m.ReportNow()
 }
 
-// sessions returns all open sessions; the caller holds the lock.
-func (m *Mesh) sessions() []*sess.Session {
+// openSessions returns all open sessions; the caller holds the lock.
+func (m *Mesh) openSessions() []*sess.Session {
 	var all []*sess.Session
 	for _, l := range m.links {
 		if l.session != nil {
@@ -358,12 +368,12 @@
 	return all
 }
 
-// leaves notes that a peer may own pools no longer, or again.
-func (m *Mesh) leaves(hello wire.Hello, leaving bool) {
+// setLeaving records whether a peer may not own pools.
+func (m *Mesh) setLeaving(hello wire.Hello, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	run, known := m.leaving[hello.Process]
-	if leaving == (known && run == hello.Incarnation) {
+	incarnation, known := m.leaving[hello.Process]
+	if leaving == (known && incarnation == hello.Incarnation) {
 		return
 	}
 	if leaving {
@@ -371,19 +381,19 @@
 	} else {
 		delete(m.leaving, hello.Process)
 	}
-	m.publish()
+	m.updateView()
 }
 
-// Handler accepts the sessions that others open.
+// Handler returns the HTTP handler that accepts sessions from peers.
 func (m *Mesh) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, err := sess.Accept(m.base, w, r, m.options(m.takeInbound, sess.WithOpened(m.accepted))...)
+		s, err := sess.Accept(m.base, w, r, m.newSessionOptions(m.handleInboundFrame, sess.WithOpened(m.addInbound))...)
 		if s == nil {
 			m.log.Debug("session not opened", "error", err)
 			return
 		}
 		<-s.Done()
-		m.inboundEnded(s)
+		m.removeInbound(s)
 	})
 }
 
@@ -391,9 +401,9 @@
 func (m *Mesh) Stop() {
 	m.mu.Lock()
 	m.stopped = true
-	for _, s := range m.sessions() {
+	for _, s := range m.openSessions() {
 		s.Close(errStopped)
 	}
 	m.mu.Unlock()
-	m.group.Wait()
+	m.goroutines.Wait()
 }
--- a/internal/serve/mesh/mesh_test.go
+++ b/internal/serve/mesh/mesh_test.go
@@ -17,18 +17,18 @@
 	"github.com/jujubescale/jujubescale/internal/serve/mesh"
 )
 
-// process is one of several processes in this one.
+// process is one of several simulated processes in a test.
 type process struct {
 	*mesh.Mesh
 	member mesh.Member
-	// waiting is the prompt tokens that it says wait at an engine, heard what all
-	// others said last.
-	waiting atomic.Int64
-	heard   atomic.Int64
+	// queuedTokens is the number of prompt tokens that the process reports as queued
+	// at an engine, peerTokens the number that all others reported last.
+	queuedTokens atomic.Int64
+	peerTokens   atomic.Int64
 }
 
 func (p *process) loads() *wire.Loads {
-	tokens := p.waiting.Load()
+	tokens := p.queuedTokens.Load()
 	if tokens == 0 {
 		return &wire.Loads{}
 	}
@@ -37,15 +37,15 @@
 
 func (p *process) setWork(work []wire.Work, whole bool) {
 	if whole {
-		p.heard.Store(0)
+		p.peerTokens.Store(0)
 	}
 	for _, w := range work {
-		p.heard.Store(w.Prefill)
+		p.peerTokens.Store(w.Prefill)
 	}
 }
 
-// join starts processes that know each other.
-func join(t *testing.T, c *clock.Clock, names ...string) []*process {
+// startProcesses starts processes that list each other as members.
+func startProcesses(t *testing.T, c *clock.Clock, names ...string) []*process {
 	t.Helper()
 	var all []*process
 	var members []mesh.Member
@@ -72,21 +72,21 @@
 	return all
 }
 
-// Several processes send long prompts to the engine that holds their common
-// part. If one heard of the others' prompts only with the next regular message,
-// all would go to the same engine and wait for each other, while callers see
-// the first word late although other engines are idle.
-func TestLongPromptsAreToldAtOnce(t *testing.T) {
+// Guards against long prompts that are reported only with the next regular message.
+// Several processes send prompts to the engine that holds their common prefix; if
+// they don't know each other's prompts, all prompts queue at this engine, and the
+// first event comes late although other engines are idle.
+func TestLongPromptsAreReportedAtOnce(t *testing.T) {
 	fake := clock.NewFake(1)
-	all := join(t, fake.Clock(), "a", "b", "c")
+	all := startProcesses(t, fake.Clock(), "a", "b", "c")
 	for _, p := range all {
 		go p.Run(t.Context())
 	}
-	advance := func(span clock.Millis, until func() bool) bool {
-		for range span {
+	advance := func(duration clock.Millis, done func() bool) bool {
+		for range duration {
 			fake.Advance(1)
 			for range 10 {
-				if until() {
+				if done() {
 					return true
 				}
 				time.Sleep(time.Millisecond)
@@ -95,73 +95,75 @@
 		return false
 	}
 	advance(20, func() bool { return false })
-	all[0].waiting.Store(6300)
+	all[0].queuedTokens.Store(6300)
 	all[0].ReportNow()
-	heard := func() bool { return all[1].heard.Load() == 6300 && all[2].heard.Load() == 6300 }
-	assert.Assert(t, advance(60, heard), "%d %d", all[1].heard.Load(), all[2].heard.Load())
+	allReported := func() bool { return all[1].peerTokens.Load() == 6300 && all[2].peerTokens.Load() == 6300 }
+	assert.Assert(t, advance(60, allReported), "%d %d", all[1].peerTokens.Load(), all[2].peerTokens.Load())
 }
 
-// A process ends without a word. What it said to have running doesn't count any
-// more, or engines would seem busy that are idle.
-func TestLoadsOfALostProcessAreForgotten(t *testing.T) {
-	all := join(t, clock.New(), "a", "b")
+// Guards against the loads of a process that ended without notice: if they stay,
+// idle engines seem busy.
+func TestLoadsOfALostProcessAreRemoved(t *testing.T) {
+	all := startProcesses(t, clock.New(), "a", "b")
 	for _, p := range all {
 		go p.Run(t.Context())
 	}
-	all[0].waiting.Store(100)
-	waitFor(t, func() bool { return all[1].heard.Load() == 100 })
+	all[0].queuedTokens.Store(100)
+	waitFor(t, func() bool { return all[1].peerTokens.Load() == 100 })
 	all[0].Stop()
-	waitFor(t, func() bool { return all[1].heard.Load() == 0 && len(all[1].LiveProcesses()) == 1 })
+	waitFor(t, func() bool { return all[1].peerTokens.Load() == 0 && len(all[1].LiveProcesses()) == 1 })
 }
 
-func waitFor(t *testing.T, until func() bool) {
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if until() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("not yet")
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// A process is restarted while the store is away. Its peers still know its
-// address and reach it, but it knows no endpoint yet. Made the owner of a pool it
-// would refuse everything, and callers would get 503 although engines are idle.
-func TestProcessThatKnowsNoEndpointsOwnsNothing(t *testing.T) {
-	all := join(t, clock.New(), "a", "b")
-	fresh := &process{member: mesh.Member{Name: "c", Incarnation: token.NewIncarnation()}}
-	fresh.Mesh = mesh.New(t.Context(), fresh.member)
-	server := httptest.NewServer(fresh.Handler())
-	t.Cleanup(func() { fresh.Stop(); server.Close() })
-	fresh.member.Address = strings.TrimPrefix(server.URL, "http://")
+// Guards against a process that is restarted during an outage of the store: its
+// peers still list its address and reach it, but it has read no endpoint yet. As the
+// owner of a pool it would refuse all work, and callers would get 503 although
+// engines are idle.
+func TestProcessWithoutEndpointsOwnsNothing(t *testing.T) {
+	all := startProcesses(t, clock.New(), "a", "b")
+	restarted := &process{member: mesh.Member{Name: "c", Incarnation: token.NewIncarnation()}}
+	restarted.Mesh = mesh.New(t.Context(), restarted.member)
+	server := httptest.NewServer(restarted.Handler())
+	t.Cleanup(func() { restarted.Stop(); server.Close() })
+	restarted.member.Address = strings.TrimPrefix(server.URL, "http://")
 	ended := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { defer close(ended); fresh.Run(ctx) }()
+	go func() { defer close(ended); restarted.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	for _, p := range all {
 		go p.Run(t.Context())
-		p.SetMembers([]mesh.Member{all[0].member, all[1].member, fresh.member})
+		p.SetMembers([]mesh.Member{all[0].member, all[1].member, restarted.member})
 	}
-	fresh.SetMembers([]mesh.Member{all[0].member, all[1].member, fresh.member})
-	waitFor(t, func() bool { return fresh.Sessions() > 0 })
+	restarted.SetMembers([]mesh.Member{all[0].member, all[1].member, restarted.member})
+	waitFor(t, func() bool { return restarted.Sessions() > 0 })
 	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 2 && len(all[1].LiveProcesses()) == 2 })
-	fresh.StartOwning()
+	restarted.StartOwning()
 	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 3 && len(all[1].LiveProcesses()) == 3 })
-	fresh.StopOwning()
+	restarted.StopOwning()
 	waitFor(t, func() bool { return len(all[0].LiveProcesses()) == 2 && len(all[1].LiveProcesses()) == 2 })
 }
 
-// A process is killed and started again. Its peers must hear that its requests
-// are gone, or engines go on working for them and keep their results.
-func TestRestartOfAPeerIsNoticed(t *testing.T) {
+// Guards against the requests of a process that is killed and started again: if its
+// peers don't detect the restart, engines continue to work on these requests and
+// keep their results.
+func TestPeerRestartIsDetected(t *testing.T) {
 	var lost, ended atomic.Int64
-	watched := token.NewIncarnation()
-	watcher := mesh.New(t.Context(), mesh.Member{Name: "a", Incarnation: watched},
+	incarnation := token.NewIncarnation()
+	watcher := mesh.New(t.Context(), mesh.Member{Name: "a", Incarnation: incarnation},
 		mesh.WithLost(func(string) { lost.Add(1) }, func(string) { ended.Add(1) }))
 	server := httptest.NewServer(watcher.Handler())
 	t.Cleanup(func() { watcher.Stop(); server.Close() })
-	self := mesh.Member{Name: "a", Address: strings.TrimPrefix(server.URL, "http://"), Incarnation: watched}
-	run := func(incarnation token.Incarnation) *mesh.Mesh {
+	self := mesh.Member{Name: "a", Address: strings.TrimPrefix(server.URL, "http://"), Incarnation: incarnation}
+	startPeer := func(incarnation token.Incarnation) *mesh.Mesh {
 		p := mesh.New(t.Context(), mesh.Member{Name: "0", Incarnation: incarnation})
 		p.SetMembers([]mesh.Member{self})
 		go p.Run(t.Context())
@@ -170,8 +172,8 @@
 	}
 	first := token.NewIncarnation()
 	for i, incarnation := range []token.Incarnation{first, first, token.NewIncarnation()} {
-		p := run(incarnation)
-		assert.Equal(t, ended.Load(), int64(i/2), "only the third is another run")
+		p := startPeer(incarnation)
+		assert.Equal(t, ended.Load(), int64(i/2), "only the third has another incarnation")
 		p.Stop()
 		waitFor(t, func() bool { return lost.Load() == int64(i+1) && watcher.Sessions() == 0 })
 	}
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -23,37 +23,38 @@
 	"github.com/jujubescale/jujubescale/internal/serve/mesh"
 )
 
-// fleet is processes of two availability zones.
+// fleet is a set of processes in two availability zones.
 type fleet struct {
 	t       *testing.T
 	all     []*process
 	ignored atomic.Int64
-	// cut says that the zones don't reach each other.
+	// cut is set while the zones can't reach each other.
 	cut atomic.Bool
 	mu  sync.Mutex
-	// zones holds the zone at an address.
+	// zones holds the zone of each address.
 	zones map[string]string
 }
 
-// newFleet starts so many processes in each of two zones; all but those named run.
-func newFleet(t *testing.T, each int, hanging func(members []mesh.Member) []string) *fleet {
+// newFleet starts perZone processes in each of two zones. The processes whose names
+// selectHanging returns accept sessions, but don't run.
+func newFleet(t *testing.T, perZone int, selectHanging func(members []mesh.Member) []string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, zones: make(map[string]string)}
 	var members []mesh.Member
-	for i := range 2 * each {
+	for i := range 2 * perZone {
 		p := f.add(fmt.Sprintf("g%02d", i), fmt.Sprint("zone-", i%2))
 		members = append(members, p.member)
 	}
-	var hang []string
-	if hanging != nil {
-		hang = hanging(members)
+	var hanging []string
+	if selectHanging != nil {
+		hanging = selectHanging(members)
 	}
 	for _, p := range f.all {
 		p.StartOwning()
 		p.SetMembers(members)
 	}
 	for _, p := range f.all {
-		if !slices.Contains(hang, p.member.Name) {
+		if !slices.Contains(hanging, p.member.Name) {
 			f.run(p)
 		}
 	}
@@ -64,9 +65,9 @@
 	p := &process{member: mesh.Member{Name: name, Incarnation: token.NewIncarnation(), Zone: zone}}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		f.mu.Lock()
-		far := f.zones[address] != zone
+		otherZone := f.zones[address] != zone
 		f.mu.Unlock()
-		if f.cut.Load() && far {
+		if f.cut.Load() && otherZone {
 			return nil, errors.New("cut")
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, address)
@@ -90,7 +91,7 @@
 	f.t.Cleanup(func() { cancel(); <-done })
 }
 
-// planOf is who relays for whom among members that are all alive.
+// planOf returns the relay plan of members that are all live.
 func planOf(members []mesh.Member) *relay.Plan {
 	var all []owner.Process
 	for _, m := range members {
@@ -99,33 +100,34 @@
 	return relay.New(all)
 }
 
-// knows waits until each process that runs knows what the others have waiting.
-func (f *fleet) knows(running []*process) {
+// waitForTotals waits until each running process has received the queued tokens of
+// all others.
+func (f *fleet) waitForTotals(running []*process) {
 	f.t.Helper()
 	total := int64(0)
 	for _, p := range running {
-		total += p.waiting.Load()
+		total += p.queuedTokens.Load()
 	}
 	for _, p := range running {
-		waitFor(f.t, func() bool { return p.heard.Load() == total-p.waiting.Load() })
+		waitFor(f.t, func() bool { return p.peerTokens.Load() == total-p.queuedTokens.Load() })
 	}
 }
 
-// load gives each process another amount of waiting tokens.
-func load(all []*process, from int64) {
+// setQueuedTokens gives each process a different number of queued tokens.
+func setQueuedTokens(all []*process, first int64) {
 	for i, p := range all {
-		p.waiting.Store(from + int64(i))
+		p.queuedTokens.Store(first + int64(i))
 	}
 }
 
-// Guards against loads that are lost or counted twice on their way through
-// aggregators, and against a session for each pair of processes.
-func TestEachProcessKnowsTheWorkOfAllOthers(t *testing.T) {
+// Guards against loads that are lost or counted twice when aggregators relay them,
+// and against a session for each pair of processes.
+func TestEachProcessReceivesTheWorkOfAllOthers(t *testing.T) {
 	f := newFleet(t, 14, nil)
-	load(f.all, 1000)
-	f.knows(f.all)
-	load(f.all, 5000)
-	f.knows(f.all)
+	setQueuedTokens(f.all, 1000)
+	f.waitForTotals(f.all)
+	setQueuedTokens(f.all, 5000)
+	f.waitForTotals(f.all)
 	plan := planOf(membersOf(f.all))
 	for _, p := range f.all {
 		if !plan.IsAggregator(p.member.Name) {
@@ -142,72 +144,72 @@
 	return members
 }
 
-// Guards against a group that is cut off when its aggregator is killed.
+// Guards against a group that gets no totals after its aggregator was killed.
 func TestKilledAggregatorIsReplaced(t *testing.T) {
 	f := newFleet(t, 14, nil)
-	load(f.all, 1000)
-	f.knows(f.all)
+	setQueuedTokens(f.all, 1000)
+	f.waitForTotals(f.all)
 	lost := planOf(membersOf(f.all)).Aggregators[0]
 	at := slices.IndexFunc(f.all, func(p *process) bool { return p.member.Name == lost })
 	f.all[at].Stop()
-	left := slices.Delete(slices.Clone(f.all), at, at+1)
-	load(left, 7000)
-	f.knows(left)
-	for _, p := range left {
-		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(left) })
+	remaining := slices.Delete(slices.Clone(f.all), at, at+1)
+	setQueuedTokens(remaining, 7000)
+	f.waitForTotals(remaining)
+	for _, p := range remaining {
+		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(remaining) })
 	}
 }
 
-// Guards against an aggregator that is paused, or cut off in one direction: it
-// takes reports, and nothing comes back.
+// Guards against an aggregator that is paused, or can't be reached in one direction:
+// it receives reports and sends no totals.
 func TestHangingAggregatorIsReplaced(t *testing.T) {
-	var hangs string
+	var hanging string
 	f := newFleet(t, 14, func(members []mesh.Member) []string {
-		hangs = planOf(members).Aggregators[0]
-		return []string{hangs}
+		hanging = planOf(members).Aggregators[0]
+		return []string{hanging}
 	})
-	running := slices.DeleteFunc(slices.Clone(f.all), func(p *process) bool { return p.member.Name == hangs })
-	load(running, 3000)
-	f.knows(running)
+	running := slices.DeleteFunc(slices.Clone(f.all), func(p *process) bool { return p.member.Name == hanging })
+	setQueuedTokens(running, 3000)
+	f.waitForTotals(running)
 }
 
-// Guards against an availability zone that stops working when it reaches no other
-// one: its processes go on among themselves, and find the others again.
-func TestZoneThatReachesNoOtherWorksAlone(t *testing.T) {
+// Guards against an availability zone that stops working when it can't reach the
+// other one: its processes continue on their own, and reconnect later.
+func TestIsolatedZoneKeepsWorking(t *testing.T) {
 	f := newFleet(t, 4, nil)
-	load(f.all, 1000)
-	f.knows(f.all)
+	setQueuedTokens(f.all, 1000)
+	f.waitForTotals(f.all)
 	f.cut.Store(true)
 	for _, p := range f.all {
-		for _, s := range []string{"zone-0", "zone-1"} {
-			if p.member.Zone != s {
-				p.CloseTo(func(member mesh.Member) bool { return member.Zone == s })
+		for _, other := range []string{"zone-0", "zone-1"} {
+			if p.member.Zone != other {
+				p.CloseSessions(func(member mesh.Member) bool { return member.Zone == other })
 			}
 		}
 	}
 	for _, zone := range []string{"zone-0", "zone-1"} {
-		own := slices.DeleteFunc(slices.Clone(f.all), func(p *process) bool { return p.member.Zone != zone })
-		for _, p := range own {
-			waitFor(t, func() bool { return len(p.LiveProcesses()) == len(own) })
+		local := slices.DeleteFunc(slices.Clone(f.all), func(p *process) bool { return p.member.Zone != zone })
+		for _, p := range local {
+			waitFor(t, func() bool { return len(p.LiveProcesses()) == len(local) })
 		}
-		f.knows(own)
+		f.waitForTotals(local)
 	}
 	f.cut.Store(false)
 	for _, p := range f.all {
 		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(f.all) })
 	}
-	f.knows(f.all)
+	f.waitForTotals(f.all)
 }
 
-// Guards against a peer that takes another one's place in the list: an address
-// that two processes are listed under leads to one of them.
-func TestAddressThatIsListedTwiceLeadsToOne(t *testing.T) {
+// Guards against two listed processes with the same address: only the one that
+// listens there counts as live.
+func TestAddressListedTwiceReachesOneProcess(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	members := membersOf(f.all)
-	double := members[0]
-	double.Name, double.Incarnation = "a-double", token.NewIncarnation()
+	duplicate := members[0]
+	duplicate.Name, duplicate.Incarnation = "a-double", token.NewIncarnation()
 	for _, p := range f.all {
-		p.SetMembers(append(slices.Clone(members), double))
+		p.SetMembers(append(slices.Clone(members), duplicate))
 	}
 	for _, p := range f.all {
 		waitFor(t, func() bool { return slices.Equal(p.LiveProcesses(), []string{"g00", "g01"}) })
@@ -217,89 +219,89 @@
 	assert.Assert(t, errors.As(err, &lost))
 }
 
-// Guards against a rolling restart from the version before, whose processes tell
-// their loads to each peer and expect the same.
-func TestPeerOfTheVersionBeforeIsUnderstood(t *testing.T) {
+// Guards against a rolling restart from the previous version, whose processes send
+// their loads to each peer and expect the same from it.
+func TestPeerOfThePreviousVersionIsSupported(t *testing.T) {
 	f := newFleet(t, 1, nil)
-	load(f.all, 100)
-	f.knows(f.all)
-	var told atomic.Int64
-	old, err := sess.Dial(t.Context(), f.all[0].member.Address,
+	setQueuedTokens(f.all, 100)
+	f.waitForTotals(f.all)
+	var reported atomic.Int64
+	legacy, err := sess.Dial(t.Context(), f.all[0].member.Address,
 		sess.WithHello(func() wire.Hello { return wire.Hello{Process: "old", Incarnation: 1} }),
 		sess.WithHandler(func(_ *sess.Session, frame *wire.Frame) {
 			if frame.Kind == wire.KindLoads && len(frame.Loads.Endpoints) > 0 {
-				told.Store(frame.Loads.Endpoints[0].Prefill)
+				reported.Store(frame.Loads.Endpoints[0].Prefill)
 			}
 		}))
 	assert.NilError(t, err)
-	assert.NilError(t, old.Send(&wire.Frame{Kind: wire.KindLoads, Loads: &wire.Loads{
+	assert.NilError(t, legacy.Send(&wire.Frame{Kind: wire.KindLoads, Loads: &wire.Loads{
 		Endpoints: []wire.EndpointLoad{{Endpoint: "engine", Running: 1, Prefill: 1000}},
 	}}))
-	waitFor(t, func() bool { return f.all[1].heard.Load() == 1100 })
-	waitFor(t, func() bool { return told.Load() == 100 })
-	old.Close(errors.New("the test ends"))
-	waitFor(t, func() bool { return f.all[1].heard.Load() == 100 })
+	waitFor(t, func() bool { return f.all[1].peerTokens.Load() == 1100 })
+	waitFor(t, func() bool { return reported.Load() == 100 })
+	legacy.Close(errors.New("the test ends"))
+	waitFor(t, func() bool { return f.all[1].peerTokens.Load() == 100 })
 }
 
-// Guards against believing a peer that contradicts itself.
+// Guards against the use of a report that contradicts itself.
 func TestContradictoryReportIsCountedAndIgnored(t *testing.T) {
 	f := newFleet(t, 1, nil)
-	liar, err := sess.Dial(t.Context(), f.all[0].member.Address,
+	peer, err := sess.Dial(t.Context(), f.all[0].member.Address,
 		sess.WithHello(func() wire.Hello { return wire.Hello{Process: "liar", Incarnation: 1, Relays: true} }))
 	assert.NilError(t, err)
-	defer liar.Close(errors.New("the test ends"))
+	defer peer.Close(errors.New("the test ends"))
 	for _, bad := range []*wire.Frame{
 		{Kind: wire.KindReport, Sums: &wire.Sums{Whole: true, Work: []wire.Work{{Endpoint: "engine", Prefill: -5}}}},
 		{Kind: wire.KindGroup, Sums: &wire.Sums{Whole: true, Work: []wire.Work{{Prefill: 5}}}},
 	} {
-		assert.NilError(t, liar.Send(bad))
+		assert.NilError(t, peer.Send(bad))
 	}
 	waitFor(t, func() bool { return f.ignored.Load() == 2 })
-	load(f.all, 10)
-	f.knows(f.all)
+	setQueuedTokens(f.all, 10)
+	f.waitForTotals(f.all)
 }
 
-// Guards against an old run whose session ends after its successor's began: its
-// end must not end the requests of the successor.
-func TestEndOfAnOldRunLeavesItsSuccessorAlone(t *testing.T) {
+// Guards against an old incarnation whose session ends after the session of the new
+// one began: its end must not end the requests of the new one.
+func TestEndOfAnOldSessionKeepsTheNewIncarnation(t *testing.T) {
 	f := newFleet(t, 1, nil)
-	dial := func(run token.Incarnation) *sess.Session {
+	dial := func(incarnation token.Incarnation) *sess.Session {
 		s, err := sess.Dial(t.Context(), f.all[0].member.Address,
-			sess.WithHello(func() wire.Hello { return wire.Hello{Process: "x", Incarnation: run, Relays: true} }))
+			sess.WithHello(func() wire.Hello { return wire.Hello{Process: "x", Incarnation: incarnation, Relays: true} }))
 		assert.NilError(t, err)
 		return s
 	}
-	before, after := dial(1), dial(2)
+	oldSession, newSession := dial(1), dial(2)
 	report := &wire.Sums{Whole: true, Work: []wire.Work{{Endpoint: "engine", Prefill: 70}}}
-	assert.NilError(t, after.Send(&wire.Frame{Kind: wire.KindReport, Sums: report}))
-	waitFor(t, func() bool { return f.all[1].heard.Load() == 70 })
-	<-before.Done()
-	load(f.all, 10)
-	waitFor(t, func() bool { return f.all[1].heard.Load() == 80 })
-	after.Close(errors.New("the test ends"))
-	f.knows(f.all)
+	assert.NilError(t, newSession.Send(&wire.Frame{Kind: wire.KindReport, Sums: report}))
+	waitFor(t, func() bool { return f.all[1].peerTokens.Load() == 70 })
+	<-oldSession.Done()
+	setQueuedTokens(f.all, 10)
+	waitFor(t, func() bool { return f.all[1].peerTokens.Load() == 80 })
+	newSession.Close(errors.New("the test ends"))
+	f.waitForTotals(f.all)
 }
 
-// Guards against opening sessions to everybody when all processes start at once.
-func TestOwnerIsReachedOnDemand(t *testing.T) {
+// Guards against sessions between all processes when all of them start at once.
+func TestSessionToOwnerIsOpenedOnDemand(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	for _, p := range f.all {
 		waitFor(t, func() bool { return len(p.LiveProcesses()) == len(f.all) })
 	}
-	asked := make(chan string, 1)
-	f2 := f.add("late", "zone-0")
-	f2.Mesh = mesh.New(t.Context(), f2.member, mesh.WithClock(clock.New()),
+	requesters := make(chan string, 1)
+	late := f.add("late", "zone-0")
+	late.Mesh = mesh.New(t.Context(), late.member, mesh.WithClock(clock.New()),
 		mesh.WithPieces(func(from string, _ *wire.Pieces, reply mesh.Reply) {
-			asked <- from
+			requesters <- from
 			reply.MadeFunc(&wire.Made{References: []string{"r"}})
 		}, func(string, uint64) {}))
-	server := httptest.NewServer(f2.Handler())
-	t.Cleanup(func() { f2.Stop(); server.Close() })
-	f2.member.Address = strings.TrimPrefix(server.URL, "http://")
-	f2.StartOwning()
-	f.all[0].SetMembers(append(membersOf(f.all[:4]), f2.member))
+	server := httptest.NewServer(late.Handler())
+	t.Cleanup(func() { late.Stop(); server.Close() })
+	late.member.Address = strings.TrimPrefix(server.URL, "http://")
+	late.StartOwning()
+	f.all[0].SetMembers(append(membersOf(f.all[:4]), late.member))
 	made, err := f.all[0].RequestPieces(t.Context(), "late", &wire.Pieces{Pool: "p"}, func() {})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, made.References, []string{"r"})
-	assert.Equal(t, <-asked, "g00")
+	assert.Equal(t, <-requesters, "g00")
 }
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -14,44 +14,48 @@
 )
 
 const (
-	// regularEvery is how often a process reports in full, and how often an
-	// aggregator tells what changed. Long prompts are reported at once.
-	regularEvery = 100 * clock.Millis(1)
-	// leastGap is the shortest pause between two rounds of reports, gapEach what
-	// each destination adds to it: the more there are, the fewer messages each
-	// gets, so that an aggregator's messages a second do not grow with the fleet.
-	leastGap = 6 * clock.Millis(1)
-	gapEach  = 2 * clock.Millis(1)
-	// groupEvery is how often aggregators exchange what changed in their groups: most
-	// of it crosses availability zones.
-	groupEvery = 2 * regularEvery
-	// muteAfter is the silence after which the work of a process or group does
-	// not count any more.
-	muteAfter = 1500 * clock.Millis(1)
-	// totalSilence is the silence after which a process reports to another
-	// aggregator, and avoidFor how long it avoids the silent one.
-	totalSilence = 700 * clock.Millis(1)
-	avoidFor     = 5 * clock.Second
-	// presenceGrace is how long a process may report to nobody: it may be on its
-	// way to another aggregator. A new aggregator decides after absentAfterStart.
+	// reportInterval is the interval between regular reports of a process, and
+	// between regular totals of an aggregator. Long prompts are reported at once.
+	reportInterval = 100 * clock.Millis(1)
+	// The pause between two rounds of reports is minRoundGap, or gapPerDestination
+	// for each destination if that is longer, and at most reportInterval. With more
+	// destinations, each one gets fewer messages, so that the rate at which an
+	// aggregator sends messages does not grow with the fleet.
+	minRoundGap       = 6 * clock.Millis(1)
+	gapPerDestination = 2 * clock.Millis(1)
+	// groupInterval is the interval between regular sums that aggregators exchange.
+	// It is longer because most of these messages cross availability zones.
+	groupInterval = 2 * reportInterval
+	// staleAfter is the age of the last report above which the work of a process or
+	// group is excluded from the sums.
+	staleAfter = 1500 * clock.Millis(1)
+	// aggregatorTimeout is the time without a total after which a process reports to
+	// another aggregator; avoidPeriod is how long it avoids the previous one.
+	aggregatorTimeout = 700 * clock.Millis(1)
+	avoidPeriod       = 5 * clock.Second
+	// presenceGrace is how long a process may report to no aggregator, because it may
+	// be changing its aggregator. A new aggregator waits absentStartDelay before it
+	// marks processes as absent.
 	presenceGrace    = 500 * clock.Millis(1)
-	absentAfterStart = clock.Second
-	// membersEvery is how often unchanged lists of processes are repeated.
-	membersEvery = clock.Second
-	// poolAge is the usual age of what is known of another owner's queue: three
-	// hops of half an interval, and as much again.
-	poolAge = 2*regularEvery + groupEvery
+	absentStartDelay = clock.Second
+	// membersInterval is the interval at which an unchanged list of processes is
+	// sent again.
+	membersInterval = clock.Second
+	// usualPoolAge is the usual age of the reported queue of another owner's pool:
+	// twice the time of three hops, each of which takes half an interval.
+	usualPoolAge = 2*reportInterval + groupInterval
 )
 
-// uplink is through whom this process reports and follows the store now.
+// uplink holds the peers through which this process reports and follows the store.
 type uplink struct {
-	// aggregator that it reports to, "" while it is one itself.
+	// aggregator is the process that this one reports to, "" while this process is an
+	// aggregator itself.
 	aggregator string
-	// upstream is whose reading of the store it follows, "" for none.
+	// upstream is the peer that relays changes of the store, "" for none.
 	upstream string
 }
 
-// lastReport is when a process was last among those that report.
+// lastReport is the last presence of a process in the reports, and its instant.
 type lastReport struct {
 	presence wire.Presence
 	at       clock.Millis
@@ -59,61 +63,63 @@
 
 // reports is the state of Run.
 type reports struct {
-	regular     clock.Millis // when the last regular round was
-	acting      bool         // this process is an aggregator
-	actingSince clock.Millis
-	since       clock.Millis // when reporting to the aggregator began
-	avoided     map[string]clock.Millis
-	seen        map[string]lastReport
-	absentSince clock.Millis // when the absent ones changed last
-	group       []wire.Presence
-	// interest is the endpoints that this process uses normally.
+	lastRegular      clock.Millis // start of the last regular round
+	aggregating      bool         // this process is an aggregator
+	aggregatingSince clock.Millis
+	aggregatorSince  clock.Millis // when reporting to the aggregator began
+	avoidUntil       map[string]clock.Millis
+	lastReports      map[string]lastReport
+	absentChanged    clock.Millis // when the set of absent processes last changed
+	groupMembers     []wire.Presence
+	// interest lists the endpoints that this process normally uses.
 	interest     []string
-	groupSince   clock.Millis
+	groupChanged clock.Millis
 	upstreamLink *link
-	// followUntil is until when a watcher that is cut off from the store follows a
-	// peer, trialUntil until when it tries the store after that.
-	followUntil, trialUntil clock.Millis
+	// A watcher that can't reach the store follows a peer until followUntil, then
+	// tries the store until retryUntil.
+	followUntil, retryUntil clock.Millis
 	destinations            int
 }
 
 func (r *reports) init() {
-	r.avoided, r.seen = make(map[string]clock.Millis), make(map[string]lastReport)
+	r.avoidUntil, r.lastReports = make(map[string]clock.Millis), make(map[string]lastReport)
 }
 
-// ReportNow has the loads reported at once, because others choose by them.
+// ReportNow makes the next round report the loads of this process at once, because
+// peers choose endpoints by them.
 func (m *Mesh) ReportNow() {
 	m.urgent.Store(true)
-	m.wakeUp()
+	m.triggerRound()
 }
 
-// wakeUp begins a round soon.
-func (m *Mesh) wakeUp() {
+// triggerRound makes Run start the next round after the minimum pause.
+func (m *Mesh) triggerRound() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run reports loads and passes on those of others until the context ends.
+// Run reports loads and relays those of peers until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
-	for m.pause(ctx) == nil {
+	for m.waitForRound(ctx) == nil {
 		m.round(m.clock.Now())
 	}
 }
 
-// pause waits until the next regular round is due or an urgent one is asked for.
-func (m *Mesh) pause(ctx context.Context) error {
-	gap := min(max(leastGap, gapEach*clock.Millis(m.reports.destinations)), regularEvery)
+// waitForRound waits for the pause after a round, then until the next regular round
+// is due or an urgent one is requested.
+func (m *Mesh) waitForRound(ctx context.Context) error {
+	gap := min(max(minRoundGap, gapPerDestination*clock.Millis(m.reports.destinations)), reportInterval)
 	if err := m.clock.Sleep(ctx, gap); err != nil {
 		return err
 	}
-	over, forget := m.clock.After(max(m.reports.regular+regularEvery-m.clock.Now(), 0))
-	defer forget()
+	expired, stopTimer := m.clock.After(max(m.reports.lastRegular+reportInterval-m.clock.Now(), 0))
+	defer stopTimer()
 	select {
 	case <-m.wake:
 		return nil
-	case <-over:
+	case <-expired:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -122,37 +128,37 @@
 
 func (m *Mesh) round(now clock.Millis) {
 	r := &m.reports
-	regular := now-r.regular >= regularEvery
+	regular := now-r.lastRegular >= reportInterval
 	if urgent := m.urgent.Swap(false); urgent || regular {
-		m.putOwn(urgent, now)
+		m.recordOwnLoads(urgent, now)
 	}
 	if regular {
-		r.regular = now
-		m.mute(now)
+		r.lastRegular = now
+		m.excludeStale(now)
 		m.closeIdle(now)
 		m.updateAbsent(now)
 	}
 	m.chooseRole(now)
 	if regular {
 		m.chooseUpstream(now)
-		m.gather()
+		m.updateTotals()
 	}
 	r.destinations = m.send(regular, now)
 }
 
-// putOwn enters the loads of this process.
-func (m *Mesh) putOwn(urgent bool, now clock.Millis) {
+// recordOwnLoads adds the loads of this process to the sums.
+func (m *Mesh) recordOwnLoads(urgent bool, now clock.Millis) {
 	loads := m.loadsFunc()
 	own := sumsOf(loads, urgent)
 	m.reports.interest = loads.Interest
 	own.HasMembers, own.Members = true, []wire.Presence{{Process: m.self.Name, Incarnation: m.self.Incarnation, Owns: m.mayOwn()}}
-	if _, err := m.book.Put(sums.Source{Process: m.self.Name}, own, now); err != nil {
-		m.log.Error("own loads not usable", logs.KeyError, err)
+	if _, err := m.totals.Put(sums.Source{Process: m.self.Name}, own, now); err != nil {
+		m.log.Error("own loads are invalid", logs.KeyError, err)
 	}
-	m.sendLegacy(loads)
+	m.sendLegacyLoads(loads)
 }
 
-// sumsOf converts the loads of one process.
+// sumsOf converts the loads of one process to sums.
 func sumsOf(loads *wire.Loads, urgent bool) *wire.Sums {
 	own := &wire.Sums{
 		Whole: true, Urgent: urgent, Regular: true, Pools: loads.Pools, Inflow: loads.Inflow,
@@ -170,8 +176,9 @@
 	return own
 }
 
-// sendLegacy tells peers of the version before what they expect.
-func (m *Mesh) sendLegacy(loads *wire.Loads) {
+// sendLegacyLoads sends this process's loads to each peer of the previous version,
+// which receives no totals.
+func (m *Mesh) sendLegacyLoads(loads *wire.Loads) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, in := range m.inbound {
@@ -183,130 +190,134 @@
 	}
 }
 
-// mute leaves out who was silent for long.
-func (m *Mesh) mute(now clock.Millis) {
-	silent, changed := m.book.ExcludeStale(m.self.Name, now-muteAfter, now)
-	for _, source := range silent {
-		m.log.Info("reports stopped", "peer", source.Process, "group", source.OtherGroup, "ageMs", int64(muteAfter))
-	}
-	m.pushOthers(changed)
+// excludeStale excludes the work of sources whose last report is older than
+// staleAfter.
+func (m *Mesh) excludeStale(now clock.Millis) {
+	stale, changed := m.totals.ExcludeStale(m.self.Name, now-staleAfter, now)
+	for _, source := range stale {
+		m.log.Info("reports stopped", "peer", source.Process, "group", source.OtherGroup, "ageMs", int64(staleAfter))
+	}
+	m.forwardChangedWork(changed)
 }
 
-// pushOthers passes on what changed at some endpoints, if this process adds up
-// by itself.
-func (m *Mesh) pushOthers(endpoints []string) {
+// forwardChangedWork passes the changed work of peers at some endpoints to
+// workFunc, if this process is an aggregator.
+func (m *Mesh) forwardChangedWork(endpoints []string) {
 	m.workLock.Lock()
 	defer m.workLock.Unlock()
 	if len(endpoints) > 0 && m.uplink.Load().aggregator == "" {
-		m.workFunc(m.book.WorkOfOthers(m.self.Name, endpoints), false)
+		m.workFunc(m.totals.WorkOfOthers(m.self.Name, endpoints), false)
 	}
 }
 
-// pushAll passes on the work of all others.
-func (m *Mesh) pushAll() {
+// forwardAllWork passes the work of all peers to workFunc.
+func (m *Mesh) forwardAllWork() {
 	m.workLock.Lock()
 	defer m.workLock.Unlock()
-	m.workFunc(m.book.AllWorkOfOthers(m.self.Name), true)
+	m.workFunc(m.totals.AllWorkOfOthers(m.self.Name), true)
 }
 
-// forget drops what a source reported.
-func (m *Mesh) forget(source sums.Source) { m.pushOthers(m.book.Remove(source, m.clock.Now())) }
+// removeSource removes the report of a source from the sums.
+func (m *Mesh) removeSource(source sums.Source) {
+	m.forwardChangedWork(m.totals.Remove(source, m.clock.Now()))
+}
 
-// chooseRole decides whether this process is an aggregator, and to whom it
-// reports otherwise.
+// chooseRole decides whether this process is an aggregator, and otherwise which
+// aggregator it reports to.
 func (m *Mesh) chooseRole(now clock.Millis) {
 	r, plan, before := &m.reports, m.view.Load().plan, m.uplink.Load()
-	acting := plan.IsAggregator(m.self.Name) || m.book.Reporters(m.self.Name) > 0
+	aggregating := plan.IsAggregator(m.self.Name) || m.totals.Reporters(m.self.Name) > 0
 	to := ""
-	if !acting {
+	if !aggregating {
 		m.avoidSilent(before.aggregator, now)
-		to = plan.AggregatorFor(m.self.Name, m.self.Zone, func(name string) bool { return r.avoided[name] > now })
-		acting = to == ""
+		to = plan.AggregatorFor(m.self.Name, m.self.Zone, func(name string) bool { return r.avoidUntil[name] > now })
+		aggregating = to == ""
 	}
-	if acting && !r.acting {
-		r.actingSince = now
+	if aggregating && !r.aggregating {
+		r.aggregatingSince = now
 	}
-	r.acting = acting
+	r.aggregating = aggregating
 	if to == before.aggregator {
 		return
 	}
 	m.uplink.Store(&uplink{aggregator: to, upstream: before.upstream})
-	r.since = now
+	r.aggregatorSince = now
 	m.log.Info("aggregator chosen", "aggregator", to, "before", before.aggregator, "aggregators", len(plan.Aggregators))
 	if to == "" {
-		m.pushAll()
+		m.forwardAllWork()
 	}
 }
 
-// avoidSilent notes that the aggregator does not answer.
+// avoidSilent avoids the aggregator for avoidPeriod if it has sent no total for
+// aggregatorTimeout.
 func (m *Mesh) avoidSilent(aggregator string, now clock.Millis) {
 	if aggregator == "" {
 		return
 	}
 	r := &m.reports
 	m.mu.Lock()
-	heard := r.since
+	lastTotal := r.aggregatorSince
 	if l := m.links[aggregator]; l != nil {
-		heard = max(heard, l.total)
+		lastTotal = max(lastTotal, l.lastTotal)
 	}
 	m.mu.Unlock()
-	if now-heard > totalSilence {
-		r.avoided[aggregator] = now + avoidFor
-		m.log.Info("aggregator silent", "aggregator", aggregator, "ageMs", int64(now-heard))
+	if now-lastTotal > aggregatorTimeout {
+		r.avoidUntil[aggregator] = now + avoidPeriod
+		m.log.Info("aggregator silent", "aggregator", aggregator, "ageMs", int64(now-lastTotal))
 	}
 }
 
-// updateAbsent decides, as an aggregator, which listed processes are not to be used:
-// those that report to nobody, or say that they own nothing.
+// updateAbsent marks listed processes as absent while this process is an
+// aggregator: those that report to no aggregator or may not own pools.
 func (m *Mesh) updateAbsent(now clock.Millis) {
 	r := &m.reports
-	for _, presence := range m.book.Members() {
-		r.seen[presence.Process] = lastReport{presence: presence, at: now}
+	for _, presence := range m.totals.Members() {
+		r.lastReports[presence.Process] = lastReport{presence: presence, at: now}
 	}
-	if group := m.book.GroupMembers(); !slices.Equal(group, r.group) {
-		r.group, r.groupSince = group, now
+	if group := m.totals.GroupMembers(); !slices.Equal(group, r.groupMembers) {
+		r.groupMembers, r.groupChanged = group, now
 	}
-	if !r.acting || now-r.actingSince < absentAfterStart {
+	if !r.aggregating || now-r.aggregatingSince < absentStartDelay {
 		return
 	}
 	absent := make(map[string]token.Incarnation)
 	m.mu.Lock()
 	for name, member := range m.members {
-		s, seen := r.seen[name]
+		s, seen := r.lastReports[name]
 		if !seen || now-s.at > presenceGrace || s.presence.Incarnation != member.Incarnation || !s.presence.Owns {
 			absent[name] = member.Incarnation
 		}
 	}
-	for name := range r.seen {
-		if _, listed := m.members[name]; !listed && now-r.seen[name].at > muteAfter {
-			delete(r.seen, name)
+	for name := range r.lastReports {
+		if _, listed := m.members[name]; !listed && now-r.lastReports[name].at > staleAfter {
+			delete(r.lastReports, name)
 		}
 	}
 	m.mu.Unlock()
 	if m.setAbsent(absent) {
-		r.absentSince = now
+		r.absentChanged = now
 	}
 }
 
-// setAbsent takes which processes are not to be used and reports whether that
-// changed anything.
+// setAbsent replaces the set of absent processes and reports whether it changed.
 func (m *Mesh) setAbsent(absent map[string]token.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if maps.Equal(m.absent, absent) {
 		return false
 	}
-	m.log.Info("absent peers changed", "absent", newIn(absent, m.absent), "present", newIn(m.absent, absent), "listed", len(m.members))
+	m.log.Info("absent peers changed", "absent", difference(absent, m.absent), "present", difference(m.absent, absent), "listed", len(m.members))
 	m.absent = absent
-	m.publish()
+	m.updateView()
 	return true
 }
 
-// newIn returns the names of the runs that are in one set and not in another.
-func newIn(set, other map[string]token.Incarnation) []string {
+// difference returns the names of the processes whose incarnation is in set and
+// not in other.
+func difference(set, other map[string]token.Incarnation) []string {
 	var names []string
 	for name, run := range set {
-		if !isRun(other, name, run) {
+		if !hasIncarnation(other, name, run) {
 			names = append(names, name)
 		}
 	}
@@ -314,8 +325,8 @@
 	return names
 }
 
-// absentees returns the processes that are not to be used, for a message.
-func (m *Mesh) absentees() []wire.Presence {
+// absentMembers returns the absent processes, for a message.
+func (m *Mesh) absentMembers() []wire.Presence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var all []wire.Presence
@@ -325,19 +336,19 @@
 	return all
 }
 
-// gather takes up what all peers say of their pools, if this process adds up by
-// itself.
-func (m *Mesh) gather() {
+// updateTotals updates the sums of all peers' pools, pending arrivals and trials,
+// if this process is an aggregator.
+func (m *Mesh) updateTotals() {
 	if m.uplink.Load().aggregator != "" {
 		return
 	}
-	sum, trials := m.book.PendingArrivals(m.self.Name), m.book.Trials(m.self.Name)
-	m.setPools(m.book.Pools(m.self.Name))
-	m.inflow.Store(&sum)
+	arrivals, trials := m.totals.PendingArrivals(m.self.Name), m.totals.Trials(m.self.Name)
+	m.setPools(m.totals.Pools(m.self.Name))
+	m.pendingArrivals.Store(&arrivals)
 	m.trials.Store(&trials)
 }
 
-// Trials returns the sums of what all peers count during rollouts.
+// Trials returns the sums of the counts of all peers during rollouts.
 func (m *Mesh) Trials() []wire.Trial {
 	if trials := m.trials.Load(); trials != nil {
 		return *trials
@@ -345,8 +356,8 @@
 	return nil
 }
 
-// ReceivesReports reports whether what peers report arrives: this process adds it up by
-// itself, or its aggregator has told of it a moment ago.
+// ReceivesReports reports whether the reports of peers reach this process: it is an
+// aggregator, or its aggregator has sent a total within staleAfter.
 func (m *Mesh) ReceivesReports() bool {
 	aggregator := m.uplink.Load().aggregator
 	if aggregator == "" {
@@ -355,21 +366,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := m.links[aggregator]
-	return l != nil && m.clock.Since(l.total) < muteAfter
+	return l != nil && m.clock.Since(l.lastTotal) < staleAfter
 }
 
-// PendingArrivals returns the pieces that requests of peers will ask for in a pool, by
-// class of rank; nil for none.
+// PendingArrivals returns the pieces that open requests of peers will send to a
+// pool, by class of rank; nil for none.
 func (m *Mesh) PendingArrivals(pool string) []int {
-	loads := m.inflow.Load()
-	if loads == nil {
+	arrivals := m.pendingArrivals.Load()
+	if arrivals == nil {
 		return nil
 	}
-	return inflow.PoolPieces(*loads, pool)
+	return inflow.PoolPieces(*arrivals, pool)
 }
 
-// PoolLoad returns what peers said of a pool's queue last, false when none did. Late
-// is how much older it is than usual.
+// PoolLoad returns the load of a pool that its owner reported last, and false if
+// there is no report. Late is how much older it is than usualPoolAge, in
+// milliseconds.
 func (m *Mesh) PoolLoad(name string) (load wire.PoolLoad, late clock.Millis, known bool) {
 	pools := m.pools.Load()
 	if pools == nil {
@@ -379,15 +391,15 @@
 	if !known {
 		return wire.PoolLoad{}, 0, false
 	}
-	return pool.Load, max(m.clock.Since(pool.At)-poolAge, 0), true
+	return pool.Load, max(m.clock.Since(pool.At)-usualPoolAge, 0), true
 }
 
-// setPools takes what owners said of their pools; of two owners of one, the newer
-// word counts.
+// setPools replaces the reported loads of pools. If two owners report the same
+// pool, the newer report counts.
 func (m *Mesh) setPools(all []sums.Pool) {
 	pools := make(map[string]sums.Pool, len(all))
 	for _, pool := range all {
-		if known, found := pools[pool.Load.Pool]; !found || known.At < pool.At {
+		if other, found := pools[pool.Load.Pool]; !found || other.At < pool.At {
 			pools[pool.Load.Pool] = pool
 		}
 	}
--- a/internal/serve/mesh/send.go
+++ b/internal/serve/mesh/send.go
@@ -8,8 +8,8 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// outgoing is one destination of a round.
-type outgoing struct {
+// destination is a session that gets reports in a round.
+type destination struct {
 	process string
 	session *sess.Session
 	target  *target
@@ -29,62 +29,62 @@
 	return len(all)
 }
 
-// wanted returns to which processes this one opens sessions for reports, and what
-// it sends there.
-func (m *Mesh) wanted() map[string]wire.Kind {
+// reportKinds returns the processes to which this one opens sessions for reports,
+// and the kind of message that it sends to each.
+func (m *Mesh) reportKinds() map[string]wire.Kind {
 	v, aggregator := m.view.Load(), m.uplink.Load().aggregator
 	if aggregator != "" {
 		return map[string]wire.Kind{aggregator: wire.KindReport}
 	}
-	wanted := make(map[string]wire.Kind)
+	kinds := make(map[string]wire.Kind)
 	for _, name := range slices.Concat(v.plan.Aggregators, v.reachable.Aggregators) {
 		if name != m.self.Name {
-			wanted[name] = wire.KindGroup
+			kinds[name] = wire.KindGroup
 		}
 	}
-	return wanted
+	return kinds
 }
 
-// destinations returns where this process sends sums now, and ends what is sent
-// elsewhere no longer.
-func (m *Mesh) destinations() []outgoing {
-	wanted := m.wanted()
-	for name := range wanted {
+// destinations returns the sessions on which this process sends sums now. On
+// sessions that get no sums any more, it withdraws the sums that were sent.
+func (m *Mesh) destinations() []destination {
+	kinds := m.reportKinds()
+	for name := range kinds {
 		m.linkTo(name)
 	}
-	acting := m.uplink.Load().aggregator == ""
+	aggregating := m.uplink.Load().aggregator == ""
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var all []outgoing
+	var all []destination
 	for name, l := range m.links {
 		if l.session != nil {
-			to := outgoing{process: name, session: l.session, target: &l.target, kind: wanted[name]}
-			all = to.switched(all, &l.renewed, wanted)
+			to := destination{process: name, session: l.session, target: &l.target, kind: kinds[name]}
+			all = to.updateKind(all, &l.resendAll, kinds)
 		}
 	}
 	for name, in := range m.inbound {
-		to := outgoing{process: name, session: in.session, target: &in.target}
+		to := destination{process: name, session: in.session, target: &in.target}
 		switch {
-		case in.reports && acting:
+		case in.reports && aggregating:
 			to.kind = wire.KindTotal
-		case in.groups && acting && wanted[name] == 0:
+		case in.groups && aggregating && kinds[name] == 0:
 			to.kind = wire.KindGroup
 		}
-		all = to.switched(all, &in.renewed, wanted)
+		all = to.updateKind(all, &in.resendAll, kinds)
 	}
 	return all
 }
 
-// switched begins to send sums of another kind where that has changed, and adds
-// the destination to others if anything is sent there. Where sums go on by
-// another session, nothing is withdrawn.
-func (o outgoing) switched(all []outgoing, renewed *bool, wanted map[string]wire.Kind) []outgoing {
-	if *renewed {
-		o.target.restart()
-		*renewed = false
+// updateKind applies a change of the kind of message that a session gets, and
+// appends the destination to all if it gets any. The sums sent before are
+// withdrawn, unless another session to the same process gets them now.
+func (o destination) updateKind(all []destination, resendAll *bool, kinds map[string]wire.Kind) []destination {
+	if *resendAll {
+		o.target.reset()
+		*resendAll = false
 	}
 	if o.target.kind != o.kind {
-		o.target.end(o.session, o.kind == 0 && wanted[o.process] == o.target.kind)
+		o.target.withdraw(o.session, o.kind == 0 && kinds[o.process] == o.target.kind)
 		*o.target = target{kind: o.kind}
 	}
 	if o.kind == 0 {
@@ -93,31 +93,32 @@
 	return append(all, o)
 }
 
-// end withdraws what was reported on a session, unless it goes on elsewhere.
-func (t *target) end(s *sess.Session, goesOn bool) {
-	if !goesOn && (t.kind == wire.KindReport || t.kind == wire.KindGroup) {
+// withdraw withdraws the sums that were sent on a session, unless they continue on
+// another session.
+func (t *target) withdraw(s *sess.Session, continues bool) {
+	if !continues && (t.kind == wire.KindReport || t.kind == wire.KindGroup) {
 		_ = s.Send(&wire.Frame{Kind: t.kind, Sums: &wire.Sums{Ended: true}}) // a session that can't send is ending
 	}
 }
 
-// restart has everything sent again.
-func (t *target) restart() {
+// reset makes the next message complete.
+func (t *target) reset() {
 	t.cursor.Reset()
-	t.membersSent, t.regular, t.hasInterest = 0, 0, false
+	t.membersSent, t.lastRegular, t.hasInterest = 0, 0, false
 }
 
-func (m *Mesh) sendTo(to outgoing, regular bool, seen []wire.Seen, now clock.Millis) {
-	if to.kind == wire.KindGroup && now-to.target.regular < groupEvery {
+func (m *Mesh) sendTo(to destination, regular bool, seen []wire.Seen, now clock.Millis) {
+	if to.kind == wire.KindGroup && now-to.target.lastRegular < groupInterval {
 		regular = false
 	}
 	if regular {
-		to.target.regular = now
+		to.target.lastRegular = now
 	}
 	var message *wire.Sums
 	if to.kind == wire.KindTotal {
-		message = m.book.ForProcess(to.process, &to.target.cursor, regular, now)
+		message = m.totals.ForProcess(to.process, &to.target.cursor, regular, now)
 	} else {
-		message = m.book.ForAggregator(&to.target.cursor, regular, now)
+		message = m.totals.ForAggregator(&to.target.cursor, regular, now)
 	}
 	if message == nil {
 		return
@@ -131,11 +132,11 @@
 		to.target.addInterest(message, m.reports.interest)
 	}
 	if err := to.session.Send(&wire.Frame{Kind: to.kind, Sums: message}); err != nil {
-		to.target.restart()
+		to.target.reset()
 	}
 }
 
-// addInterest adds which endpoints this process uses normally, when that changed.
+// addInterest adds the endpoints that this process normally uses, if they changed.
 func (t *target) addInterest(message *wire.Sums, interest []string) {
 	if t.hasInterest && slices.Equal(t.interest, interest) {
 		return
@@ -144,25 +145,26 @@
 	t.interest, t.hasInterest = interest, true
 }
 
-// addMembers adds lists of processes when they changed, and from time to time.
-func (m *Mesh) addMembers(message *wire.Sums, to outgoing, now clock.Millis) {
+// addMembers adds the list of processes if it changed or membersInterval has
+// passed.
+func (m *Mesh) addMembers(message *wire.Sums, to destination, now clock.Millis) {
 	r := &m.reports
 	switch to.kind {
 	case wire.KindTotal:
-		if to.target.membersDue(r.absentSince, now) {
-			message.HasMembers, message.Members = true, m.absentees()
+		if to.target.membersDue(r.absentChanged, now) {
+			message.HasMembers, message.Members = true, m.absentMembers()
 		}
 	case wire.KindGroup:
-		if to.target.membersDue(r.groupSince, now) {
-			message.HasMembers, message.Members = true, r.group
+		if to.target.membersDue(r.groupChanged, now) {
+			message.HasMembers, message.Members = true, r.groupMembers
 		}
 	default:
-		// A report names its sender alone.
+		// A report lists no processes: the receiver adds its sender.
 	}
 }
 
 func (t *target) membersDue(changed, now clock.Millis) bool {
-	if t.membersSent > changed && now-t.membersSent < membersEvery {
+	if t.membersSent > changed && now-t.membersSent < membersInterval {
 		return false
 	}
 	t.membersSent = now
--- a/internal/serve/mesh/take.go
+++ b/internal/serve/mesh/take.go
@@ -10,51 +10,52 @@
 	"github.com/jujubescale/jujubescale/internal/ops/logs"
 )
 
-// takeReport takes the report of a process of this group.
-func (m *Mesh) takeReport(s *sess.Session, report *wire.Sums) {
+// handleReport handles the report of a process of this group.
+func (m *Mesh) handleReport(s *sess.Session, report *wire.Sums) {
 	hello := s.Peer()
 	m.mu.Lock()
 	if in := m.inbound[hello.Process]; in != nil && in.session == s {
-		in.reports, in.renewed = !report.Ended, in.renewed || report.Whole
+		in.reports, in.resendAll = !report.Ended, in.resendAll || report.Whole
 	}
 	m.mu.Unlock()
 	report.HasMembers = true
 	report.Members = []wire.Presence{{Process: hello.Process, Incarnation: hello.Incarnation, Owns: report.Owns}}
-	m.takeSums(s, false, report)
+	m.recordSums(s, false, report)
 	if report.Whole {
-		m.wakeUp()
+		m.triggerRound()
 	}
 }
 
-// takeGroup takes the sums of another group on a session that its aggregator
+// handleGroup handles the sums of another group on a session that its aggregator
 // opened.
-func (m *Mesh) takeGroup(s *sess.Session, group *wire.Sums) {
+func (m *Mesh) handleGroup(s *sess.Session, group *wire.Sums) {
 	m.mu.Lock()
 	if in := m.inbound[s.Peer().Process]; in != nil && in.session == s {
 		in.groups = !group.Ended
 	}
 	m.mu.Unlock()
-	m.takeSums(s, true, group)
+	m.recordSums(s, true, group)
 }
 
-// takeLoads takes the loads of a peer of the version before as its report.
-func (m *Mesh) takeLoads(s *sess.Session, loads *wire.Loads) {
-	m.leaves(s.Peer(), loads.Leaving)
+// handleLoads handles the loads of a peer of the previous version as a report.
+func (m *Mesh) handleLoads(s *sess.Session, loads *wire.Loads) {
+	m.setLeaving(s.Peer(), loads.Leaving)
 	report := sumsOf(loads, false)
 	report.HasMembers = true
 	report.Members = []wire.Presence{{Process: s.Peer().Process, Incarnation: s.Peer().Incarnation, Owns: !loads.Leaving}}
-	m.takeSums(s, false, report)
+	m.recordSums(s, false, report)
 }
 
-// takeSums takes a report or the sums of a group.
-func (m *Mesh) takeSums(s *sess.Session, group bool, taken *wire.Sums) {
+// recordSums adds a report, or the sums of a group, to the sums. It requests
+// complete sums from a sender that is unknown.
+func (m *Mesh) recordSums(s *sess.Session, group bool, message *wire.Sums) {
 	from, now := s.Peer().Process, m.clock.Now()
 	source := sums.Source{Process: from, OtherGroup: group}
-	if taken.Ended {
-		m.forget(source)
+	if message.Ended {
+		m.removeSource(source)
 		return
 	}
-	changed, err := m.book.Put(source, taken, now)
+	changed, err := m.totals.Put(source, message, now)
 	var unknown *sums.UnknownSourceError
 	if errors.As(err, &unknown) {
 		_ = s.Send(&wire.Frame{Kind: wire.KindRenew}) // a session that can't send is ending
@@ -65,31 +66,31 @@
 		m.log.Warn("report ignored", "peer", from, "group", group, logs.KeyError, err)
 		return
 	}
-	m.takeEvents(taken)
-	m.pushOthers(changed)
-	if taken.Regular && m.uplink.Load().upstream == from {
-		m.confirm(from, taken.Seen, now)
+	m.handleEvents(message)
+	m.forwardChangedWork(changed)
+	if message.Regular && m.uplink.Load().upstream == from {
+		m.confirmProgress(from, message.Seen, now)
 	}
-	if taken.Urgent {
-		m.wakeUp()
+	if message.Urgent {
+		m.triggerRound()
 	}
 }
 
-func (m *Mesh) takeEvents(taken *wire.Sums) {
-	if len(taken.Prefixes) > 0 {
-		m.prefixFunc(taken.Prefixes)
+func (m *Mesh) handleEvents(message *wire.Sums) {
+	if len(message.Prefixes) > 0 {
+		m.prefixFunc(message.Prefixes)
 	}
-	if len(taken.Refused) > 0 {
-		m.refusedFunc(taken.Refused)
+	if len(message.Refused) > 0 {
+		m.refusedFunc(message.Refused)
 	}
-	if len(taken.Crashes) > 0 {
-		m.crashesFunc(taken.Crashes)
+	if len(message.Crashes) > 0 {
+		m.crashesFunc(message.Crashes)
 	}
 }
 
-// pushTotal passes on the work that an aggregator tells, and reports whether it is
-// the one that this process reports to.
-func (m *Mesh) pushTotal(from string, total *wire.Sums) bool {
+// forwardTotal passes the work of a total to workFunc, and reports whether its
+// sender is the aggregator of this process.
+func (m *Mesh) forwardTotal(from string, total *wire.Sums) bool {
 	m.workLock.Lock()
 	defer m.workLock.Unlock()
 	if m.uplink.Load().aggregator != from {
@@ -99,8 +100,9 @@
 	return true
 }
 
-// takeTotal takes the work of all others from this process's aggregator.
-func (m *Mesh) takeTotal(from string, total *wire.Sums) {
+// handleTotal handles a total, the sums of all other processes that this process's
+// aggregator sends.
+func (m *Mesh) handleTotal(from string, total *wire.Sums) {
 	now := m.clock.Now()
 	if err := sums.Check(sums.Source{Process: from, OtherGroup: true}, total); err != nil {
 		m.ignoredFunc("contradictory")
@@ -109,13 +111,13 @@
 	}
 	m.mu.Lock()
 	if l := m.links[from]; l != nil {
-		l.total = now
+		l.lastTotal = now
 	}
 	m.mu.Unlock()
-	if !m.pushTotal(from, total) {
+	if !m.forwardTotal(from, total) {
 		return
 	}
-	m.takeEvents(total)
+	m.handleEvents(total)
 	if total.HasMembers {
 		absent := make(map[string]token.Incarnation, len(total.Members))
 		for _, presence := range total.Members {
@@ -132,13 +134,13 @@
 	for _, load := range total.Pools {
 		pools = append(pools, sums.Pool{Load: load, At: now - load.Age})
 	}
-	sum := sums.PendingArrivalsOf(total.Inflow)
+	arrivals := sums.PendingArrivalsOf(total.Inflow)
 	m.setPools(pools)
-	m.inflow.Store(&sum)
+	m.pendingArrivals.Store(&arrivals)
 	if total.HasTrials {
 		m.trials.Store(&total.Trials)
 	}
 	if m.uplink.Load().upstream == from {
-		m.confirm(from, total.Seen, now)
+		m.confirmProgress(from, total.Seen, now)
 	}
 }
--- a/internal/serve/mesh/view.go
+++ b/internal/serve/mesh/view.go
@@ -10,25 +10,25 @@
 	"github.com/jujubescale/jujubescale/internal/route/relay"
 )
 
-// view is the live processes as this one sees them. It is immutable, but for the
-// owners that it remembers.
+// view is this process's list of live processes and what follows from it. It is
+// immutable except for owners, which is a cache.
 type view struct {
 	names     []string
 	processes []owner.Process
 	plan      *relay.Plan
-	// reachable is the plan if processes that report to nobody did. Aggregators
-	// exchange sums with its aggregators, too: two parts of a fleet that were cut
-	// off from each other each believe that the other one is absent.
+	// reachable is the plan that results if absent processes are included.
+	// Aggregators exchange sums with its aggregators, too: after a network
+	// partition, each part of the fleet has marked the other one as absent.
 	reachable *relay.Plan
-	owners    sync.Map // subjectIn to the owner's name
+	owners    sync.Map // zonedSubject to the owner's name
 }
 
-// subjectIn is a subject whose engines stand in an availability zone, "" for
-// several.
-type subjectIn struct{ subject, zone string }
+// zonedSubject is a subject and the availability zone of its engines, "" if they
+// are in several zones.
+type zonedSubject struct{ subject, zone string }
 
-// publish computes the view anew; the caller holds the lock or is alone.
-func (m *Mesh) publish() {
+// updateView recomputes the view. The caller holds the lock, except in New.
+func (m *Mesh) updateView() {
 	v := &view{}
 	var reachable []owner.Process
 	if m.owns {
@@ -36,8 +36,8 @@
 	}
 	for name, member := range m.members {
 		switch {
-		case isRun(m.lost, name, member.Incarnation) || isRun(m.leaving, name, member.Incarnation):
-		case isRun(m.absent, name, member.Incarnation):
+		case hasIncarnation(m.unreachable, name, member.Incarnation) || hasIncarnation(m.leaving, name, member.Incarnation):
+		case hasIncarnation(m.absent, name, member.Incarnation):
 			reachable = append(reachable, processOf(member))
 		default:
 			v.add(member)
@@ -58,10 +58,10 @@
 	m.view.Store(v)
 }
 
-// isRun reports whether a set holds a run of a process.
-func isRun(set map[string]token.Incarnation, name string, run token.Incarnation) bool {
-	held, found := set[name]
-	return found && held == run
+// hasIncarnation reports whether a set holds this incarnation of a process.
+func hasIncarnation(set map[string]token.Incarnation, name string, incarnation token.Incarnation) bool {
+	current, found := set[name]
+	return found && current == incarnation
 }
 
 func (v *view) add(member Member) { v.processes = append(v.processes, processOf(member)) }
@@ -72,15 +72,16 @@
 	}
 }
 
-// LiveProcesses returns the names of the processes that can own pools, this one among
-// them.
+// LiveProcesses returns the names of the processes that can own pools, including
+// this process while it may own pools or if there is no other.
 func (m *Mesh) LiveProcesses() []string { return m.view.Load().names }
 
-// Count returns the number of processes that share what is bounded for all.
+// Count returns the number of live processes, by which limits of the whole fleet
+// are divided.
 func (m *Mesh) Count() int { return len(m.view.Load().names) }
 
-// MayRelay reports whether others will hear from this process once it can serve:
-// there are no others yet, or it would be an aggregator among them.
+// MayRelay reports whether peers may follow the store through this process once it
+// serves: the fleet is small, or this process is eligible as an aggregator.
 func (m *Mesh) MayRelay() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,27 +89,28 @@
 	for _, member := range m.members {
 		processes = append(processes, processOf(member))
 	}
-	return len(processes) < leastPeers || len(owner.Eligible(processes)) == len(processes) || isStrong(m.self, processes)
+	return len(processes) < smallFleet || len(owner.Eligible(processes)) == len(processes) || isEligible(m.self, processes)
 }
 
-// leastPeers is the number of processes up to which each reads the lists itself.
-const leastPeers = 8
+// smallFleet is the number of processes below which each process reads the lists
+// itself when it starts.
+const smallFleet = 8
 
-func isStrong(self Member, processes []owner.Process) bool {
+func isEligible(self Member, processes []owner.Process) bool {
 	return slices.ContainsFunc(owner.Eligible(processes), func(p owner.Process) bool { return p.Name == self.Name })
 }
 
-// IsWatcher reports whether this process watches the store for others.
+// IsWatcher reports whether this process reads the store for others.
 func (m *Mesh) IsWatcher() bool { return slices.Contains(m.view.Load().plan.Watchers, m.self.Name) }
 
-// Owner returns the process that owns a subject now.
+// Owner returns the name of the process that owns a subject now.
 func (m *Mesh) Owner(subject string) string { return m.OwnerIn(subject, "") }
 
-// OwnerIn returns the process that owns a subject whose engines stand in an
-// availability zone: one of that zone if it has any.
+// OwnerIn returns the name of the process that owns a subject whose engines are in
+// an availability zone: a process of that zone if it has one.
 func (m *Mesh) OwnerIn(subject, zone string) string {
 	v := m.view.Load()
-	key := subjectIn{subject: subject, zone: zone}
+	key := zonedSubject{subject: subject, zone: zone}
 	if known, found := v.owners.Load(key); found {
 		return known.(string)
 	}
