--- a/internal/serve/feed/feed.go
+++ b/internal/serve/feed/feed.go
@@ -1,10 +1,11 @@
 // Package feed follows one kind of objects in the platform's store: it reads
-// all of them once, then waits for changes, and starts over when the store has
-// dropped its history. It tells when the store was lost and found again.
+// all of them once, then waits for changes, and reads all of them again when the
+// store has dropped its history. It reports outages of the store.
 //
-// Calls to the store are paid for, so that most processes follow it through a
-// peer that relays changes and says from time to time that there are none. A
-// feed that hears neither for a while asks the store itself.
+// Each call to the store costs money. Most processes therefore follow the store
+// through a peer, which relays changes and regularly confirms that there are no
+// others. A feed that receives neither within a maximum age calls the store
+// itself.
 package feed
 
 import (
@@ -24,46 +25,48 @@
 )
 
 const (
-	// defaultWait is how long one call waits for changes. A store that hears
-	// nothing of changes any more, or a connection that went silent, shows only
-	// when the wait is over.
+	// defaultWait is how long one call waits for changes. A store that gets no
+	// changes any more, or a broken connection, is detected only when the wait is
+	// over.
 	defaultWait = clock.Second
-	// firstBackoff and maxBackoff bound the pause after a failed call; a store
-	// that came back is found again within the largest.
-	firstBackoff = 100 * clock.Millis(1)
-	maxBackoff   = 800 * clock.Millis(1)
+	// minBackoff and maxBackoff bound the pause after a failed call. maxBackoff
+	// bounds the time until the end of an outage is detected.
+	minBackoff = 100 * clock.Millis(1)
+	maxBackoff = 800 * clock.Millis(1)
 )
 
-// Feed follows one kind.
+// Feed follows one kind of objects.
 type Feed struct {
 	kind  string
 	store *store.Store
 	clock *clock.Clock
 	log   *log.Logger
 	wait  func() clock.Millis
-	rest  func() clock.Millis
-	// longest is the longest pause after a failed call.
-	longest func() clock.Millis
-	// maxAge is how long the store's last word counts without a call, grace for
-	// how much of that a peer is awaited, firstWait how long before the first list.
-	maxAge    clock.Millis
-	grace     func() clock.Millis
-	firstWait func(kind string) clock.Millis
-	// ageless says that the store is read rarely.
-	ageless bool
-
-	// listFunc takes the whole list, and whether the store had been lost;
-	// changeFunc takes changes in order, forwardFunc what peers are to know.
-	listFunc    func(objects []store.Object, after clock.Millis)
-	changeFunc  func(changes []store.Change)
-	forwardFunc func(*wire.Update)
-	wakeUp      chan struct{}
-	// relayed wakes the feed when a peer began to relay changes.
-	relayed chan struct{}
-	// lost is when the store stopped answering, 0 while it answers; away is how
-	// long it was lost since the last list.
-	lost    clock.Millis
-	away    clock.Millis
+	pause func() clock.Millis
+	// backoffLimit returns the longest pause after a failed call.
+	backoffLimit func() clock.Millis
+	// maxAge is the age up to which a relayed answer of the store replaces a call.
+	// relayGrace is how long after the last answer the feed waits for a peer before
+	// it calls the store, firstWait how long it waits before it first reads the
+	// list.
+	maxAge     clock.Millis
+	relayGrace func() clock.Millis
+	firstWait  func(kind string) clock.Millis
+	// hideAge omits the age of the last answer from Progress; see WithoutAge.
+	hideAge bool
+
+	// listFunc takes the complete list and the duration of the outage before it;
+	// changeFunc takes changes in order; forwardFunc relays both to peers.
+	listFunc      func(objects []store.Object, away clock.Millis)
+	changeFunc    func(changes []store.Change)
+	forwardFunc   func(*wire.Update)
+	listRequested chan struct{}
+	// relayChanged wakes Run when a peer has started or stopped relaying changes.
+	relayChanged chan struct{}
+	// lostAt is when the store stopped answering, 0 while it answers. lostFor is the
+	// duration of the last outage, 0 once the list was read after it.
+	lostAt  clock.Millis
+	lostFor clock.Millis
 	backoff clock.Millis
 	outage  *Outage
 	down    atomic.Bool
@@ -72,7 +75,7 @@
 	state state
 }
 
-// Option changes a Feed while it is built.
+// Option configures a Feed.
 type Option func(*Feed)
 
 // WithClock sets the clock.
@@ -81,53 +84,57 @@
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(f *Feed) { f.log = l } }
 
-// WithOutage sets what the feeds of one process share while the store is away.
+// WithOutage sets the state that the feeds of one process share during an outage
+// of the store.
 func WithOutage(outage *Outage) Option { return func(f *Feed) { f.outage = outage } }
 
 // WithWait sets how long one call waits for changes.
 func WithWait(wait func() clock.Millis) Option { return func(f *Feed) { f.wait = wait } }
 
-// WithPause sets a pause between two calls, so that changes which come many
-// times a second are read several at a time.
-func WithPause(rest func() clock.Millis) Option { return func(f *Feed) { f.rest = rest } }
+// WithPause sets a pause between two calls, so that one call reads several changes
+// when there are many in a second.
+func WithPause(pause func() clock.Millis) Option { return func(f *Feed) { f.pause = pause } }
 
 // WithBackoff sets the longest pause after a failed call.
-func WithBackoff(longest func() clock.Millis) Option { return func(f *Feed) { f.longest = longest } }
+func WithBackoff(longest func() clock.Millis) Option {
+	return func(f *Feed) { f.backoffLimit = longest }
+}
 
-// WithMaxAge sets how long the store's last word, as a peer relays it, counts
-// without a call.
-func WithMaxAge(span clock.Millis) Option { return func(f *Feed) { f.maxAge = span } }
+// WithMaxAge sets the age up to which an answer of the store that a peer relays
+// replaces a call.
+func WithMaxAge(maxAge clock.Millis) Option { return func(f *Feed) { f.maxAge = maxAge } }
 
-// WithoutAge is for feeds with long waits: how old the store's last word is does not tell
-// whether the store is in reach, and peers are told none.
-func WithoutAge() Option { return func(f *Feed) { f.ageless = true } }
+// WithoutAge omits the age of the store's last answer from Progress. It is for
+// feeds with long waits, where the age doesn't show whether the store is reachable.
+func WithoutAge() Option { return func(f *Feed) { f.hideAge = true } }
 
-// WithPeerWait sets for how long a peer's word is awaited before the store is asked:
-// after the store's last word, and before the list is read for the first time.
+// WithPeerWait sets how long the feed waits for a peer to relay changes before it
+// calls the store: grace after the store's last answer, and firstWait before it
+// reads the list for the first time.
 func WithPeerWait(grace func() clock.Millis, firstWait func(kind string) clock.Millis) Option {
-	return func(f *Feed) { f.grace, f.firstWait = grace, firstWait }
+	return func(f *Feed) { f.relayGrace, f.firstWait = grace, firstWait }
 }
 
-// WithList sets who takes the whole list. Away is how long the store had been
-// lost before, 0 when it had not.
+// WithList sets the handler for the complete list. Away is the duration of the
+// outage of the store before it, in milliseconds, 0 for none.
 func WithList(list func(objects []store.Object, away clock.Millis)) Option {
 	return func(f *Feed) { f.listFunc = list }
 }
 
-// WithChanges sets who takes changes.
+// WithChanges sets the handler for changes.
 func WithChanges(change func([]store.Change)) Option { return func(f *Feed) { f.changeFunc = change } }
 
-// WithForward sets who relays to peers what was read.
+// WithForward sets the function that relays lists and changes to peers.
 func WithForward(forward func(*wire.Update)) Option { return func(f *Feed) { f.forwardFunc = forward } }
 
-// New returns a feed of one kind; Run follows it.
+// New returns a feed of one kind of objects; Run reads it.
 func New(kind string, from *store.Store, opts ...Option) *Feed {
 	f := &Feed{
-		kind: kind, store: from, clock: clock.New(), log: log.New(io.Discard), wakeUp: make(chan struct{}, 1), relayed: make(chan struct{}, 1), outage: NewOutage(),
-		wait:    func() clock.Millis { return defaultWait },
-		rest:    func() clock.Millis { return 0 },
-		longest: func() clock.Millis { return maxBackoff },
-		maxAge:  defaultMaxAge, grace: func() clock.Millis { return 0 }, firstWait: func(string) clock.Millis { return 0 },
+		kind: kind, store: from, clock: clock.New(), log: log.New(io.Discard), listRequested: make(chan struct{}, 1), relayChanged: make(chan struct{}, 1), outage: NewOutage(),
+		wait:         func() clock.Millis { return defaultWait },
+		pause:        func() clock.Millis { return 0 },
+		backoffLimit: func() clock.Millis { return maxBackoff },
+		maxAge:       defaultMaxAge, relayGrace: func() clock.Millis { return 0 }, firstWait: func(string) clock.Millis { return 0 },
 		listFunc: func([]store.Object, clock.Millis) {}, changeFunc: func([]store.Change) {}, forwardFunc: func(*wire.Update) {},
 	}
 	for _, opt := range opts {
@@ -136,99 +143,98 @@
 	return f
 }
 
-// RequestList makes the feed read the whole list once more, soon: somebody else knows
-// something newer.
+// RequestList makes Run read the complete list again soon, because another process
+// has a newer state.
 func (f *Feed) RequestList() {
 	select {
-	case f.wakeUp <- struct{}{}:
+	case f.listRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Down reports whether the store gave no answer to the last call.
+// Down reports whether the last call to the store failed.
 func (f *Feed) Down() bool { return f.down.Load() }
 
-// Run follows the kind until the context ends: through a peer while one passes
-// changes on, else in the store.
+// Run follows the kind until the context ends: through a peer while one relays
+// changes, otherwise by calls to the store.
 func (f *Feed) Run(ctx context.Context) {
 	f.pauseUnlessRelayed(ctx, f.firstWait(f.kind))
 	for ctx.Err() == nil {
 		if f.Relayed() {
-			f.awaitRelay(ctx)
+			f.followRelay(ctx)
 			continue
 		}
-		if left := f.graceLeft(); left > 0 {
+		if left := f.graceTimeLeft(); left > 0 {
 			f.pauseUnlessRelayed(ctx, left)
 			continue
 		}
-		if since, current := f.known(); current {
-			f.follow(ctx, since)
+		if since, listed := f.knownRevision(); listed {
+			f.watch(ctx, since)
 			continue
 		}
-		f.list(ctx)
+		f.readList(ctx)
 	}
 }
 
-// list reads the whole list.
-func (f *Feed) list(ctx context.Context) {
+// readList reads the complete list.
+func (f *Feed) readList(ctx context.Context) {
 	listing, err := f.store.Scan(ctx, f.kind)
 	if err != nil {
-		f.failed(ctx, err)
+		f.handleFailure(ctx, err)
 		return
 	}
-	f.found()
-	f.takeList(listing.Objects, listing.Revision, listing.Revision, f.away, f.clock.Now())
-	f.away = 0
+	f.recordAnswer()
+	f.applyList(listing.Objects, listing.Revision, listing.Revision, f.lostFor, f.clock.Now())
+	f.lostFor = 0
 }
 
-// follow reads changes until the list has to be read again or a peer passes them
-// on.
-func (f *Feed) follow(ctx context.Context, since uint64) {
+// watch reads changes until the list has to be read again or a peer relays them.
+func (f *Feed) watch(ctx context.Context, since uint64) {
 	for ctx.Err() == nil {
 		changes, err := f.waitForChanges(ctx, since)
-		var gone *store.HistoryError
+		var dropped *store.HistoryError
 		switch {
 		case errors.Is(err, errRelayed):
 			return
-		case errors.Is(err, errAgain):
+		case errors.Is(err, errListRequested):
 			f.requireList()
 			return
-		case errors.As(err, &gone):
+		case errors.As(err, &dropped):
 			f.log.Info("history dropped, reading the list again", "kind", f.kind, "since", since)
 			f.requireList()
 			return
 		case errors.Is(err, context.DeadlineExceeded):
-			// Nothing came within the wait, not even that there is nothing: the
-			// list tells whether the store is there and what was missed.
-			f.log.Info("watch went silent, reading the list again", "kind", f.kind, "since", since)
+			// The call got no reply within the wait, not even an empty one. Reading
+			// the list shows whether the store is reachable and which changes were
+			// missed.
+			f.log.Info("watch got no reply, reading the list again", "kind", f.kind, "since", since)
 			f.requireList()
 			return
 		case err != nil:
 			f.requireList()
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			return
 		}
-		if f.found(); f.away > 0 {
-			// While the store was away entries may have lapsed. The list tells
-			// which are there, and the reader learns how long it was blind.
+		if f.recordAnswer(); f.lostFor > 0 {
+			// Entries may have expired during the outage. The list holds the
+			// remaining ones, and its handler gets the duration of the outage.
 			f.requireList()
 			return
 		}
-		since = f.takeChanges(changes.Changes, since, max(since, changes.Revision), f.clock.Now())
-		if f.graceLeft() > 0 {
+		since = f.applyChanges(changes.Changes, since, max(since, changes.Revision), f.clock.Now())
+		if f.graceTimeLeft() > 0 {
 			return
 		}
-		if rest := f.rest(); rest > 0 && len(changes.Changes) > 0 {
-			_ = f.clock.Sleep(ctx, rest) // the loop sees the end of the context
+		if pause := f.pause(); pause > 0 && len(changes.Changes) > 0 {
+			_ = f.clock.Sleep(ctx, pause) // the loop checks the context
 		}
 	}
 }
 
-// Errors that end a wait for changes: the list was asked for, or a peer passes
-// changes on.
+// Errors that end a wait for changes early.
 var (
-	errAgain   = errors.New("list asked for")
-	errRelayed = errors.New("a peer relays changes")
+	errListRequested = errors.New("list requested")
+	errRelayed       = errors.New("a peer relays changes")
 )
 
 func (f *Feed) waitForChanges(ctx context.Context, since uint64) (store.Changes, error) {
@@ -236,24 +242,24 @@
 	defer cancel()
 	done := make(chan struct{})
 	cause := make(chan error, 1)
-	go func() { cause <- f.awaitEnd(cancel, done) }()
+	go func() { cause <- f.awaitInterrupt(cancel, done) }()
 	changes, err := f.store.Follow(call, f.kind, since, f.wait())
 	close(done)
-	if ended := <-cause; ended != nil {
-		return store.Changes{}, ended
+	if interrupt := <-cause; interrupt != nil {
+		return store.Changes{}, interrupt
 	}
 	return changes, err
 }
 
-// awaitEnd cancels a call once it is not needed any more and returns why, nil if
-// it was done before.
-func (f *Feed) awaitEnd(cancel func(), done <-chan struct{}) error {
+// awaitInterrupt cancels a call once it is not needed any more and returns the
+// reason. It returns nil if done is closed before that.
+func (f *Feed) awaitInterrupt(cancel func(), done <-chan struct{}) error {
 	for {
 		select {
-		case <-f.wakeUp:
+		case <-f.listRequested:
 			cancel()
-			return errAgain
-		case <-f.relayed:
+			return errListRequested
+		case <-f.relayChanged:
 			if f.Relayed() {
 				cancel()
 				return errRelayed
@@ -264,46 +270,48 @@
 	}
 }
 
-func (f *Feed) failed(ctx context.Context, err error) {
+func (f *Feed) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	f.down.Store(true)
-	if f.lost == 0 {
-		f.lost = f.clock.Now()
+	if f.lostAt == 0 {
+		f.lostAt = f.clock.Now()
 		f.log.Info("platform lost", "kind", f.kind, logs.KeyError, err)
 	}
-	f.backoff = min(max(2*f.backoff, firstBackoff), max(f.longest(), firstBackoff))
-	// Jitter: all processes lose the store at the same moment, and must not all
-	// come back at the same moment to one that allows so many calls a second.
+	f.backoff = min(max(2*f.backoff, minBackoff), max(f.backoffLimit(), minBackoff))
+	// Jitter: an outage starts for all processes at the same time. If they all
+	// retried at the same time, they would exceed the rate limit of the store.
 	pause := f.backoff/2 + clock.Millis(rand.Int64N(int64(f.backoff)))
-	if found := f.outage.lost(f); found != nil {
-		f.waitForOther(ctx, found)
-		pause = clock.Millis(rand.Int64N(int64(firstBackoff)))
+	if answered := f.outage.recordFailure(f); answered != nil {
+		f.waitForProber(ctx, answered)
+		pause = clock.Millis(rand.Int64N(int64(minBackoff)))
 	}
 	f.pauseUnlessRelayed(ctx, pause)
 }
 
-// pauseUnlessRelayed waits, but no longer than until a peer relays changes.
+// pauseUnlessRelayed waits for a pause, or until a peer relays changes if that is
+// earlier.
 func (f *Feed) pauseUnlessRelayed(ctx context.Context, pause clock.Millis) {
-	over, forget := f.clock.After(pause)
-	defer forget()
+	expired, stopTimer := f.clock.After(pause)
+	defer stopTimer()
 	select {
-	case <-over:
-	case <-f.relayed:
+	case <-expired:
+	case <-f.relayChanged:
 	case <-ctx.Done():
 	}
 }
 
-// found notes that the store answered, and how long it had been lost.
-func (f *Feed) found() {
+// recordAnswer records that the store answered. If that ends an outage, it sets
+// the duration of the outage.
+func (f *Feed) recordAnswer() {
 	f.backoff = 0
 	f.down.Store(false)
-	f.outage.answered(f)
-	if f.lost == 0 {
+	f.outage.recordAnswer(f)
+	if f.lostAt == 0 {
 		return
 	}
-	f.away = max(f.clock.Since(f.lost), 1)
-	f.lost = 0
-	f.log.Info("platform found again", "kind", f.kind, "awayMs", int64(f.away))
+	f.lostFor = max(f.clock.Since(f.lostAt), 1)
+	f.lostAt = 0
+	f.log.Info("platform found again", "kind", f.kind, "awayMs", int64(f.lostFor))
 }
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -17,8 +17,8 @@
 	"github.com/jujubescale/jujubescale/internal/serve/feed"
 )
 
-// script answers the calls of a feed one after the other; the last answer of
-// each list stays.
+// script answers the calls of a feed in order; the last answer of each list is
+// repeated.
 type script struct {
 	mu      sync.Mutex
 	scans   []func() (store.Listing, error)
@@ -58,22 +58,22 @@
 
 func failedScan() (store.Listing, error) { return store.Listing{}, unavailable() }
 
-func waits(ctx context.Context) (store.Changes, error) {
+func blockUntilDone(ctx context.Context) (store.Changes, error) {
 	<-ctx.Done()
 	return store.Changes{}, ctx.Err()
 }
 
-// heard collects what a feed tells.
-type heard struct {
+// received collects the calls of a feed's handlers.
+type received struct {
 	mu      sync.Mutex
 	lists   []int
 	away    []clock.Millis
 	changes int
 }
 
-func run(t *testing.T, s *script) (*feed.Feed, *heard) {
+func run(t *testing.T, s *script) (*feed.Feed, *received) {
 	t.Helper()
-	h := &heard{}
+	h := &received{}
 	f := feed.New("k", s.store(), feed.WithList(func(objects []store.Object, away clock.Millis) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -97,12 +97,12 @@
 	return f, h
 }
 
-func (h *heard) until(t *testing.T, holds func(*heard) bool) {
+func (h *received) waitFor(t *testing.T, condition func(*received) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if holds(h) {
+		if condition(h) {
 			return poll.Success()
 		}
 		return poll.Continue("lists %v, %d changes", h.lists, h.changes)
@@ -113,82 +113,83 @@
 	one := func(context.Context) (store.Changes, error) {
 		return store.Changes{Revision: 9, Changes: []store.Change{{Object: store.Object{Name: "k/b"}}}}, nil
 	}
-	f, h := run(t, &script{scans: []func() (store.Listing, error){listed(5, "k/a")}, follows: []func(context.Context) (store.Changes, error){one, waits}})
-	h.until(t, func(h *heard) bool { return len(h.lists) == 1 && h.changes == 1 })
+	f, h := run(t, &script{scans: []func() (store.Listing, error){listed(5, "k/a")}, follows: []func(context.Context) (store.Changes, error){one, blockUntilDone}})
+	h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 && h.changes == 1 })
 	assert.Equal(t, f.LastChange(), uint64(9))
 }
 
-// The store was away. Whoever reads the list must learn for how long, because
-// entries lapse meanwhile although their writers live.
-func TestReaderLearnsHowLongTheStoreWasAway(t *testing.T) {
+// Guards against a list after an outage that comes without the duration of the
+// outage: entries may expire during it although their writers are alive.
+func TestListReportsOutageDuration(t *testing.T) {
 	_, h := run(t, &script{
 		scans:   []func() (store.Listing, error){failedScan, failedScan, listed(5, "k/a")},
-		follows: []func(context.Context) (store.Changes, error){waits},
+		follows: []func(context.Context) (store.Changes, error){blockUntilDone},
 	})
-	h.until(t, func(h *heard) bool { return len(h.lists) == 1 && h.away[0] >= 50 })
+	h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 && h.away[0] >= 50 })
 }
 
-// What makes a feed read the whole list again: history that is gone, a watch
-// that fell silent, a failure, and somebody who has seen something newer.
+// Guards against missed changes: a feed reads the complete list again after dropped
+// history, a watch without a reply, a failed call, and a request.
 func TestListIsReadAgain(t *testing.T) {
 	for name, follow := range map[string]func(context.Context) (store.Changes, error){
-		"history gone": func(context.Context) (store.Changes, error) { return store.Changes{}, &store.HistoryError{Kind: "k"} },
-		"silent":       func(context.Context) (store.Changes, error) { return store.Changes{}, context.DeadlineExceeded },
-		"failure":      func(context.Context) (store.Changes, error) { return store.Changes{}, unavailable() },
+		"history dropped": func(context.Context) (store.Changes, error) { return store.Changes{}, &store.HistoryError{Kind: "k"} },
+		"silent":          func(context.Context) (store.Changes, error) { return store.Changes{}, context.DeadlineExceeded },
+		"failure":         func(context.Context) (store.Changes, error) { return store.Changes{}, unavailable() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, h := run(t, &script{
-				scans: []func() (store.Listing, error){listed(5, "k/a"), listed(8, "k/a", "k/b")}, follows: []func(context.Context) (store.Changes, error){follow, waits},
+				scans: []func() (store.Listing, error){listed(5, "k/a"), listed(8, "k/a", "k/b")}, follows: []func(context.Context) (store.Changes, error){follow, blockUntilDone},
 			})
-			h.until(t, func(h *heard) bool { return len(h.lists) == 2 && h.lists[1] == 2 })
+			h.waitFor(t, func(h *received) bool { return len(h.lists) == 2 && h.lists[1] == 2 })
 		})
 	}
-	t.Run("asked for", func(t *testing.T) {
+	t.Run("list requested", func(t *testing.T) {
 		f, h := run(t, &script{
-			scans: []func() (store.Listing, error){listed(5, "k/a"), listed(8, "k/a", "k/b")}, follows: []func(context.Context) (store.Changes, error){waits},
+			scans: []func() (store.Listing, error){listed(5, "k/a"), listed(8, "k/a", "k/b")}, follows: []func(context.Context) (store.Changes, error){blockUntilDone},
 		})
-		h.until(t, func(h *heard) bool { return len(h.lists) == 1 })
-		// That a peer has more proves nothing: the watch may be about to tell the same.
+		h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 })
+		// A peer with a newer state is no reason to read the list: the watch may be about
+		// to return the same changes.
 		assert.Assert(t, f.Confirm(wire.Seen{Kind: "k", Revision: 7, Changed: 7}, 1))
 		time.Sleep(20 * time.Millisecond)
-		h.until(t, func(h *heard) bool { return len(h.lists) == 1 })
+		h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 })
 		f.RequestList()
-		h.until(t, func(h *heard) bool { return len(h.lists) == 2 })
+		h.waitFor(t, func(h *received) bool { return len(h.lists) == 2 })
 		assert.Assert(t, !f.Confirm(wire.Seen{Kind: "k", Revision: 8, Changed: 8}, 1))
 	})
 }
 
-// The store is away, and a process follows several kinds of objects in it. Only
-// one feed asks for it; once that got an answer, all others go on at once.
-func TestOneFeedAsksWhileTheStoreIsAway(t *testing.T) {
-	var away atomic.Bool
-	away.Store(true)
+// Guards against calls of all feeds of a process during an outage of the store:
+// only one feed calls it, and once that gets an answer, all others continue.
+func TestOneFeedProbesDuringAnOutage(t *testing.T) {
+	var storeDown atomic.Bool
+	storeDown.Store(true)
 	var calls atomic.Int64
 	outage := feed.NewOutage()
 	const kinds = 4
 	done := make(chan struct{}, kinds)
-	found := make(chan struct{}, kinds)
+	lists := make(chan struct{}, kinds)
 	fake := clock.NewFake(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	for range kinds {
 		s := &store.Store{
 			ScanFunc: func(context.Context, string) (store.Listing, error) {
-				if away.Load() {
+				if storeDown.Load() {
 					calls.Add(1)
 					return store.Listing{}, unavailable()
 				}
 				return store.Listing{Revision: 1}, nil
 			},
 			FollowFunc: func(ctx context.Context, _ string, _ uint64, _ clock.Millis) (store.Changes, error) {
-				return waits(ctx)
+				return blockUntilDone(ctx)
 			},
 		}
 		f := feed.New("k", s, feed.WithClock(fake.Clock()), feed.WithOutage(outage),
-			feed.WithList(func([]store.Object, clock.Millis) { found <- struct{}{} }))
+			feed.WithList(func([]store.Object, clock.Millis) { lists <- struct{}{} }))
 		go func() { f.Run(ctx); done <- struct{}{} }()
 	}
-	advance := func(span clock.Millis) {
-		for range span / 10 {
+	advance := func(duration clock.Millis) {
+		for range duration / 10 {
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if fake.Waiting() >= kinds {
 					return poll.Success()
@@ -200,15 +201,15 @@
 	}
 	advance(1200)
 	assert.Assert(t, calls.Load() >= kinds && calls.Load() <= 2*kinds+4, "%d calls", calls.Load())
-	away.Store(false)
+	storeDown.Store(false)
 	for range 200 {
 		fake.Advance(10)
-		if len(found) == kinds {
+		if len(lists) == kinds {
 			break
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	assert.Equal(t, len(found), kinds)
+	assert.Equal(t, len(lists), kinds)
 	cancel()
 	for range kinds {
 		<-done
--- a/internal/serve/feed/outage.go
+++ b/internal/serve/feed/outage.go
@@ -7,58 +7,58 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Outage is shared by the feeds of one process: while the store is away, one of
-// them asks for it and the others wait for its word. Each call is paid for, also
-// one that is refused; four feeds of 29 processes that each ask by themselves
-// make 500 calls in the first eight seconds of an outage.
+// Outage is shared by the feeds of one process: during an outage of the store, one
+// of them, the prober, calls the store, and the others wait for its first answer.
+// Each call costs money, even one that the store refuses: without a prober, four
+// feeds in each of 29 processes make 500 calls in the first eight seconds of an
+// outage.
 type Outage struct {
 	mu sync.Mutex
-	// prober is the feed that asks, nil for none; found closes when it got an
-	// answer.
-	prober *Feed
-	found  chan struct{}
+	// prober is the feed that calls the store, nil without an outage; answered is
+	// closed when it gets an answer.
+	prober   *Feed
+	answered chan struct{}
 }
 
-// NewOutage returns what the feeds of a process share.
+// NewOutage returns the outage state for the feeds of one process.
 func NewOutage() *Outage { return &Outage{} }
 
-// lost notes that a feed got no answer. It returns nil if that feed is to ask
-// again, else what closes once another one got an answer.
-func (o *Outage) lost(f *Feed) <-chan struct{} {
+// recordFailure records that a call of a feed failed. It returns nil if that feed
+// is the prober and has to retry, otherwise a channel that is closed once the
+// prober gets an answer.
+func (o *Outage) recordFailure(f *Feed) <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.prober == nil {
-		o.prober, o.found = f, make(chan struct{})
+		o.prober, o.answered = f, make(chan struct{})
 	}
 	if o.prober == f {
 		return nil
 	}
-	return o.found
+	return o.answered
 }
 
-// answered notes that a feed got an answer.
-func (o *Outage) answered(f *Feed) {
+// recordAnswer records that a feed got an answer.
+func (o *Outage) recordAnswer(f *Feed) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.prober == f {
 		o.prober = nil
-		close(o.found)
+		close(o.answered)
 	}
 }
 
-// longestTrust is how long a feed waits for another one's word. A store may turn
-// away one kind of call and not the other, and a feed that asks may wait for its
-// answer for long.
-const longestTrust = 1500 * clock.Millis(1)
+// maxProberWait is the longest time that a feed waits for the prober. The store may
+// refuse only one type of call, and the call of the prober may take long.
+const maxProberWait = 1500 * clock.Millis(1)
 
-// waitForOther waits until the feed that asks got an answer, for longestTrust at
-// most.
-func (f *Feed) waitForOther(ctx context.Context, found <-chan struct{}) {
-	over, forget := f.clock.After(longestTrust)
-	defer forget()
+// waitForProber waits until the prober gets an answer, but at most maxProberWait.
+func (f *Feed) waitForProber(ctx context.Context, answered <-chan struct{}) {
+	expired, stopTimer := f.clock.After(maxProberWait)
+	defer stopTimer()
 	select {
-	case <-found:
-	case <-over:
+	case <-answered:
+	case <-expired:
 	case <-ctx.Done():
 	}
 }
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -10,29 +10,28 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// defaultMaxAge is how long after the store's last answer, as a peer relays it, a
-// feed goes without asking the store itself. Together with one call it stays
-// below the shortest time within which changes must be in force.
+// defaultMaxAge is the age up to which an answer of the store that a peer relays
+// replaces a call. Together with the time of one call it stays below the shortest
+// time within which changes must be in force.
 const defaultMaxAge = 1400 * clock.Millis(1)
 
-// state is what a feed knows.
+// state is a feed's copy of the objects, and its revision and age.
 type state struct {
-	// listed is set once the list was read, listDue while it has to be
-	// read again.
+	// listed is set once the list was read, listDue while it has to be read again.
 	listed  bool
 	listDue bool
-	// known is the revision up to which everything was read, changed that of the
-	// last change.
-	known   uint64
-	changed uint64
-	objects map[string]store.Object
-	// confirmed is when the store last confirmed it, to this process or to a peer that
-	// relayed it; relayed is the latter alone.
-	confirmed clock.Millis
-	relayed   clock.Millis
+	// revision is the revision up to which all changes were read, lastChange the
+	// revision of the last change.
+	revision   uint64
+	lastChange uint64
+	objects    map[string]store.Object
+	// confirmedAt is when the store last confirmed this state, to this process or to
+	// a peer that relayed it; relayedAt counts only the answers that a peer relayed.
+	confirmedAt clock.Millis
+	relayedAt   clock.Millis
 }
 
-// Kind returns the kind that is followed.
+// Kind returns the kind of objects that the feed follows.
 func (f *Feed) Kind() string { return f.kind }
 
 // Listed reports whether the list was read at least once.
@@ -53,48 +52,49 @@
 func (f *Feed) LastChange() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.changed
+	return f.state.lastChange
 }
 
 // Relayed reports whether a peer relays changes.
-func (f *Feed) Relayed() bool { return f.relayedLeft() > 0 }
+func (f *Feed) Relayed() bool { return f.relayTimeLeft() > 0 }
 
-// relayedLeft returns how long a peer's word still counts.
-func (f *Feed) relayedLeft() clock.Millis {
+// relayTimeLeft returns the time until the last relayed answer exceeds maxAge, in
+// milliseconds; it is not positive if no peer relays changes.
+func (f *Feed) relayTimeLeft() clock.Millis {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.state.listed || f.state.listDue || f.state.relayed == 0 {
+	if !f.state.listed || f.state.listDue || f.state.relayedAt == 0 {
 		return 0
 	}
-	return f.state.relayed + f.maxAge - f.clock.Now()
+	return f.state.relayedAt + f.maxAge - f.clock.Now()
 }
 
-// graceLeft returns how long a peer's word is still awaited after the store's
-// last one.
-func (f *Feed) graceLeft() clock.Millis {
-	grace := f.grace()
+// graceTimeLeft returns how long the feed still waits for a peer before it calls
+// the store, in milliseconds; it is not positive if it has to call now.
+func (f *Feed) graceTimeLeft() clock.Millis {
+	grace := f.relayGrace()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.state.listed || f.state.listDue || grace == 0 {
 		return 0
 	}
-	return f.state.confirmed + grace - f.clock.Now()
+	return f.state.confirmedAt + grace - f.clock.Now()
 }
 
-// awaitRelay returns when the list is asked for, or when no peer has confirmed for
-// a while what is known.
-func (f *Feed) awaitRelay(ctx context.Context) {
-	f.foundByRelay()
-	for left := f.relayedLeft(); left > 0; left = f.relayedLeft() {
-		over, forget := f.clock.After(left)
+// followRelay waits while a peer relays changes. It returns when the list is
+// requested or the last relayed answer exceeds maxAge.
+func (f *Feed) followRelay(ctx context.Context) {
+	f.recordRelayedAnswer()
+	for left := f.relayTimeLeft(); left > 0; left = f.relayTimeLeft() {
+		expired, stopTimer := f.clock.After(left)
 		select {
-		case <-over:
-		case <-f.relayed:
-		case <-f.wakeUp:
+		case <-expired:
+		case <-f.relayChanged:
+		case <-f.listRequested:
 			f.requireList()
 		case <-ctx.Done():
 		}
-		forget()
+		stopTimer()
 		if ctx.Err() != nil {
 			return
 		}
@@ -102,59 +102,59 @@
 	f.log.Info("peer relays no changes", "kind", f.kind, "ageMs", int64(f.maxAge))
 }
 
-// known returns the revision up to which everything was read, and whether
-// changes can be followed from there.
-func (f *Feed) known() (since uint64, current bool) {
+// knownRevision returns the revision up to which all changes were read, and whether
+// the feed can read changes from there without the list.
+func (f *Feed) knownRevision() (since uint64, listed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.known, f.state.listed && !f.state.listDue
+	return f.state.revision, f.state.listed && !f.state.listDue
 }
 
-// requireList has the whole list read again.
+// requireList makes Run read the complete list again.
 func (f *Feed) requireList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state.listDue, f.state.relayed = true, 0
+	f.state.listDue, f.state.relayedAt = true, 0
 }
 
-// foundByRelay notes that a peer has an answer of the store, while this process
-// may have had none.
-func (f *Feed) foundByRelay() {
-	f.backoff, f.away = 0, 0
-	f.outage.answered(f)
+// recordRelayedAnswer records that a peer relays answers of the store. That ends an
+// outage which this process may have detected.
+func (f *Feed) recordRelayedAnswer() {
+	f.backoff, f.lostFor = 0, 0
+	f.outage.recordAnswer(f)
 	f.down.Store(false)
-	if f.lost > 0 {
-		f.log.Info("platform found again through a peer", "kind", f.kind, "awayMs", int64(f.clock.Since(f.lost)))
-		f.lost = 0
+	if f.lostAt > 0 {
+		f.log.Info("platform found again through a peer", "kind", f.kind, "awayMs", int64(f.clock.Since(f.lostAt)))
+		f.lostAt = 0
 	}
 }
 
-// Progress returns how far the kind was followed.
+// Progress returns the revision up to which the kind was read, and its age.
 func (f *Feed) Progress() wire.Seen {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := wire.Seen{Kind: f.kind, Revision: f.state.known, Changed: min(f.state.changed, f.state.known)}
-	if !f.ageless {
-		seen.Age = max(f.clock.Now()-f.state.confirmed, 0)
+	progress := wire.Seen{Kind: f.kind, Revision: f.state.revision, Changed: min(f.state.lastChange, f.state.revision)}
+	if !f.hideAge {
+		progress.Age = max(f.clock.Now()-f.state.confirmedAt, 0)
 	}
-	return seen
+	return progress
 }
 
-// Snapshot returns all objects, nil before they were read.
+// Snapshot returns all objects, nil before the first read.
 func (f *Feed) Snapshot() *wire.Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.state.listed {
 		return nil
 	}
-	return f.whole(0)
+	return f.buildSnapshot(0)
 }
 
-// whole returns all objects; the caller holds the lock.
-func (f *Feed) whole(away clock.Millis) *wire.Update {
+// buildSnapshot returns all objects; the caller holds the lock.
+func (f *Feed) buildSnapshot(away clock.Millis) *wire.Update {
 	update := &wire.Update{
-		Kind: f.kind, Revision: f.state.known, Changed: f.state.changed, Whole: true, Away: away,
-		Age: max(f.clock.Now()-f.state.confirmed, 0),
+		Kind: f.kind, Revision: f.state.revision, Changed: f.state.lastChange, Whole: true, Away: away,
+		Age: max(f.clock.Now()-f.state.confirmedAt, 0),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.state.objects)) {
 		object := f.state.objects[name]
@@ -163,75 +163,76 @@
 	return update
 }
 
-// takeList takes the whole list as of a revision.
-func (f *Feed) takeList(objects []store.Object, revision, changed uint64, away, at clock.Millis) {
+// applyList replaces all objects by the list of a revision. It ignores a list that
+// is not newer, unless a list is required.
+func (f *Feed) applyList(objects []store.Object, revision, changed uint64, away, at clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &f.state
-	due := s.listDue || !s.listed
+	required := s.listDue || !s.listed
 	s.listDue = false
-	s.confirmed = max(s.confirmed, at)
-	if s.listed && (revision < s.known || (revision == s.known && !due)) {
-		return // known from elsewhere
+	s.confirmedAt = max(s.confirmedAt, at)
+	if s.listed && (revision < s.revision || (revision == s.revision && !required)) {
+		return // already known through a relay or a call
 	}
-	s.listed, s.known, s.changed = true, revision, changed
+	s.listed, s.revision, s.lastChange = true, revision, changed
 	s.objects = make(map[string]store.Object, len(objects))
 	for _, object := range objects {
 		s.objects[object.Name] = object
 	}
 	f.listFunc(objects, away)
-	f.forwardFunc(f.whole(away))
+	f.forwardFunc(f.buildSnapshot(away))
 }
 
-// takeChanges takes the changes between two revisions and returns the revision
-// that is known now. It leaves out those that are known already.
-func (f *Feed) takeChanges(changes []store.Change, since, revision uint64, at clock.Millis) uint64 {
+// applyChanges applies the changes between two revisions and returns the revision
+// of the state after that. It skips changes that were applied before.
+func (f *Feed) applyChanges(changes []store.Change, since, revision uint64, at clock.Millis) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &f.state
-	s.confirmed = max(s.confirmed, at)
-	if revision <= s.known {
-		return s.known
+	s.confirmedAt = max(s.confirmedAt, at)
+	if revision <= s.revision {
+		return s.revision
 	}
-	fresh := slices.DeleteFunc(slices.Clone(changes), func(change store.Change) bool { return f.isOld(change, since) })
-	s.known = revision
-	if len(fresh) == 0 {
-		return s.known
+	unseen := slices.DeleteFunc(slices.Clone(changes), func(change store.Change) bool { return f.isOld(change, since) })
+	s.revision = revision
+	if len(unseen) == 0 {
+		return s.revision
 	}
-	s.changed = revision
-	for _, change := range fresh {
+	s.lastChange = revision
+	for _, change := range unseen {
 		if change.Deleted {
 			delete(s.objects, change.Object.Name)
 			continue
 		}
 		s.objects[change.Object.Name] = change.Object
 	}
-	f.changeFunc(fresh)
-	f.forwardFunc(f.update(fresh, since))
-	return s.known
+	f.changeFunc(unseen)
+	f.forwardFunc(f.buildUpdate(unseen, since))
+	return s.revision
 }
 
-// isOld reports whether a change was known before, where changes overlap with
-// what was read another way. The caller holds the lock.
+// isOld reports whether a change was applied before. That happens when changes
+// from a peer and from the store overlap. The caller holds the lock.
 func (f *Feed) isOld(change store.Change, since uint64) bool {
-	if since == f.state.known {
+	if since == f.state.revision {
 		return false
 	}
-	held, found := f.state.objects[change.Object.Name]
+	current, found := f.state.objects[change.Object.Name]
 	if change.Deleted {
-		return !found || held.Version > change.Object.Version
+		return !found || current.Version > change.Object.Version
 	}
 	if found {
-		return held.Version >= change.Object.Version
+		return current.Version >= change.Object.Version
 	}
-	return change.Object.Version <= f.state.known
+	return change.Object.Version <= f.state.revision
 }
 
-// update returns a message of changes; the caller holds the lock.
-func (f *Feed) update(changes []store.Change, since uint64) *wire.Update {
+// buildUpdate returns a message of changes; the caller holds the lock.
+func (f *Feed) buildUpdate(changes []store.Change, since uint64) *wire.Update {
 	update := &wire.Update{
-		Kind: f.kind, Since: since, Revision: f.state.known, Changed: f.state.changed,
-		Age: max(f.clock.Now()-f.state.confirmed, 0),
+		Kind: f.kind, Since: since, Revision: f.state.revision, Changed: f.state.lastChange,
+		Age: max(f.clock.Now()-f.state.confirmedAt, 0),
 	}
 	for _, change := range changes {
 		update.Objects = append(update.Objects, storedOf(change.Object, change.Deleted))
@@ -239,62 +240,63 @@
 	return update
 }
 
-// Apply takes what a peer relays, and reports whether changes before it are
-// missing.
+// Apply applies a snapshot or changes that a peer relays. It reports whether
+// earlier changes are missing; then it applies nothing.
 func (f *Feed) Apply(update *wire.Update, now clock.Millis) (missing bool) {
 	at := now - update.Age
 	if update.Whole {
-		f.takeList(objectsOf(update), update.Revision, update.Changed, update.Away, at)
+		f.applyList(objectsOf(update), update.Revision, update.Changed, update.Away, at)
 	} else {
-		if known, current := f.known(); !current || update.Since > known {
+		if known, listed := f.knownRevision(); !listed || update.Since > known {
 			return true
 		}
-		f.takeChanges(changesOf(update), update.Since, update.Revision, at)
+		f.applyChanges(changesOf(update), update.Since, update.Revision, at)
 	}
-	f.relayedAt(at)
+	f.recordRelay(at)
 	return false
 }
 
-// Confirm takes how far a peer has followed the kind, as of an instant, and
-// reports whether this feed lacks changes that the peer has.
+// Confirm takes the progress of a peer as of an instant. It reports whether this
+// feed lacks changes that the peer has; then the progress is ignored.
 func (f *Feed) Confirm(seen wire.Seen, now clock.Millis) (missing bool) {
 	f.mu.Lock()
-	if f.state.known < seen.Changed || !f.state.listed {
+	if f.state.revision < seen.Changed || !f.state.listed {
 		f.mu.Unlock()
 		return true
 	}
-	f.state.known, f.state.listDue = max(f.state.known, seen.Revision), false
+	f.state.revision, f.state.listDue = max(f.state.revision, seen.Revision), false
 	f.mu.Unlock()
-	f.relayedAt(now - seen.Age)
+	f.recordRelay(now - seen.Age)
 	return false
 }
 
-// EndRelay has the store asked at once: no peer is followed any more.
+// EndRelay makes Run call the store at once, because no peer relays changes any
+// more.
 func (f *Feed) EndRelay() {
 	f.mu.Lock()
-	f.state.relayed = 0
+	f.state.relayedAt = 0
 	f.mu.Unlock()
-	f.nudge()
+	f.wakeRun()
 }
 
-// nudge has Run look again whether a peer relays changes.
-func (f *Feed) nudge() {
+// wakeRun makes Run check again whether a peer relays changes.
+func (f *Feed) wakeRun() {
 	select {
-	case f.relayed <- struct{}{}:
+	case f.relayChanged <- struct{}{}:
 	default:
 	}
 }
 
-// relayedAt notes that a peer relays the store's state as of an instant.
-func (f *Feed) relayedAt(at clock.Millis) {
-	before := f.Relayed()
+// recordRelay records that a peer relayed an answer of the store as of an instant.
+func (f *Feed) recordRelay(at clock.Millis) {
+	wasRelayed := f.Relayed()
 	f.mu.Lock()
-	f.state.relayed = max(f.state.relayed, at)
-	f.state.confirmed = max(f.state.confirmed, at)
+	f.state.relayedAt = max(f.state.relayedAt, at)
+	f.state.confirmedAt = max(f.state.confirmedAt, at)
 	f.mu.Unlock()
-	if !before && f.Relayed() {
+	if !wasRelayed && f.Relayed() {
 		f.log.Info("changes relayed by a peer", "kind", f.kind, "ageMs", int64(f.clock.Now()-at))
-		f.nudge()
+		f.wakeRun()
 	}
 }
 
