--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -110,7 +110,7 @@
 	t.Load.AddPrompt(l.prefill, g.readRates.get(req.pool.Name).TokensPerMs(), l.sentAt)
 	t.Load.Memory.Add(l.memory)
 	if l.prefill >= longPrompt {
-		g.mesh.Tell()
+		g.mesh.ReportNow()
 	}
 	return l
 }
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -106,7 +106,7 @@
 	}
 	q := reach.Merge(shards)
 	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.Room
-	q.PendingArrivals = inflow.AddClasses(g.arrivals.PoolPieces(name, g.Clock.Now()), g.mesh.Inflow(name))
+	q.PendingArrivals = inflow.AddClasses(g.arrivals.PoolPieces(name, g.Clock.Now()), g.mesh.PendingArrivals(name))
 	return q
 }
 
@@ -131,7 +131,7 @@
 		load, known = g.host.Load(shard.Name)
 		return load, 0, known
 	}
-	return g.mesh.Pool(shard.Name)
+	return g.mesh.PoolLoad(shard.Name)
 }
 
 // ownerOf returns the process that owns a shard, or a pool that is not divided into shards.
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -224,7 +224,7 @@
 
 func (g *Gate) sendToOwner(ctx context.Context, pieces *wire.Pieces, inputsRead func()) (*wire.Made, error) {
 	if to := g.ownerOf(pieces.Pool); to != g.mesh.Self() {
-		return g.mesh.Ask(ctx, to, pieces, inputsRead)
+		return g.mesh.RequestPieces(ctx, to, pieces, inputsRead)
 	}
 	answer := make(chan host.Outcome, 1)
 	job := g.host.Submit(pieces, inputsRead, func(outcome host.Outcome) { answer <- outcome })
@@ -276,7 +276,7 @@
 	}
 	for pool, unused := range byPool {
 		if to := g.ownerOf(pool); to != g.mesh.Self() {
-			g.mesh.GiveBack(to, unused)
+			g.mesh.FreeResults(to, unused)
 			continue
 		}
 		g.host.MarkUnused(unused)
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -78,7 +78,7 @@
 // startOwningIfReady lets this process own pools once it has read routes and endpoints.
 func (g *Gateway) startOwningIfReady() {
 	if g.gate.Ready() {
-		g.mesh.Open()
+		g.mesh.StartOwning()
 	}
 }
 
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -127,19 +127,19 @@
 		return nil
 	}
 	return mesh.Follower{
-		SeenFunc: func() []wire.Seen {
+		ProgressFunc: func() []wire.Seen {
 			var seen []wire.Seen
 			for _, f := range g.feeds.all() {
-				seen = append(seen, f.Seen())
+				seen = append(seen, f.Progress())
 			}
 			return seen
 		},
-		WholeFunc: func(kind string) (whole *wire.Update) {
-			withFeed(kind, func(f *feed.Feed) bool { whole = f.Whole(); return false })
+		SnapshotFunc: func(kind string) (whole *wire.Update) {
+			withFeed(kind, func(f *feed.Feed) bool { whole = f.Snapshot(); return false })
 			return whole
 		},
-		TakeFunc: func(update *wire.Update, now clock.Millis) []string {
-			return withFeed(update.Kind, func(f *feed.Feed) bool { return f.Take(update, now) })
+		ApplyFunc: func(update *wire.Update, now clock.Millis) []string {
+			return withFeed(update.Kind, func(f *feed.Feed) bool { return f.Apply(update, now) })
 		},
 		ConfirmFunc: func(seen []wire.Seen, now clock.Millis) []string {
 			var missing []string
@@ -148,12 +148,12 @@
 			}
 			return missing
 		},
-		Fresh:    clock.Millis(upstreamAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
-		Lost:     clock.Millis(watcherAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
-		DownFunc: func() bool { return slices.ContainsFunc(g.feeds.all(), (*feed.Feed).Down) },
-		AloneFunc: func() {
+		MaxPeerAge:    clock.Millis(upstreamAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		MaxWatcherAge: clock.Millis(watcherAgeShare * float64(min(g.ChangeWithin, g.LeaveWithin))),
+		DownFunc:      func() bool { return slices.ContainsFunc(g.feeds.all(), (*feed.Feed).Down) },
+		NoUpstreamFunc: func() {
 			for _, f := range g.feeds.all() {
-				f.Alone()
+				f.EndRelay()
 			}
 		},
 	}
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -164,7 +164,7 @@
 		deploy.WithPools(g.knowsPool, g.isRepeatable),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
-			UpToDateFunc: func() bool { return g.mesh.InTouch() },
+			UpToDateFunc: func() bool { return g.mesh.ReceivesReports() },
 		}))
 }
 
@@ -191,7 +191,7 @@
 func (g *Gateway) SessionHandler() http.Handler { return g.mesh.Handler() }
 
 // Alive returns the names of the processes that this one can reach.
-func (g *Gateway) Alive() []string { return g.mesh.Alive() }
+func (g *Gateway) Alive() []string { return g.mesh.LiveProcesses() }
 
 // Owner returns the name of the process that owns a subject, as computed from the
 // processes that this one can reach.
@@ -218,7 +218,7 @@
 // one usually arrives without a call.
 func (g *Gateway) refreshConfig() {
 	if !g.feeds.config.Relayed() {
-		g.feeds.config.Again()
+		g.feeds.config.RequestList()
 	}
 }
 
@@ -232,18 +232,18 @@
 		own := []feed.Option{
 			feed.WithMaxAge(clock.Millis(maxAgeShare * float64(limit))),
 			feed.WithWait(func() clock.Millis { return randomWatchWait(wait, rand.Float64()) }),
-			feed.WithPeers(func() clock.Millis { return g.relayTimeout(wait) }, g.firstListDelay),
+			feed.WithPeerWait(func() clock.Millis { return g.relayTimeout(wait) }, g.firstListDelay),
 		}
 		return feed.New(kind, g.Store, slices.Concat(common, own, more)...)
 	}
 	pause := clock.Millis(readPauseShare * float64(g.LeaveWithin))
 	g.feeds.config = newFeed(g.Dialect.ConfigKind, g.ChangeWithin, feed.WithList(g.onConfigList), feed.WithChanges(g.onConfigChanges))
-	g.feeds.endpoints = newFeed(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithRest(func() clock.Millis { return pause }),
+	g.feeds.endpoints = newFeed(g.Dialect.EndpointKind, g.LeaveWithin, feed.WithPause(func() clock.Millis { return pause }),
 		feed.WithList(g.onEndpointList), feed.WithChanges(g.onEndpointChanges))
 	zones := newNames(func(names []string) { g.setEvacuated(names) })
 	g.feeds.evacuated = newFeed(g.Dialect.EvacuatedKind, g.ChangeWithin, feed.WithList(zones.onList), feed.WithChanges(zones.onChanges))
 	members := newMembers(g.setMembers)
-	g.feeds.members = newFeed(g.Dialect.MemberKind, g.ChangeWithin, feed.WithRest(func() clock.Millis { return memberReadPause }),
+	g.feeds.members = newFeed(g.Dialect.MemberKind, g.ChangeWithin, feed.WithPause(func() clock.Millis { return memberReadPause }),
 		feed.WithList(members.onList), feed.WithChanges(members.onChanges))
 	quarantines := newQuarantines(g.gate.SetQuarantines)
 	g.feeds.quarantines = newFeed(g.Dialect.QuarantineKind, quarantineChangeWithin, feed.WithoutAge(),
@@ -305,7 +305,7 @@
 	switch {
 	case g.Clock.Since(g.startedAt) < startupTime:
 		return startupPeerWait
-	case g.mesh.Watches():
+	case g.mesh.IsWatcher():
 		return 0
 	}
 	return wait
@@ -321,7 +321,7 @@
 	}
 	for start := g.Clock.Now(); g.Clock.Since(start) < firstPeerWait; {
 		if g.feeds.members.Listed() {
-			if g.mesh.Relays() {
+			if g.mesh.MayRelay() {
 				return 0
 			}
 			return firstPeerWait - g.Clock.Since(start)
@@ -336,7 +336,7 @@
 // longestStoreBackoff returns the longest pause after a failed call to the store. It
 // is short for watchers, because all others read changes through them.
 func (g *Gateway) longestStoreBackoff() clock.Millis {
-	if g.mesh.Watches() {
+	if g.mesh.IsWatcher() {
 		return minLongestBackoff
 	}
 	return min(max(backoffPerProcess*clock.Millis(g.mesh.Count()), minLongestBackoff), maxLongestBackoff)
@@ -377,7 +377,7 @@
 // here.
 func (g *Gateway) StartDrain() {
 	g.gate.StartDrain()
-	g.mesh.Leave()
+	g.mesh.StopOwning()
 	g.host.Retire()
 }
 
