--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -226,17 +226,17 @@
 	if err != nil {
 		return Waited{Release: release}, err
 	}
-	var last []apply.InForce
+	var last []apply.ProcessRelease
 	ask := c.Fleet.InForce(hosts, release)
-	err = c.Operator.WaitInForce(ctx, release, limit, func(ctx context.Context) []apply.InForce {
+	err = c.Operator.WaitInForce(ctx, release, limit, func(ctx context.Context) []apply.ProcessRelease {
 		last = ask(ctx)
 		return seen(last)
 	})
 	return waited(release, last), err
 }
 
-func seen(answers []apply.InForce) []apply.InForce {
-	var out []apply.InForce
+func seen(answers []apply.ProcessRelease) []apply.ProcessRelease {
+	var out []apply.ProcessRelease
 	for _, answer := range answers {
 		if answer.Cause == nil {
 			out = append(out, answer)
@@ -245,7 +245,7 @@
 	return out
 }
 
-func waited(release uint64, answers []apply.InForce) Waited {
+func waited(release uint64, answers []apply.ProcessRelease) Waited {
 	out := Waited{Release: release}
 	for _, answer := range answers {
 		switch {
--- a/internal/cli/zones/zones.go
+++ b/internal/cli/zones/zones.go
@@ -110,7 +110,7 @@
 	if host.State == store.HostLeaving || config.Head.ZoneState(host.AvailabilityZone) == head.ZoneLeft {
 		return true
 	}
-	if config.Head.EndpointLeft(host.Pool, host.Endpoint) {
+	if config.Head.EndpointDisabled(host.Pool, host.Endpoint) {
 		return true
 	}
 	for i := range config.Manifest.Pools {
--- a/internal/cli/zones/zones_test.go
+++ b/internal/cli/zones/zones_test.go
@@ -90,9 +90,9 @@
 	var done reach.Done
 	d.Run(t, zones.NewEndpoint, "endpoint", "leave", "engines", "engine-0", "--output=json").JSON(t, &done)
 	assert.Assert(t, done.Changed)
-	assert.Assert(t, d.Head(t).EndpointLeft("engines", "engine-0"))
+	assert.Assert(t, d.Head(t).EndpointDisabled("engines", "engine-0"))
 	assert.Equal(t, d.Run(t, zones.NewEndpoint, "endpoint", "return", "engines", "engine-0").Code, exit.OK)
-	assert.Assert(t, !d.Head(t).EndpointLeft("engines", "engine-0"))
+	assert.Assert(t, !d.Head(t).EndpointDisabled("engines", "engine-0"))
 }
 
 func TestZonesAreCompleted(t *testing.T) {
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -145,7 +145,7 @@
 	assert.Assert(t, next > result.Head.Release)
 	assert.NilError(t, system.WaitInForce(next))
 	watch.stop()
-	assert.Assert(t, system.Fronts[0].Holder.Current().ZoneHasLeft("za"))
+	assert.Assert(t, system.Fronts[0].Holder.Current().ZoneEvacuated("za"))
 }
 
 // The platform goes down, and hosts are replaced while it is: an entry and
@@ -219,7 +219,7 @@
 	assert.NilError(t, left)
 	assert.NilError(t, system.WaitInForce(3))
 	current := system.Fronts[0].Holder.Current()
-	assert.Assert(t, current.ZoneHasLeft("zb"))
+	assert.Assert(t, current.ZoneEvacuated("zb"))
 	assert.Equal(t, current.Organisation("demo").Weight, 9)
 }
 
--- a/internal/ops/fleet/fleet.go
+++ b/internal/ops/fleet/fleet.go
@@ -133,9 +133,9 @@
 
 // InForce asks the hosts which release they have in force. A host that has the
 // release once is not asked again, because a release never goes back.
-func (f *Fleet) InForce(hosts []store.Host, release uint64) func(context.Context) []apply.InForce {
-	known := make([]apply.InForce, len(hosts))
-	return func(ctx context.Context) []apply.InForce {
+func (f *Fleet) InForce(hosts []store.Host, release uint64) func(context.Context) []apply.ProcessRelease {
+	known := make([]apply.ProcessRelease, len(hosts))
+	return func(ctx context.Context) []apply.ProcessRelease {
 		var ask []store.Host
 		var at []int
 		for i := range hosts {
@@ -144,7 +144,7 @@
 			}
 		}
 		for i, answer := range f.Ask(ctx, ask) {
-			known[at[i]] = apply.InForce{Process: answer.Host.Name, Release: answer.Status.Release, Cause: answer.Cause}
+			known[at[i]] = apply.ProcessRelease{Process: answer.Host.Name, Release: answer.Status.Release, Cause: answer.Cause}
 		}
 		return known
 	}
--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -253,9 +253,9 @@
 		return
 	}
 	a.log.Debug("session open", "peer", s.Peer().Process)
-	a.shared.Opened(s)
+	a.shared.SessionOpened(s)
 	<-s.Done()
-	a.shared.Closed(s)
+	a.shared.SessionClosed(s)
 }
 
 // refusesSession returns why no session is taken now, or nothing. A process that
@@ -352,7 +352,7 @@
 }
 
 func (a *Agent) take(s *sess.Session, frame *wire.Frame) {
-	if a.shared.Take(s, frame) {
+	if a.shared.HandleFrame(s, frame) {
 		return
 	}
 	a.mu.Lock()
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -64,7 +64,7 @@
 // follow takes in what is shared: a new release, and the reasons to take no new
 // work that lie in it and in the reach of this process. The lock is held.
 func (a *Agent) follow(now clock.Millis) {
-	reason, _ := a.shared.Refuses()
+	reason, _ := a.shared.RefusalReason()
 	switch {
 	case reason == fault.Isolated:
 		a.cutOff = now
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -69,8 +69,8 @@
 	e.sharing.held = make(map[string]string)
 	e.gate = e.refuseIsolated
 	return []peers.Option{
-		peers.WithOpened(n.Opened), peers.WithClosed(n.Closed), peers.WithNewer(n.Newer),
-		peers.WithOther(n.Other), peers.WithSession(sess.WithOutside(n.Outside)),
+		peers.WithOpened(n.SessionOpened), peers.WithClosed(n.SessionClosed), peers.WithNewer(n.NewerRelease),
+		peers.WithOther(n.HandleFrame), peers.WithSession(sess.WithOutside(n.Outside)),
 	}
 }
 
@@ -78,7 +78,7 @@
 // was taken out is no reason here: the balancer lags, and the entry goes on to
 // run what still comes at endpoints in other zones.
 func (e *Entry) refuseIsolated() *fault.RefusalError {
-	if reason, refuses := e.sharing.node.Refuses(); refuses && reason != fault.ZoneLeft {
+	if reason, refuses := e.sharing.node.RefusalReason(); refuses && reason != fault.ZoneLeft {
 		return fault.Refuse(reason, "this process takes no new work")
 	}
 	return nil
@@ -87,7 +87,7 @@
 // zoneLeft reports that operators took this process's availability zone out.
 func (e *Entry) zoneLeft() bool {
 	release := e.holder.Current()
-	return release != nil && release.ZoneHasLeft(e.settings.AvailabilityZone)
+	return release != nil && release.ZoneEvacuated(e.settings.AvailabilityZone)
 }
 
 // hold takes in which endpoints of a pool this entry holds sessions to.
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -270,8 +270,8 @@
 		if release == nil {
 			return
 		}
-		member.Apply(pool.ExcludeZone, func(i pool.Identity) bool { return release.ZoneHasLeft(i.AvailabilityZone) })
-		member.Apply(pool.ExcludeDisabled, func(i pool.Identity) bool { return release.EndpointHasLeft(i.Pool, i.Name) })
+		member.Apply(pool.ExcludeZone, func(i pool.Identity) bool { return release.ZoneEvacuated(i.AvailabilityZone) })
+		member.Apply(pool.ExcludeDisabled, func(i pool.Identity) bool { return release.EndpointDisabled(i.Pool, i.Name) })
 		if p.holder.Current() == release {
 			return
 		}
--- a/internal/share/apply/query.go
+++ b/internal/share/apply/query.go
@@ -42,8 +42,8 @@
 	return heads, nil
 }
 
-// InForce is what one daemon says of the configuration it runs on.
-type InForce struct {
+// ProcessRelease is what one daemon says of the configuration it runs on.
+type ProcessRelease struct {
 	Process string
 	Release uint64
 	// Cause says why the daemon could not be asked.
@@ -53,7 +53,7 @@
 // NotInForceError says which daemons don't have the release yet.
 type NotInForceError struct {
 	Release uint64
-	Behind  []InForce
+	Behind  []ProcessRelease
 }
 
 // Error implements error.
@@ -71,7 +71,7 @@
 // WaitInForce asks the daemons until all that answer have the release in
 // force, at most for limit. It fails with NotInForceError, also when no daemon
 // answers at all.
-func (o *Operator) WaitInForce(ctx context.Context, release uint64, limit clock.Millis, ask func(context.Context) []InForce) error {
+func (o *Operator) WaitInForce(ctx context.Context, release uint64, limit clock.Millis, ask func(context.Context) []ProcessRelease) error {
 	end := o.clock.Now() + limit
 	for {
 		answers := ask(ctx)
@@ -88,8 +88,8 @@
 	}
 }
 
-func behindOf(answers []InForce, release uint64) []InForce {
-	var behind []InForce
+func behindOf(answers []ProcessRelease, release uint64) []ProcessRelease {
+	var behind []ProcessRelease
 	for _, answer := range answers {
 		if answer.Release < release {
 			behind = append(behind, answer)
--- a/internal/share/apply/zone.go
+++ b/internal/share/apply/zone.go
@@ -92,7 +92,7 @@
 		action:   action,
 		subject:  pool + "/" + endpoint,
 		collides: func(*head.Head) bool { return false },
-		done:     func(now *head.Head) bool { return now.EndpointLeft(pool, endpoint) == left },
+		done:     func(now *head.Head) bool { return now.EndpointDisabled(pool, endpoint) == left },
 		edit: func(next *head.Head) {
 			next.SetEndpoint(head.Endpoint{
 				Pool: pool, Endpoint: endpoint, ChangedBy: change.Who, Reason: change.Reason,
--- a/internal/share/avail/avail_test.go
+++ b/internal/share/avail/avail_test.go
@@ -28,27 +28,27 @@
 	cases := []struct {
 		name     string
 		zones    int
-		hear     func(*avail.Reach, clock.Millis)
+		hear     func(*avail.Contact, clock.Millis)
 		isolated bool
 	}{
-		{"nothing is heard", 3, func(*avail.Reach, clock.Millis) {}, true},
-		{"only peers of the own zone are heard", 3, func(r *avail.Reach, now clock.Millis) { r.Heard("za", now) }, true},
-		{"a peer outside is heard, the platform is down", 3, func(r *avail.Reach, now clock.Millis) { r.Heard("zb", now) }, false},
-		{"the platform is heard, no peer is", 3, func(r *avail.Reach, now clock.Millis) { r.Platform(now) }, false},
-		{"a peer of the own zone hears from outside", 3, func(r *avail.Reach, _ clock.Millis) { r.Vouched(100) }, false},
-		{"a peer of the own zone heard from outside long ago", 3, func(r *avail.Reach, _ clock.Millis) { r.Vouched(5000) }, true},
-		{"there is only one zone", 1, func(*avail.Reach, clock.Millis) {}, false},
+		{"nothing is heard", 3, func(*avail.Contact, clock.Millis) {}, true},
+		{"only peers of the own zone are heard", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPeer("za", now) }, true},
+		{"a peer outside is heard, the platform is down", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPeer("zb", now) }, false},
+		{"the platform is heard, no peer is", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPlatform(now) }, false},
+		{"a peer of the own zone hears from outside", 3, func(r *avail.Contact, _ clock.Millis) { r.RecordIndirect(100) }, false},
+		{"a peer of the own zone heard from outside long ago", 3, func(r *avail.Contact, _ clock.Millis) { r.RecordIndirect(5000) }, true},
+		{"there is only one zone", 1, func(*avail.Contact, clock.Millis) {}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			fake := clock.NewFake(1)
-			reach := avail.NewReach(fake.Clock(), "za")
+			reach := avail.NewContact(fake.Clock(), "za")
 			for range 60 {
 				fake.Advance(100)
 				c.hear(reach, fake.Clock().Now())
 			}
 			assert.Equal(t, reach.Isolated(c.zones), c.isolated)
-			reason, refuses := avail.Place{AvailabilityZone: "za"}.Refuses(release(c.zones), reach)
+			reason, refuses := avail.Place{AvailabilityZone: "za"}.RefusalReason(release(c.zones), reach)
 			assert.Equal(t, refuses, c.isolated)
 			if refuses {
 				assert.Equal(t, reason, fault.Isolated)
@@ -74,7 +74,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, _ := c.place.Refuses(c.release, nil)
+			got, _ := c.place.RefusalReason(c.release, nil)
 			assert.Equal(t, got, c.want)
 		})
 	}
--- a/internal/share/avail/place.go
+++ b/internal/share/avail/place.go
@@ -12,16 +12,16 @@
 	Endpoint         string
 }
 
-// Refuses returns the reason why a process at this place takes no new work
+// RefusalReason returns the reason why a process at this place takes no new work
 // now; false when it takes work. Running work is never touched by it.
-func (p Place) Refuses(release *spread.Release, reach *Reach) (fault.Reason, bool) {
+func (p Place) RefusalReason(release *spread.Release, reach *Contact) (fault.Reason, bool) {
 	if release == nil {
 		return fault.NotReady, true
 	}
-	if release.ZoneHasLeft(p.AvailabilityZone) {
+	if release.ZoneEvacuated(p.AvailabilityZone) {
 		return fault.ZoneLeft, true
 	}
-	if p.Endpoint != "" && release.EndpointHasLeft(p.Pool, p.Endpoint) {
+	if p.Endpoint != "" && release.EndpointDisabled(p.Pool, p.Endpoint) {
 		return fault.Leaving, true
 	}
 	if reach != nil && reach.Isolated(len(release.Manifest.AvailabilityZones)) {
--- a/internal/share/avail/reach.go
+++ b/internal/share/avail/reach.go
@@ -19,40 +19,40 @@
 	CheckEvery = 250 * clock.Millis(1)
 )
 
-// Reach knows when this process last heard from anywhere outside its own
+// Contact knows when this process last heard from anywhere outside its own
 // availability zone. A process that hears from nowhere can't know that its
 // zone was taken out, so it takes no new work; one that merely lost the
 // platform still hears from peers in other zones and goes on.
-type Reach struct {
+type Contact struct {
 	clock *clock.Clock
 	zone  string
 	last  atomic.Int64
 }
 
-// NewReach returns the reach of a process in a zone. It counts as reached at
+// NewContact returns the reach of a process in a zone. It counts as reached at
 // its start: it isn't ready before it has a configuration anyway.
-func NewReach(c *clock.Clock, zone string) *Reach {
-	r := &Reach{clock: c, zone: zone}
+func NewContact(c *clock.Clock, zone string) *Contact {
+	r := &Contact{clock: c, zone: zone}
 	r.last.Store(int64(c.Now()))
 	return r
 }
 
-// Heard notes a message that a process in a zone sent, as of an instant.
-func (r *Reach) Heard(zone string, at clock.Millis) {
+// RecordPeer notes a message that a process in a zone sent, as of an instant.
+func (r *Contact) RecordPeer(zone string, at clock.Millis) {
 	if zone != "" && zone != r.zone {
 		r.advance(at)
 	}
 }
 
-// Platform notes an answer of the platform as of an instant.
-func (r *Reach) Platform(at clock.Millis) { r.advance(at) }
+// RecordPlatform notes an answer of the platform as of an instant.
+func (r *Contact) RecordPlatform(at clock.Millis) { r.advance(at) }
 
-// Vouched notes that a peer heard from outside this long before. A peer in the
+// RecordIndirect notes that a peer heard from outside this long before. A peer in the
 // same zone that still reaches other zones would also hear that the zone was
 // taken out, and pass it on.
-func (r *Reach) Vouched(age clock.Millis) { r.advance(r.clock.Now() - age) }
+func (r *Contact) RecordIndirect(age clock.Millis) { r.advance(r.clock.Now() - age) }
 
-func (r *Reach) advance(at clock.Millis) {
+func (r *Contact) advance(at clock.Millis) {
 	for {
 		last := r.last.Load()
 		if int64(at) <= last || r.last.CompareAndSwap(last, int64(at)) {
@@ -62,11 +62,11 @@
 }
 
 // Age returns how long nothing was heard from outside the zone.
-func (r *Reach) Age() clock.Millis { return max(0, r.clock.Since(clock.Millis(r.last.Load()))) }
+func (r *Contact) Age() clock.Millis { return max(0, r.clock.Since(clock.Millis(r.last.Load()))) }
 
-// Probe reports that it is time to ask peers outside and the platform.
-func (r *Reach) Probe() bool { return r.Age() >= probeAfter }
+// ProbeDue reports that it is time to ask peers outside and the platform.
+func (r *Contact) ProbeDue() bool { return r.Age() >= probeAfter }
 
 // Isolated reports that new work must be refused. In a deployment of one zone
 // there is no outside, and nothing to hear about.
-func (r *Reach) Isolated(zones int) bool { return zones > 1 && r.Age() >= isolateAfter }
+func (r *Contact) Isolated(zones int) bool { return zones > 1 && r.Age() >= isolateAfter }
--- a/internal/share/head/head.go
+++ b/internal/share/head/head.go
@@ -204,8 +204,8 @@
 	h.Zones = kept
 }
 
-// EndpointLeft reports whether an operator took the endpoint out.
-func (h *Head) EndpointLeft(pool, endpoint string) bool {
+// EndpointDisabled reports whether an operator took the endpoint out.
+func (h *Head) EndpointDisabled(pool, endpoint string) bool {
 	return slices.ContainsFunc(h.LeftEndpoints, func(e Endpoint) bool {
 		return e.Pool == pool && e.Endpoint == endpoint
 	})
--- a/internal/share/node/agent.go
+++ b/internal/share/node/agent.go
@@ -20,14 +20,14 @@
 // NewAgent returns the sharing of an agent at a place.
 func NewAgent(place avail.Place, holder *spread.Holder, opts ...Option) *Agent {
 	a := &Agent{base: newBase(collect(opts), place, holder), part: spread.NewPartHolder(holder)}
-	a.catch = peer.NewCatcher(a.clock, holder.Number, a.learn, nil)
-	a.peers = peer.New(holder.Number, peer.WithBehind(a.catch.Behind), peer.WithBeat(a.beat))
+	a.catch = peer.NewSyncer(a.clock, holder.Number, a.learn, nil)
+	a.peers = peer.New(holder.Number, peer.WithNewerRelease(a.catch.NewerRelease), peer.WithBeat(a.beat))
 	return a
 }
 
 func (a *Agent) learn(ctx context.Context, s *sess.Session) error {
 	before := a.holder.Number()
-	err := a.peers.Part(ctx, s, a.place.Pool, a.part)
+	err := a.peers.FetchPart(ctx, s, a.place.Pool, a.part)
 	if err != nil {
 		a.log.Warn("part of the configuration not taken", "peer", s.Peer().Process, "error", err)
 	}
@@ -40,12 +40,14 @@
 // Run shares until the context ends; Done then closes.
 func (a *Agent) Run(ctx context.Context) { a.run(ctx) }
 
-// Opened takes in a session of an entry.
-func (a *Agent) Opened(s *sess.Session) { a.opened(s) }
+// SessionOpened takes in a session of an entry.
+func (a *Agent) SessionOpened(s *sess.Session) { a.opened(s) }
 
-// Closed forgets a session.
-func (a *Agent) Closed(s *sess.Session) { a.peers.Closed(s) }
+// SessionClosed forgets a session.
+func (a *Agent) SessionClosed(s *sess.Session) { a.peers.Remove(s) }
 
-// Take looks at each frame that arrives and reports whether it concerned the
+// HandleFrame looks at each frame that arrives and reports whether it concerned the
 // sharing alone.
-func (a *Agent) Take(s *sess.Session, frame *wire.Frame) bool { return a.peers.Take(s, frame) }
+func (a *Agent) HandleFrame(s *sess.Session, frame *wire.Frame) bool {
+	return a.peers.HandleFrame(s, frame)
+}
--- a/internal/share/node/entry.go
+++ b/internal/share/node/entry.go
@@ -56,10 +56,10 @@
 		roster.WithPools(e.pools), roster.WithChanged(e.sessions), roster.WithSize(e.sizeOr(roster.DefaultSize)),
 		roster.WithRegisterer(e.registerer))
 	e.follower = spread.NewFollower(e.learner, e.caller.Store(call.Zone), e.caller.Store(call.Config),
-		spread.WithWatch(e.roster.Watches), spread.WithFollowClock(e.clock), spread.WithFollowLog(e.log),
+		spread.WithWatch(e.roster.IsWatcher), spread.WithFollowClock(e.clock), spread.WithFollowLog(e.log),
 		spread.WithFollowRegisterer(e.registerer))
-	e.catch = peer.NewCatcher(e.clock, e.learner.Number, e.learn, e.follower.Kick)
-	e.peers = peer.New(holder.Number, peer.WithServe(e.serve), peer.WithBehind(e.catch.Behind), peer.WithBeat(e.beat))
+	e.catch = peer.NewSyncer(e.clock, e.learner.Number, e.learn, e.follower.Trigger)
+	e.peers = peer.New(holder.Number, peer.WithServe(e.serve), peer.WithNewerRelease(e.catch.NewerRelease), peer.WithBeat(e.beat))
 	e.links = peer.NewLinks(e.clock, e.dial)
 	return e
 }
@@ -97,14 +97,14 @@
 			return
 		}
 	}
-	e.learner.Open()
+	e.learner.Activate()
 }
 
 // inForce tells the peers and the owner of a new release.
 func (e *Entry) inForce(release *spread.Release) {
 	old := e.previous.Swap(release)
 	e.accepted(release)
-	e.roster.Kick()
+	e.roster.Trigger()
 	sessions := e.peers.Sessions()
 	changed := make(map[string]bool)
 	for _, s := range sessions {
@@ -113,7 +113,7 @@
 			changed[pool] = pool == "" || len(sessions) <= announceAll || !spread.SamePart(old, release, pool)
 		}
 		if changed[pool] {
-			peer.Tell(s)
+			peer.SendRelease(s)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 // agent holds only a part, so the platform is asked instead.
 func (e *Entry) learn(ctx context.Context, s *sess.Session) error {
 	if s.Peer().Role == RoleAgent {
-		e.follower.Kick()
+		e.follower.Trigger()
 		if e.learner.Number() == 0 {
 			return nil
 		}
 		_, _ = e.follower.Read(ctx)
 		return nil
 	}
-	err := e.peers.Document(ctx, s, e.learner)
+	err := e.peers.FetchConfig(ctx, s, e.learner)
 	if err != nil {
 		e.log.Debug("configuration of peer not taken", "peer", s.Peer().Process, "error", err)
 	}
@@ -145,31 +145,31 @@
 	return &wire.Section{Name: fetch.Name, Found: err == nil, Bytes: raw}
 }
 
-// Opened takes in a session to any process at an address (host:port; empty
+// SessionOpened takes in a session to any process at an address (host:port; empty
 // when the peer dialled).
-func (e *Entry) Opened(s *sess.Session, address string) {
-	if e.roster.Opened(address, s.Peer().Incarnation) {
+func (e *Entry) SessionOpened(s *sess.Session, address string) {
+	if e.roster.SessionOpened(address, s.Peer().Incarnation) {
 		e.log.Info("process restarted", "process", s.Peer().Process, "address", address)
 	}
 	e.opened(s)
 }
 
-// Closed forgets a session.
-func (e *Entry) Closed(s *sess.Session, address string) {
-	e.peers.Closed(s)
-	e.roster.Lost(address)
+// SessionClosed forgets a session.
+func (e *Entry) SessionClosed(s *sess.Session, address string) {
+	e.peers.Remove(s)
+	e.roster.SessionEnded(address)
 }
 
-// Newer notes that a peer showed a newer release.
-func (e *Entry) Newer(s *sess.Session, release uint64) { e.catch.Behind(s, release) }
+// NewerRelease notes that a peer showed a newer release.
+func (e *Entry) NewerRelease(s *sess.Session, release uint64) { e.catch.NewerRelease(s, release) }
 
-// Other takes the frames of a session to an agent that belong to no request.
-func (e *Entry) Other(s *sess.Session, frame *wire.Frame) { e.peers.Take(s, frame) }
+// HandleFrame takes the frames of a session to an agent that belong to no request.
+func (e *Entry) HandleFrame(s *sess.Session, frame *wire.Frame) { e.peers.HandleFrame(s, frame) }
 
 // take looks at each frame of a session to another entry.
 func (e *Entry) take(s *sess.Session, frame *wire.Frame) {
 	e.told.Store(true)
-	e.peers.Take(s, frame)
+	e.peers.HandleFrame(s, frame)
 }
 
 // Accept serves a session that another entry opens. It returns when the
@@ -182,7 +182,7 @@
 	}
 	e.opened(s)
 	<-s.Done()
-	e.peers.Closed(s)
+	e.peers.Remove(s)
 }
 
 func (e *Entry) sessionOptions() []sess.Option {
@@ -197,9 +197,9 @@
 	if err != nil {
 		return err
 	}
-	e.Opened(s, address)
+	e.SessionOpened(s, address)
 	<-s.Done()
-	e.Closed(s, address)
+	e.SessionClosed(s, address)
 	return nil
 }
 
@@ -220,7 +220,7 @@
 }
 
 func (e *Entry) want(ctx context.Context, addresses []string) {
-	e.links.Want(ctx, slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == e.address }))
+	e.links.SetAddresses(ctx, slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == e.address }))
 }
 
 // pools returns the pools that pipelines and services use.
@@ -253,7 +253,7 @@
 		if s.Peer().Role != RoleEntry {
 			continue
 		}
-		answer, err := e.peers.Ask(ctx, s, wire.Fetch{Name: askRoster + pool})
+		answer, err := e.peers.Fetch(ctx, s, wire.Fetch{Name: askRoster + pool})
 		if err == nil && answer.Found {
 			if err := e.roster.Import(pool, answer.Bytes); err != nil {
 				e.log.Warn("hosts of peer not taken", "peer", s.Peer().Process, "error", err)
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -113,9 +113,9 @@
 	options
 	place  avail.Place
 	holder *spread.Holder
-	reach  *avail.Reach
+	reach  *avail.Contact
 	peers  *peer.Set
-	catch  *peer.Catcher
+	catch  *peer.Syncer
 	probed clock.Millis
 	group  sync.WaitGroup
 	done   chan struct{}
@@ -124,7 +124,7 @@
 func newBase(o options, place avail.Place, holder *spread.Holder) base {
 	return base{
 		options: o, place: place, holder: holder,
-		reach: avail.NewReach(o.clock, place.AvailabilityZone),
+		reach: avail.NewContact(o.clock, place.AvailabilityZone),
 		done:  make(chan struct{}),
 	}
 }
@@ -143,18 +143,18 @@
 // Done closes once all goroutines have ended after the context of Run.
 func (b *base) Done() <-chan struct{} { return b.done }
 
-// Opened takes in a session to any process.
+// opened takes in a session to any process.
 func (b *base) opened(s *sess.Session) {
-	b.peers.Opened(s)
+	b.peers.Add(s)
 	if b.holder.Number() == 0 {
-		b.catch.Behind(s, 1)
+		b.catch.NewerRelease(s, 1)
 	}
 }
 
-// Refuses returns the reason why this process takes no new work now; false
+// RefusalReason returns the reason why this process takes no new work now; false
 // when it takes work.
-func (b *base) Refuses() (fault.Reason, bool) {
-	return b.place.Refuses(b.holder.Current(), b.reach)
+func (b *base) RefusalReason() (fault.Reason, bool) {
+	return b.place.RefusalReason(b.holder.Current(), b.reach)
 }
 
 // Outside is what heartbeats say of this process's reach; see wire.Beat.
@@ -163,7 +163,7 @@
 // beat takes in what a peer says of its own reach.
 func (b *base) beat(s *sess.Session, beat *wire.Beat) {
 	if beat.Outside > 0 && s.Peer().AvailabilityZone == b.place.AvailabilityZone {
-		b.reach.Vouched(beat.Outside - 1)
+		b.reach.RecordIndirect(beat.Outside - 1)
 	}
 }
 
@@ -172,11 +172,11 @@
 	isolated := false
 	for b.clock.Sleep(ctx, avail.CheckEvery) == nil {
 		b.lookAround()
-		if now := b.clock.Now(); b.reach.Probe() && now-b.probed >= probeEvery {
+		if now := b.clock.Now(); b.reach.ProbeDue() && now-b.probed >= probeEvery {
 			b.probed = now
 			b.probe(ctx)
 		}
-		if reason, refuses := b.Refuses(); (refuses && reason == fault.Isolated) != isolated {
+		if reason, refuses := b.RefusalReason(); (refuses && reason == fault.Isolated) != isolated {
 			isolated = !isolated
 			b.log.Warn("reach outside the availability zone changed", "isolated", isolated, "silentMs", b.reach.Age())
 		}
@@ -185,10 +185,10 @@
 
 func (b *base) lookAround() {
 	for _, s := range b.peers.Sessions() {
-		b.reach.Heard(s.Peer().AvailabilityZone, s.LastHeard())
+		b.reach.RecordPeer(s.Peer().AvailabilityZone, s.LastHeard())
 	}
 	if b.caller != nil {
-		b.reach.Platform(b.caller.Heard())
+		b.reach.RecordPlatform(b.caller.Heard())
 	}
 }
 
--- a/internal/share/peer/catch.go
+++ b/internal/share/peer/catch.go
@@ -17,9 +17,9 @@
 	askAgain = 100 * clock.Millis(1)
 )
 
-// Catcher catches up with peers that showed a newer release, one at a time: a
+// Syncer catches up with peers that showed a newer release, one at a time: a
 // burst of frames with a new number leads to one request, not to one a frame.
-type Catcher struct {
+type Syncer struct {
 	clock *clock.Clock
 	// number returns the release known here.
 	number func() uint64
@@ -33,19 +33,19 @@
 	kick  chan struct{}
 }
 
-// NewCatcher returns a catcher that asks with ask; stuck may be nil.
-func NewCatcher(c *clock.Clock, number func() uint64, ask func(context.Context, *sess.Session) error, stuck func()) *Catcher {
+// NewSyncer returns a syncer that asks with ask; stuck may be nil.
+func NewSyncer(c *clock.Clock, number func() uint64, ask func(context.Context, *sess.Session) error, stuck func()) *Syncer {
 	if stuck == nil {
 		stuck = func() {}
 	}
-	return &Catcher{
+	return &Syncer{
 		clock: c, number: number, askFunc: ask, stuckFunc: stuck,
 		ahead: make(map[*sess.Session]uint64), kick: make(chan struct{}, 1),
 	}
 }
 
-// Behind notes that a peer has a newer release. It doesn't block.
-func (c *Catcher) Behind(s *sess.Session, release uint64) {
+// NewerRelease notes that a peer has a newer release. It doesn't block.
+func (c *Syncer) NewerRelease(s *sess.Session, release uint64) {
 	c.mu.Lock()
 	c.ahead[s] = max(release, c.ahead[s])
 	c.mu.Unlock()
@@ -56,7 +56,7 @@
 }
 
 // Run catches up until the context ends.
-func (c *Catcher) Run(ctx context.Context) {
+func (c *Syncer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-c.kick:
@@ -76,14 +76,14 @@
 	}
 }
 
-func (c *Catcher) ask(ctx context.Context, s *sess.Session) error {
+func (c *Syncer) ask(ctx context.Context, s *sess.Session) error {
 	ctx, cancel := context.WithTimeout(ctx, askLimit.Duration())
 	defer cancel()
 	return c.askFunc(ctx, s)
 }
 
 // next takes a peer that is ahead out of the list, or returns nil.
-func (c *Catcher) next() *sess.Session {
+func (c *Syncer) next() *sess.Session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.number()
@@ -107,10 +107,10 @@
 	return e.Process + " can't give " + e.Name
 }
 
-// Document asks a peer for its whole configuration and offers it to the
+// FetchConfig asks a peer for its whole configuration and offers it to the
 // learner: the head first, then the sections that are missing here.
-func (p *Set) Document(ctx context.Context, s *sess.Session, learner *spread.Learner) error {
-	answer, err := p.Ask(ctx, s, wire.Fetch{Name: spread.AskHead})
+func (p *Set) FetchConfig(ctx context.Context, s *sess.Session, learner *spread.Learner) error {
+	answer, err := p.Fetch(ctx, s, wire.Fetch{Name: spread.HeadName})
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 		return &NotServedError{Process: s.Peer().Process, Name: head.Object}
 	}
 	_, err = learner.Offer(ctx, spread.FromPeer, answer.Bytes, func(ctx context.Context, ref head.Ref) ([]byte, error) {
-		section, err := p.Ask(ctx, s, wire.Fetch{Name: ref.Name, Digest: uint64(ref.Digest)})
+		section, err := p.Fetch(ctx, s, wire.Fetch{Name: ref.Name, Digest: uint64(ref.Digest)})
 		if err != nil {
 			return nil, err
 		}
@@ -130,15 +130,15 @@
 	return err
 }
 
-// Part asks a peer for an agent's part of the configuration.
-func (p *Set) Part(ctx context.Context, s *sess.Session, pool string, part *spread.PartHolder) error {
-	answer, err := p.Ask(ctx, s, part.Ask(pool))
+// FetchPart asks a peer for an agent's part of the configuration.
+func (p *Set) FetchPart(ctx context.Context, s *sess.Session, pool string, part *spread.PartHolder) error {
+	answer, err := p.Fetch(ctx, s, part.Request(pool))
 	if err != nil {
 		return err
 	}
 	if !answer.Found {
-		return &NotServedError{Process: s.Peer().Process, Name: spread.AskPart(pool)}
+		return &NotServedError{Process: s.Peer().Process, Name: spread.PartName(pool)}
 	}
-	_, err = part.Take(answer)
+	_, err = part.Accept(answer)
 	return err
 }
--- a/internal/share/peer/links.go
+++ b/internal/share/peer/links.go
@@ -32,8 +32,8 @@
 	return &Links{clock: c, dialFunc: dial, open: make(map[string]context.CancelFunc)}
 }
 
-// Want replaces the wanted addresses. The context of the first call ends all.
-func (l *Links) Want(ctx context.Context, addresses []string) {
+// SetAddresses replaces the wanted addresses. The context of the first call ends all.
+func (l *Links) SetAddresses(ctx context.Context, addresses []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.base == nil {
--- a/internal/share/peer/peer.go
+++ b/internal/share/peer/peer.go
@@ -35,9 +35,11 @@
 // WithServe sets who answers peers that ask for a document.
 func WithServe(serve func(*wire.Fetch) *wire.Section) Option { return func(p *Set) { p.serve = serve } }
 
-// WithBehind sets who is told that a peer has a newer release. It is called
+// WithNewerRelease sets who is told that a peer has a newer release. It is called
 // on the session's reader and must not block.
-func WithBehind(behind func(*sess.Session, uint64)) Option { return func(p *Set) { p.behind = behind } }
+func WithNewerRelease(behind func(*sess.Session, uint64)) Option {
+	return func(p *Set) { p.behind = behind }
+}
 
 // WithBeat sets who is told of heartbeats. It must not block.
 func WithBeat(beat func(*sess.Session, *wire.Beat)) Option { return func(p *Set) { p.beat = beat } }
@@ -57,16 +59,16 @@
 	return p
 }
 
-// Opened takes in a session and shows the peer the release in force here.
-func (p *Set) Opened(s *sess.Session) {
+// Add takes in a session and shows the peer the release in force here.
+func (p *Set) Add(s *sess.Session) {
 	p.mu.Lock()
 	p.sessions[s] = &pending{waiting: make(map[string][]chan *wire.Section)}
 	p.mu.Unlock()
-	Tell(s)
+	SendRelease(s)
 }
 
-// Closed forgets a session. Requests on it end with the session.
-func (p *Set) Closed(s *sess.Session) {
+// Remove forgets a session. Requests on it end with the session.
+func (p *Set) Remove(s *sess.Session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.sessions, s)
@@ -83,15 +85,15 @@
 	return open
 }
 
-// Tell shows a peer the release in force here: a heartbeat that asks for none
+// SendRelease shows a peer the release in force here: a heartbeat that asks for none
 // back, since each frame carries the number.
-func Tell(s *sess.Session) {
+func SendRelease(s *sess.Session) {
 	_ = s.Send(&wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Reply: true}})
 }
 
-// Take looks at each frame that arrives. It returns true when the frame
+// HandleFrame looks at each frame that arrives. It returns true when the frame
 // concerned documents alone.
-func (p *Set) Take(s *sess.Session, frame *wire.Frame) bool {
+func (p *Set) HandleFrame(s *sess.Session, frame *wire.Frame) bool {
 	if frame.Release > p.number() {
 		p.behind(s, frame.Release)
 	}
@@ -136,9 +138,9 @@
 // Error implements error.
 func (e *ClosedError) Error() string { return fmt.Sprintf("session with %s has ended", e.Process) }
 
-// Ask asks a peer for a document and waits for the answer. Answers of one name
+// Fetch asks a peer for a document and waits for the answer. Answers of one name
 // come back in the order of the requests, since a session keeps the order.
-func (p *Set) Ask(ctx context.Context, s *sess.Session, fetch wire.Fetch) (*wire.Section, error) {
+func (p *Set) Fetch(ctx context.Context, s *sess.Session, fetch wire.Fetch) (*wire.Section, error) {
 	answered := make(chan *wire.Section, 1)
 	if err := p.request(s, &fetch, answered); err != nil {
 		return nil, err
--- a/internal/share/roster/choose.go
+++ b/internal/share/roster/choose.go
@@ -106,11 +106,11 @@
 	return append(slices.Clone(entries), self)
 }
 
-// Watches reports whether an entry is one of the few that watch the head. They
+// IsWatcher reports whether an entry is one of the few that watch the head. They
 // stand evenly on the ring, so that nobody is far from one. Entries with
 // different lists may disagree for a while; then there are a few watches more
 // or fewer.
-func Watches(self store.Host, entries []store.Host) bool {
+func IsWatcher(self store.Host, entries []store.Host) bool {
 	r := newRing(withSelf(self, entries))
 	own := r.rank(self.Name)
 	if own == 0 || len(r) <= maxWatchers {
--- a/internal/share/roster/roster.go
+++ b/internal/share/roster/roster.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// Kick makes Run look at once, for instance for a pool that has just become wanted.
-func (r *Roster) Kick() {
+// Trigger makes Run look at once, for instance for a pool that has just become wanted.
+func (r *Roster) Trigger() {
 	select {
 	case r.kick <- struct{}{}:
 	default:
@@ -263,8 +263,8 @@
 	return slices.Clone(r.list(entriesPool).hosts)
 }
 
-// Watches reports whether this process is one of the few that watch the head.
-func (r *Roster) Watches() bool { return Watches(r.self, r.Entries()) }
+// IsWatcher reports whether this process is one of the few that watch the head.
+func (r *Roster) IsWatcher() bool { return IsWatcher(r.self, r.Entries()) }
 
 // Endpoints returns the endpoints of a pool that this process holds sessions to.
 func (r *Roster) Endpoints(pool string) []store.Host {
--- a/internal/share/roster/roster_test.go
+++ b/internal/share/roster/roster_test.go
@@ -90,7 +90,7 @@
 				links[entry.Name] = append(links[entry.Name], peer.Name)
 				links[peer.Name] = append(links[peer.Name], entry.Name)
 			}
-			if roster.Watches(entry, entries) {
+			if roster.IsWatcher(entry, entries) {
 				watchers++
 				reached[entry.Name] = true
 				front = append(front, entry.Name)
@@ -174,7 +174,7 @@
 	b.after(1)
 	assert.Equal(t, len(b.want["p"]), 4)
 	for _, host := range p.hosts {
-		b.roster.Opened(host.Address, 1)
+		b.roster.SessionOpened(host.Address, 1)
 	}
 	p.err = &store.UnavailableError{}
 	b.after(clock.Hour)
@@ -191,10 +191,10 @@
 	b := newBench(p, 8)
 	b.after(1)
 	for _, host := range b.want["p"] {
-		b.roster.Opened(host.Address, 1)
+		b.roster.SessionOpened(host.Address, 1)
 	}
 	lost := b.want["p"][0]
-	b.roster.Lost(lost.Address)
+	b.roster.SessionEnded(lost.Address)
 	b.after(20 * clock.Second)
 	assert.Assert(t, slices.Contains(b.want["p"], lost))
 	b.after(11 * clock.Second)
@@ -211,8 +211,8 @@
 	b.after(1)
 	before := b.want["p"]
 	for _, host := range before {
-		b.roster.Opened(host.Address, 1)
-		b.roster.Lost(host.Address)
+		b.roster.SessionOpened(host.Address, 1)
+		b.roster.SessionEnded(host.Address)
 	}
 	b.after(clock.Minute)
 	b.after(clock.Minute)
@@ -221,9 +221,9 @@
 
 func TestNewIncarnationUnderTheSameAddress(t *testing.T) {
 	b := newBench(&platform{}, 8)
-	assert.Assert(t, !b.roster.Opened("a", 1))
-	assert.Assert(t, !b.roster.Opened("a", 1))
-	assert.Assert(t, b.roster.Opened("a", 2))
+	assert.Assert(t, !b.roster.SessionOpened("a", 1))
+	assert.Assert(t, !b.roster.SessionOpened("a", 1))
+	assert.Assert(t, b.roster.SessionOpened("a", 2))
 }
 
 // A process starts while the platform is down: a peer tells it who is there.
--- a/internal/share/roster/track.go
+++ b/internal/share/roster/track.go
@@ -19,9 +19,9 @@
 	incarnation token.Incarnation
 }
 
-// Opened notes a session to an address. It reports whether a new incarnation
+// SessionOpened notes a session to an address. It reports whether a new incarnation
 // of the process answers there: what was known of the old one is void.
-func (r *Roster) Opened(address string, incarnation token.Incarnation) bool {
+func (r *Roster) SessionOpened(address string, incarnation token.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tracked[address]
@@ -36,9 +36,9 @@
 	return restarted
 }
 
-// Lost notes the end of a session. The process there is suspected: it gets no
+// SessionEnded notes the end of a session. The process there is suspected: it gets no
 // work without a session, but it may merely have been cut off or restarted.
-func (r *Roster) Lost(address string) {
+func (r *Roster) SessionEnded(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tracked[address]
--- a/internal/share/spread/follow.go
+++ b/internal/share/spread/follow.go
@@ -75,9 +75,9 @@
 	return f
 }
 
-// Kick asks for one read soon, for instance when a message shows a newer
+// Trigger asks for one read soon, for instance when a message shows a newer
 // release and no peer can give it.
-func (f *Follower) Kick() {
+func (f *Follower) Trigger() {
 	select {
 	case f.kick <- struct{}{}:
 	default:
@@ -148,7 +148,7 @@
 	switch verdict {
 	case Incomplete:
 		return false
-	case Older, Split, Invalid:
+	case Older, Conflicting, Invalid:
 		return f.repair(ctx)
 	default:
 		return true
--- a/internal/share/spread/learn.go
+++ b/internal/share/spread/learn.go
@@ -32,9 +32,9 @@
 	// Older is what a stale read, a late watch event, a peer with old news or
 	// a restored store show.
 	Older Verdict = "older"
-	// Split is another document under the number in force. Conditional updates
+	// Conflicting is another document under the number in force. Conditional updates
 	// exclude it, unless the store was restored and written again.
-	Split Verdict = "split"
+	Conflicting Verdict = "split"
 	// Invalid is a document that doesn't pass the checks.
 	Invalid Verdict = "invalid"
 	// Incomplete lacks a section that could not be had.
@@ -128,9 +128,9 @@
 	return l
 }
 
-// Open ends the start of the process: the newest configuration gathered so far
+// Activate ends the start of the process: the newest configuration gathered so far
 // comes into force. It reports whether there is one.
-func (l *Learner) Open() bool {
+func (l *Learner) Activate() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = true
@@ -225,7 +225,7 @@
 	case offered.Release < held.head.Release:
 		return Older
 	case offered.Nonce != held.head.Nonce:
-		return Split
+		return Conflicting
 	default:
 		return Same
 	}
--- a/internal/share/spread/learn_test.go
+++ b/internal/share/spread/learn_test.go
@@ -76,7 +76,7 @@
 	}{
 		{"a stale read", one, p.fetch, spread.Older},
 		{"a watch event that comes twice", two, p.fetch, spread.Same},
-		{"another document under the same number", split, p.fetch, spread.Split},
+		{"another document under the same number", split, p.fetch, spread.Conflicting},
 		{"no JSON", []byte("{"), p.fetch, spread.Invalid},
 		{"an empty document", []byte("{}"), p.fetch, spread.Invalid},
 		{"a section that can't be fetched", unknown, lost, spread.Incomplete},
@@ -86,7 +86,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			holder := &spread.Holder{}
 			l := spread.NewLearner(holder)
-			l.Open()
+			l.Activate()
 			_, err := l.Offer(t.Context(), spread.FromRead, two, p.fetch)
 			assert.NilError(t, err)
 			verdict, _ := l.Offer(t.Context(), spread.FromRead, c.raw, c.fetch)
@@ -107,7 +107,7 @@
 		}
 		return nil
 	}))
-	l.Open()
+	l.Activate()
 	for release := uint64(1); release <= 3; release++ {
 		_, _ = l.Offer(t.Context(), spread.FromRead, p.write(t, release), p.fetch)
 		assert.Assert(t, holder.Number() != 2)
@@ -127,7 +127,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, holder.Number(), uint64(0))
 	}
-	assert.Assert(t, l.Open())
+	assert.Assert(t, l.Activate())
 	assert.Equal(t, holder.Number(), uint64(2))
 }
 
@@ -144,7 +144,7 @@
 	p := &process{holder: &spread.Holder{}, agent: &spread.Holder{}}
 	p.learner = spread.NewLearner(p.holder)
 	p.part = spread.NewPartHolder(p.agent)
-	p.learner.Open()
+	p.learner.Activate()
 	return p
 }
 
@@ -208,7 +208,7 @@
 
 // exchange offers what a peer has in force, with sections from it.
 func exchange(ctx context.Context, one, peer *process, lossy spread.SectionFunc) {
-	answer := peer.learner.Serve(&wire.Fetch{Name: spread.AskHead})
+	answer := peer.learner.Serve(&wire.Fetch{Name: spread.HeadName})
 	if !answer.Found {
 		return
 	}
@@ -225,9 +225,9 @@
 }
 
 func askPart(t *rapid.T, one, peer *process) {
-	ask := one.part.Ask("pool")
+	ask := one.part.Request("pool")
 	before := one.agent.Number()
-	_, err := one.part.Take(peer.learner.Serve(&ask))
+	_, err := one.part.Accept(peer.learner.Serve(&ask))
 	assert.NilError(t, err)
 	assert.Assert(t, one.agent.Number() >= before)
 	if one.agent.Number() > 0 {
--- a/internal/share/spread/part.go
+++ b/internal/share/spread/part.go
@@ -13,14 +13,14 @@
 
 // Names that a peer can ask for.
 const (
-	// AskHead asks for the head document.
-	AskHead = ""
+	// HeadName asks for the head document.
+	HeadName = ""
 	// partPrefix is followed by a pool: what an agent of that pool needs.
 	partPrefix = "part/"
 )
 
-// AskPart returns the name under which an agent asks for its part.
-func AskPart(pool string) string { return partPrefix + pool }
+// PartName returns the name under which an agent asks for its part.
+func PartName(pool string) string { return partPrefix + pool }
 
 // Part is what an agent needs of the configuration. Most changes leave it as
 // it is, so an agent that asks for a newer release mostly gets a few bytes
@@ -75,7 +75,7 @@
 	answer.Release = held.head.Release
 	var raw []byte
 	switch pool, isPart := strings.CutPrefix(fetch.Name, partPrefix); {
-	case fetch.Name == AskHead:
+	case fetch.Name == HeadName:
 		raw = held.raw
 	case isPart:
 		raw = held.part(pool)
@@ -124,15 +124,15 @@
 // NewPartHolder returns a part holder that publishes to a holder.
 func NewPartHolder(holder *Holder) *PartHolder { return &PartHolder{holder: holder} }
 
-// Ask returns what to ask a peer for.
-func (p *PartHolder) Ask(pool string) wire.Fetch {
+// Request returns what to ask a peer for.
+func (p *PartHolder) Request(pool string) wire.Fetch {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return wire.Fetch{Name: AskPart(pool), Digest: p.digest}
+	return wire.Fetch{Name: PartName(pool), Digest: p.digest}
 }
 
-// Take puts a peer's answer in force.
-func (p *PartHolder) Take(answer *wire.Section) (Verdict, error) {
+// Accept puts a peer's answer in force.
+func (p *PartHolder) Accept(answer *wire.Section) (Verdict, error) {
 	if !answer.Found || answer.Release == 0 {
 		return Incomplete, nil
 	}
--- a/internal/share/spread/release.go
+++ b/internal/share/spread/release.go
@@ -105,11 +105,11 @@
 // ByTokenHash returns the organisation whose token has this SHA-256 hash, or nil.
 func (r *Release) ByTokenHash(hash string) *manif.Organisation { return r.byTokenHash[hash] }
 
-// ZoneHasLeft reports whether operators took the availability zone out.
-func (r *Release) ZoneHasLeft(zone string) bool { return r.left[zone] }
+// ZoneEvacuated reports whether operators took the availability zone out.
+func (r *Release) ZoneEvacuated(zone string) bool { return r.left[zone] }
 
-// EndpointHasLeft reports whether operators took the endpoint out.
-func (r *Release) EndpointHasLeft(pool, endpoint string) bool {
+// EndpointDisabled reports whether operators took the endpoint out.
+func (r *Release) EndpointDisabled(pool, endpoint string) bool {
 	for i := range r.LeftEndpoints {
 		if r.LeftEndpoints[i].Pool == pool && r.LeftEndpoints[i].Endpoint == endpoint {
 			return true
--- a/internal/stand/whole/share.go
+++ b/internal/stand/whole/share.go
@@ -101,16 +101,16 @@
 }
 
 // InForce returns what each daemon has in force.
-func (w *Whole) InForce() []apply.InForce {
-	var all []apply.InForce
+func (w *Whole) InForce() []apply.ProcessRelease {
+	var all []apply.ProcessRelease
 	for _, front := range w.Fronts {
-		all = append(all, apply.InForce{Process: front.Name, Release: front.Holder.Number()})
+		all = append(all, apply.ProcessRelease{Process: front.Name, Release: front.Holder.Number()})
 	}
 	for _, place := range w.Places {
 		if place.gone {
 			continue
 		}
-		all = append(all, apply.InForce{Process: place.Endpoint, Release: place.Holder.Number()})
+		all = append(all, apply.ProcessRelease{Process: place.Endpoint, Release: place.Holder.Number()})
 	}
 	return all
 }
@@ -119,6 +119,6 @@
 func (w *Whole) WaitInForce(release uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), inForceLimit)
 	defer cancel()
-	ask := func(context.Context) []apply.InForce { return w.InForce() }
+	ask := func(context.Context) []apply.ProcessRelease { return w.InForce() }
 	return w.Operator().WaitInForce(ctx, release, inForceMillis, ask)
 }
