--- a/internal/share/spread/follow.go
+++ b/internal/share/spread/follow.go
@@ -14,37 +14,37 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// Spans of following the platform.
+// Timeouts and pauses of a Follower.
 const (
-	watchWait   = 20 * clock.Second
-	pollPause   = 30 * clock.Second
-	retryPause  = 200 * clock.Millis(1)
-	retryLimit  = 5 * clock.Second
-	repairPause = 500 * clock.Millis(1)
+	watchTimeout  = 20 * clock.Second
+	pollInterval  = 30 * clock.Second
+	retryPause    = 200 * clock.Millis(1)
+	maxRetryPause = 5 * clock.Second
+	repairPause   = 500 * clock.Millis(1)
 )
 
-// Follower learns of new releases from the platform: by a watch on the head
-// when this process is chosen to watch, else by a slow read that only catches
-// what the peers missed.
+// Follower reads new releases from the platform. A process that is a watcher
+// watches the head. Any other process gets releases from its peers, and reads
+// the head at long intervals in case the peers missed one.
 type Follower struct {
 	learner *Learner
-	// heads is called for the head, sections for everything else; they differ
-	// in the priority of their calls.
+	// heads reads and writes the head, sections all other objects. Their calls
+	// have different priorities.
 	heads    *store.Store
 	sections *store.Store
 	clock    *clock.Clock
 	log      *log.Logger
-	// watchFunc reports whether this process is one of those that watch.
+	// watchFunc reports whether this process is a watcher.
 	watchFunc func() bool
-	// kick wakes a follower that doesn't watch.
-	kick     chan struct{}
+	// trigger makes a follower that doesn't watch read the head at once.
+	trigger  chan struct{}
 	repaired prometheus.Counter
 }
 
-// FollowOption changes a Follower while it is built.
+// FollowOption configures a Follower.
 type FollowOption func(*Follower)
 
-// WithWatch sets who decides whether this process watches.
+// WithWatch sets the function that reports whether this process is a watcher.
 func WithWatch(watch func() bool) FollowOption { return func(f *Follower) { f.watchFunc = watch } }
 
 // WithFollowClock sets the clock.
@@ -53,17 +53,17 @@
 // WithFollowLog sets the logger.
 func WithFollowLog(l *log.Logger) FollowOption { return func(f *Follower) { f.log = l } }
 
-// WithFollowRegisterer publishes the counters.
+// WithFollowRegisterer registers the metrics.
 func WithFollowRegisterer(r prometheus.Registerer) FollowOption {
 	return func(f *Follower) { r.MustRegister(f.repaired) }
 }
 
-// NewFollower returns a follower that offers what it finds to a learner.
+// NewFollower returns a follower that offers each head it reads to a learner.
 func NewFollower(learner *Learner, heads, sections *store.Store, opts ...FollowOption) *Follower {
 	f := &Follower{
 		learner: learner, heads: heads, sections: sections, clock: clock.New(), log: log.Default(),
 		watchFunc: func() bool { return true },
-		kick:      make(chan struct{}, 1),
+		trigger:   make(chan struct{}, 1),
 		repaired: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "jujubescale_config_repairs_total",
 			Help: "Heads written back after the store was found restored to an older state.",
@@ -75,17 +75,17 @@
 	return f
 }
 
-// Trigger asks for one read soon, for instance when a message shows a newer
-// release and no peer can give it.
+// Trigger requests one read of the head without waiting for the interval, for
+// instance if a frame shows a newer release that no peer can send.
 func (f *Follower) Trigger() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Read reads the head once and offers it. It reports whether the platform
-// answered.
+// Read reads the head once and offers it to the learner. It returns the object,
+// and whether the platform answered.
 func (f *Follower) Read(ctx context.Context) (store.Object, bool) {
 	object, err := f.heads.Get(ctx, head.Object)
 	if err != nil {
@@ -95,38 +95,38 @@
 	return object, true
 }
 
-// Run follows until the context ends.
+// Run reads new releases until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	seen := uint64(0)
+	lastVersion := uint64(0)
 	pause := retryPause
 	for ctx.Err() == nil {
-		object, source, err := f.next(ctx, seen)
-		settled := err == nil
-		if settled && object.Version != seen {
-			settled = f.offer(ctx, source, object)
+		object, source, err := f.next(ctx, lastVersion)
+		done := err == nil
+		if done && object.Version != lastVersion {
+			done = f.offer(ctx, source, object)
 		}
-		if !settled {
-			// Half of the pause is drawn, so that the processes of a fleet
-			// don't come back to the platform at the same instant.
+		if !done {
+			// Half of the pause is random, so that the processes of a fleet
+			// don't retry at the same instant.
 			_ = f.clock.Sleep(ctx, pause/2+rand.N(pause/2+1))
-			pause = min(2*pause, retryLimit)
+			pause = min(2*pause, maxRetryPause)
 			continue
 		}
-		seen, pause = object.Version, retryPause
+		lastVersion, pause = object.Version, retryPause
 	}
 }
 
-func (f *Follower) next(ctx context.Context, seen uint64) (store.Object, Source, error) {
+func (f *Follower) next(ctx context.Context, lastVersion uint64) (store.Object, Source, error) {
 	if f.watchFunc() {
-		object, err := f.heads.Watch(ctx, head.Object, seen, watchWait)
+		object, err := f.heads.Watch(ctx, head.Object, lastVersion, watchTimeout)
 		return object, FromWatch, err
 	}
-	if seen != 0 {
-		due, stop := f.clock.After(pollPause/2 + rand.N(pollPause))
+	if lastVersion != 0 {
+		due, stop := f.clock.After(pollInterval/2 + rand.N(pollInterval))
 		defer stop()
 		select {
 		case <-due:
-		case <-f.kick:
+		case <-f.trigger:
 		case <-ctx.Done():
 			return store.Object{}, FromRead, ctx.Err()
 		}
@@ -135,15 +135,15 @@
 	return object, FromRead, err
 }
 
-// offer gives an object to the learner and reports whether it is settled: an
-// incomplete one must be tried again.
+// offer offers an object to the learner. It returns false if the object must be
+// read again, for instance because a section could not be fetched.
 func (f *Follower) offer(ctx context.Context, source Source, object store.Object) bool {
 	if object.Version == 0 {
 		return f.repair(ctx)
 	}
 	verdict, err := f.learner.Offer(ctx, source, object.Value, f.section)
 	if err != nil {
-		f.log.Warn("configuration not taken", "source", source, "verdict", verdict, "version", object.Version, "error", err)
+		f.log.Warn("configuration not accepted", "source", source, "verdict", verdict, "version", object.Version, "error", err)
 	}
 	switch verdict {
 	case Incomplete:
@@ -155,7 +155,7 @@
 	}
 }
 
-// MissingError says that an object which a head names does not exist.
+// MissingError is returned if an object that a head refers to does not exist.
 type MissingError struct {
 	Name string
 }
@@ -166,28 +166,29 @@
 func (f *Follower) section(ctx context.Context, ref head.Ref) ([]byte, error) {
 	object, err := f.sections.Get(ctx, ref.Object())
 	if err == nil && object.Version == 0 {
-		// A stale read can miss a section that was just written: this is no
-		// proof that the head is invalid.
+		// A stale read can miss a section that was just written, so the head
+		// need not be invalid.
 		err = &MissingError{Name: ref.Object()}
 	}
 	return object.Value, err
 }
 
-// repair writes the release in force here back when the store has lost it. A
-// store that was restored to an older state would otherwise number the next
-// change like one that is in force already, and no process would take it. One
-// old read proves nothing: it may be stale or late. So the head is read again,
+// repair writes the newest release known here back if the store has lost it.
+// Otherwise, in a store that was restored to an older state, the next change
+// would get a number that is already in force, and all processes would ignore
+// it. One old read can be stale or late. Therefore the head is read twice more,
 // at once and after a pause, and the write is conditional on the last read.
+// It returns false if the repair must be retried.
 func (f *Follower) repair(ctx context.Context) bool {
-	held, raw, sections := f.learner.Snapshot()
-	if held == nil {
+	current, raw, sections := f.learner.Snapshot()
+	if current == nil {
 		return true
 	}
 	object, err := f.heads.Get(ctx, head.Object)
 	if err != nil {
 		return false
 	}
-	if head.ReleaseOf(object.Value) >= held.Release {
+	if head.ReleaseOf(object.Value) >= current.Release {
 		return true
 	}
 	if f.clock.Sleep(ctx, repairPause+rand.N(repairPause)) != nil {
@@ -196,7 +197,7 @@
 	if object, err = f.heads.Get(ctx, head.Object); err != nil {
 		return false
 	}
-	if head.ReleaseOf(object.Value) >= held.Release {
+	if head.ReleaseOf(object.Value) >= current.Release {
 		return true
 	}
 	for i := range sections {
@@ -208,7 +209,7 @@
 	var conflict *store.ConflictError
 	if err == nil {
 		f.repaired.Inc()
-		f.log.Warn("store was behind; release written back", "release", held.Release)
+		f.log.Warn("store had an older release; wrote the current one back", "release", current.Release)
 	}
 	return err == nil || errors.As(err, &conflict)
 }
--- a/internal/share/spread/learn.go
+++ b/internal/share/spread/learn.go
@@ -11,46 +11,48 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// Source says where an offered configuration came from.
+// Source is where an offered configuration came from.
 type Source string
 
-// Sources of configurations.
+// Sources of offered configurations.
 const (
 	FromWatch Source = "watch"
 	FromRead  Source = "read"
 	FromPeer  Source = "peer"
 )
 
-// Verdict is what became of an offered configuration.
+// Verdict is the decision on an offered configuration.
 type Verdict string
 
-// Verdicts on an offered configuration. Only accepted changes anything.
+// Verdicts on offered configurations. Only Accepted has an effect.
 const (
 	Accepted Verdict = "accepted"
-	// Same is the release that is in force already.
+	// Same means that the release is already in force.
 	Same Verdict = "same"
-	// Older is what a stale read, a late watch event, a peer with old news or
-	// a restored store show.
+	// Older means that the release is older than the current one. It came from
+	// a stale read, a late watch event, a peer that is behind or a restored
+	// store.
 	Older Verdict = "older"
-	// Conflicting is another document under the number in force. Conditional updates
-	// exclude it, unless the store was restored and written again.
+	// Conflicting means that the document differs from the current one but has
+	// the same number. Conditional updates prevent this, unless the store was
+	// restored to an older state and written again.
 	Conflicting Verdict = "split"
-	// Invalid is a document that doesn't pass the checks.
+	// Invalid means that the document doesn't pass the checks.
 	Invalid Verdict = "invalid"
-	// Incomplete lacks a section that could not be had.
+	// Incomplete means that a section could not be fetched.
 	Incomplete Verdict = "incomplete"
 )
 
-// SectionFunc fetches one section's bytes.
+// SectionFunc fetches the bytes of one section.
 type SectionFunc func(ctx context.Context, ref head.Ref) ([]byte, error)
 
-// document is a release with the bytes it came from, kept for peers.
+// document is a release and its encoded form, which is sent to peers.
 type document struct {
 	head     *head.Head
 	raw      []byte
 	sections []head.Section
 	release  *Release
-	// parts holds the encoded parts that agents asked for, by pool.
+	// parts maps a pool to its encoded part, once an agent requested it.
 	parts sync.Map
 }
 
@@ -66,30 +68,30 @@
 	return nil, false
 }
 
-// Learner decides which configuration is in force in this process. Whatever
-// is offered, from wherever, in whatever order and however often, only a whole
-// and valid document of a strictly newer release takes effect.
+// Learner decides which configuration is in force in this process. It accepts
+// offers from several sources, in any order and repeatedly. Only a complete and
+// valid document of a newer release takes effect.
 type Learner struct {
 	holder *Holder
 	check  func(*manif.Manifest) error
-	// acceptedFunc is told of each release that comes into force.
+	// acceptedFunc is called with each release that comes into force.
 	acceptedFunc func(*Release)
 
 	mu     sync.Mutex
 	newest *document
-	// spare holds sections of an attempt that could not be completed. When many
-	// processes start at once the platform refuses some of their reads; without
-	// this each would begin from the first section again, and none would end.
-	spare map[head.Ref][]byte
-	// open is false while the process starts and gathers the newest of several
-	// sources before it puts one in force.
-	open bool
+	// fetched holds the sections that an incomplete attempt has fetched. If many
+	// processes start at once, the platform refuses some of their reads. If each
+	// attempt fetched all sections again, none would ever be complete.
+	fetched map[head.Ref][]byte
+	// active is false while the process starts and gathers releases from several
+	// sources. Meanwhile no release is put in force.
+	active bool
 
 	offers  *prometheus.CounterVec
 	inForce prometheus.Gauge
 }
 
-// LearnOption changes a Learner while it is built.
+// LearnOption configures a Learner.
 type LearnOption func(*Learner)
 
 // WithCheck sets the check that a manifest must pass before it takes effect.
@@ -97,19 +99,19 @@
 	return func(l *Learner) { l.check = check }
 }
 
-// WithAccepted sets who is told of each release that comes into force. It
-// must not block.
+// WithAccepted sets a function that is called with each release that comes into
+// force. It must not block.
 func WithAccepted(accepted func(*Release)) LearnOption {
 	return func(l *Learner) { l.acceptedFunc = accepted }
 }
 
-// WithRegisterer publishes the counters.
+// WithRegisterer registers the metrics.
 func WithRegisterer(r prometheus.Registerer) LearnOption {
 	return func(l *Learner) { r.MustRegister(l.offers, l.inForce) }
 }
 
-// NewLearner returns a learner that publishes to a holder. Nothing comes into
-// force before Open.
+// NewLearner returns a learner that publishes releases to a holder. No release
+// comes into force before Activate.
 func NewLearner(holder *Holder, opts ...LearnOption) *Learner {
 	l := &Learner{
 		holder: holder, check: func(*manif.Manifest) error { return nil }, acceptedFunc: func(*Release) {},
@@ -128,12 +130,12 @@
 	return l
 }
 
-// Activate ends the start of the process: the newest configuration gathered so far
-// comes into force. It reports whether there is one.
+// Activate puts the newest configuration gathered so far in force, and from now
+// on each newer one as it is accepted. It reports whether there is one yet.
 func (l *Learner) Activate() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = true
+	l.active = true
 	if l.newest == nil {
 		return false
 	}
@@ -141,7 +143,8 @@
 	return true
 }
 
-// Number returns the newest release known here, in force or about to be.
+// Number returns the number of the newest accepted release, or 0 if there is
+// none. Before Activate it is not in force yet.
 func (l *Learner) Number() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,30 +158,31 @@
 	return l.newest.release.Number
 }
 
-// Offer judges a head document and, when it is newer, completes it with the
-// sections that are missing here and puts it in force. The error says why a
-// document is invalid or incomplete.
+// Offer accepts a head document if it is newer and valid. It fetches the
+// sections that are missing here. Once the learner is active, an accepted
+// release is in force at once. The error tells why a document is invalid or
+// incomplete.
 func (l *Learner) Offer(ctx context.Context, source Source, raw []byte, fetch SectionFunc) (Verdict, error) {
-	verdict, err := l.judge(ctx, raw, fetch)
+	verdict, err := l.evaluate(ctx, raw, fetch)
 	l.offers.WithLabelValues(string(source), string(verdict)).Inc()
 	return verdict, err
 }
 
-func (l *Learner) judge(ctx context.Context, raw []byte, fetch SectionFunc) (Verdict, error) {
+func (l *Learner) evaluate(ctx context.Context, raw []byte, fetch SectionFunc) (Verdict, error) {
 	offered, err := head.Decode(raw)
 	if err != nil {
 		return Invalid, err
 	}
 	l.mu.Lock()
-	held := l.newest
+	current := l.newest
 	l.mu.Unlock()
-	if verdict := compare(held, offered); verdict != Accepted {
+	if verdict := compare(current, offered); verdict != Accepted {
 		return verdict, nil
 	}
 	next := &document{head: offered, raw: raw}
-	if err := next.complete(ctx, held, l.sparing(fetch)); err != nil {
-		var broken *head.DocumentError
-		if errors.As(err, &broken) {
+	if err := next.complete(ctx, current, l.reuseFetched(fetch)); err != nil {
+		var invalid *head.DocumentError
+		if errors.As(err, &invalid) {
 			return Invalid, err
 		}
 		return Incomplete, err
@@ -191,16 +195,17 @@
 		return Invalid, err
 	}
 	next.release = New(offered.Release, manifest, offered.Zones, WithLeftEndpoints(offered.LeftEndpoints))
-	return l.take(next), nil
+	return l.install(next), nil
 }
 
-// sparing fetches sections that an earlier attempt has not fetched already.
-func (l *Learner) sparing(fetch SectionFunc) SectionFunc {
+// reuseFetched wraps fetch so that it returns sections that an earlier,
+// incomplete attempt has fetched.
+func (l *Learner) reuseFetched(fetch SectionFunc) SectionFunc {
 	return func(ctx context.Context, ref head.Ref) ([]byte, error) {
 		l.mu.Lock()
-		raw, known := l.spare[ref]
+		raw, found := l.fetched[ref]
 		l.mu.Unlock()
-		if known {
+		if found {
 			return raw, nil
 		}
 		raw, err := fetch(ctx, ref)
@@ -209,33 +214,33 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.spare == nil {
-			l.spare = make(map[head.Ref][]byte)
+		if l.fetched == nil {
+			l.fetched = make(map[head.Ref][]byte)
 		}
-		l.spare[ref] = raw
+		l.fetched[ref] = raw
 		return raw, nil
 	}
 }
 
-// compare judges by the release number alone.
-func compare(held *document, offered *head.Head) Verdict {
+// compare returns the verdict that follows from release number and nonce.
+func compare(current *document, offered *head.Head) Verdict {
 	switch {
-	case held == nil || offered.Release > held.head.Release:
+	case current == nil || offered.Release > current.head.Release:
 		return Accepted
-	case offered.Release < held.head.Release:
+	case offered.Release < current.head.Release:
 		return Older
-	case offered.Nonce != held.head.Nonce:
+	case offered.Nonce != current.head.Nonce:
 		return Conflicting
 	default:
 		return Same
 	}
 }
 
-// complete gathers the sections: those that didn't change are here already.
-func (d *document) complete(ctx context.Context, held *document, fetch SectionFunc) error {
+// complete adds the sections. It fetches only those that current lacks.
+func (d *document) complete(ctx context.Context, current *document, fetch SectionFunc) error {
 	for _, ref := range d.head.Sections {
-		raw, known := held.section(ref)
-		if !known {
+		raw, found := current.section(ref)
+		if !found {
 			var err error
 			if raw, err = fetch(ctx, ref); err != nil {
 				return err
@@ -257,16 +262,16 @@
 	return head.Join(d.head.Sections, raws)
 }
 
-// take keeps the document unless a newer one came while its sections were
-// fetched.
-func (l *Learner) take(next *document) Verdict {
+// install makes next the newest document, unless a newer one was installed while
+// the sections of next were fetched.
+func (l *Learner) install(next *document) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if verdict := compare(l.newest, next.head); verdict != Accepted {
 		return verdict
 	}
-	l.newest, l.spare = next, nil
-	if l.open {
+	l.newest, l.fetched = next, nil
+	if l.active {
 		l.publish(next.release)
 	}
 	return Accepted
@@ -279,8 +284,8 @@
 	}
 }
 
-// Snapshot returns the newest head and its sections as they were written; a
-// nil head when there is none.
+// Snapshot returns the newest head, decoded and as it was written, and its
+// sections. The head is nil if there is none.
 func (l *Learner) Snapshot() (*head.Head, []byte, []head.Section) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/share/spread/learn_test.go
+++ b/internal/share/spread/learn_test.go
@@ -17,8 +17,8 @@
 
 var errLost = errors.New("lost")
 
-// published is everything that was ever written, as peers, stale reads, late
-// watch events and restored stores may show it again.
+// published holds every document ever written. Peers, stale reads, late watch
+// events and restored stores may offer any of them again.
 type published struct {
 	heads    [][]byte
 	sections map[head.Ref][]byte
@@ -26,7 +26,8 @@
 
 func newPublished() *published { return &published{sections: make(map[head.Ref][]byte)} }
 
-// write adds a release with its own mark in the manifest.
+// write adds a release whose pool limit is its number, so that tests can tell
+// which manifest is in force.
 func (p *published) write(t assert.TestingT, release uint64, zones ...head.Zone) []byte {
 	manifest := &manif.Manifest{
 		AvailabilityZones: []string{"za", "zb"},
@@ -75,9 +76,9 @@
 		want  spread.Verdict
 	}{
 		{"a stale read", one, p.fetch, spread.Older},
-		{"a watch event that comes twice", two, p.fetch, spread.Same},
-		{"another document under the same number", split, p.fetch, spread.Conflicting},
-		{"no JSON", []byte("{"), p.fetch, spread.Invalid},
+		{"a repeated watch event", two, p.fetch, spread.Same},
+		{"another document with the same release number", split, p.fetch, spread.Conflicting},
+		{"a document that is not JSON", []byte("{"), p.fetch, spread.Invalid},
 		{"an empty document", []byte("{}"), p.fetch, spread.Invalid},
 		{"a section that can't be fetched", unknown, lost, spread.Incomplete},
 		{"a section with other content", unknown, wrong, spread.Invalid},
@@ -96,8 +97,9 @@
 	}
 }
 
-// Somebody writes a manifest into the store past the operators' client, and it
-// is nonsense. Every process would fail its callers at once if it took effect.
+// An invalid manifest is written to the store without the operators' client,
+// which would have checked it. If it took effect, requests would fail in every
+// process at once.
 func TestInvalidManifestNeverTakesEffect(t *testing.T) {
 	p := newPublished()
 	holder := &spread.Holder{}
@@ -115,9 +117,9 @@
 	assert.Equal(t, holder.Number(), uint64(3))
 }
 
-// A process starts while a read of the platform is stale. What it would take
-// first is old: it must gather before it serves.
-func TestNothingIsInForceBeforeOpen(t *testing.T) {
+// A process starts while a read of the platform is stale, so the first release
+// it gets is old. It must gather from all sources before one takes effect.
+func TestNothingIsInForceBeforeActivate(t *testing.T) {
 	p := newPublished()
 	old, newer := p.write(t, 1), p.write(t, 2)
 	holder := &spread.Holder{}
@@ -131,7 +133,7 @@
 	assert.Equal(t, holder.Number(), uint64(2))
 }
 
-// process is one process of the property test.
+// process is an entry and an agent in the property test.
 type process struct {
 	holder  *spread.Holder
 	learner *spread.Learner
@@ -148,9 +150,9 @@
 	return p
 }
 
-// Stale reads, late, doubled and reordered watch events, peers with old news,
-// a restored store, lost sections and restarts come in any order. A process
-// that goes back to an older release sends work into a zone that was taken out.
+// Stale reads, late, repeated and reordered watch events, peers that are behind,
+// a restored store, lost sections and restarts happen in any order. A process
+// that returns to an older release may send work to an evacuated zone.
 func TestConfigurationNeverReverts(t *testing.T) {
 	const steps, processes = 1200, 4
 	total := 0
@@ -168,7 +170,7 @@
 		}
 		for _, one := range all {
 			_, _ = one.learner.Offer(context.Background(), spread.FromRead, p.heads[len(p.heads)-1], p.fetch)
-			assert.Equal(rt, one.holder.Number(), uint64(len(p.heads)), "in force once the faults are over")
+			assert.Equal(rt, one.holder.Number(), uint64(len(p.heads)), "release in force after the faults ended")
 		}
 	})
 	t.Logf("%d steps", total)
@@ -177,9 +179,9 @@
 
 func step(t *rapid.T, p *published, all []*process, choice uint32) {
 	ctx := context.Background()
-	one := all[choice%uint32(len(all))]
+	target := all[choice%uint32(len(all))]
 	rest := choice / uint32(len(all))
-	which, rest := rest%8, rest/8
+	action, rest := rest%8, rest/8
 	past := p.heads[rest%uint32(len(p.heads))]
 	lossy := func(ctx context.Context, ref head.Ref) ([]byte, error) {
 		if rest%3 == 0 {
@@ -187,32 +189,32 @@
 		}
 		return p.fetch(ctx, ref)
 	}
-	switch which {
+	switch action {
 	case 0:
 		p.write(t, uint64(len(p.heads)+1))
 	case 1, 2:
-		_, _ = one.learner.Offer(ctx, spread.FromWatch, past, lossy)
+		_, _ = target.learner.Offer(ctx, spread.FromWatch, past, lossy)
 	case 3:
-		_, _ = one.learner.Offer(ctx, spread.FromRead, p.heads[len(p.heads)-1], lossy)
+		_, _ = target.learner.Offer(ctx, spread.FromRead, p.heads[len(p.heads)-1], lossy)
 	case 4, 5:
-		exchange(ctx, one, all[rest%uint32(len(all))], lossy)
+		exchange(ctx, target, all[rest%uint32(len(all))], lossy)
 	case 6:
-		askPart(t, one, all[rest%uint32(len(all))])
+		askPart(t, target, all[rest%uint32(len(all))])
 	default:
 		if rest%5 == 0 {
-			*one = *newProcess()
+			*target = *newProcess()
 		}
 	}
-	verify(t, one)
+	verify(t, target)
 }
 
-// exchange offers what a peer has in force, with sections from it.
-func exchange(ctx context.Context, one, peer *process, lossy spread.SectionFunc) {
+// exchange offers the newest configuration of a peer, with sections from that peer.
+func exchange(ctx context.Context, target, peer *process, lossy spread.SectionFunc) {
 	answer := peer.learner.Serve(&wire.Fetch{Name: spread.HeadName})
 	if !answer.Found {
 		return
 	}
-	_, _ = one.learner.Offer(ctx, spread.FromPeer, answer.Bytes, func(ctx context.Context, ref head.Ref) ([]byte, error) {
+	_, _ = target.learner.Offer(ctx, spread.FromPeer, answer.Bytes, func(ctx context.Context, ref head.Ref) ([]byte, error) {
 		got := peer.learner.Serve(&wire.Fetch{Name: ref.Name, Digest: uint64(ref.Digest)})
 		if !got.Found {
 			return nil, errLost
@@ -224,22 +226,22 @@
 	})
 }
 
-func askPart(t *rapid.T, one, peer *process) {
-	ask := one.part.Request("pool")
-	before := one.agent.Number()
-	_, err := one.part.Accept(peer.learner.Serve(&ask))
+func askPart(t *rapid.T, target, peer *process) {
+	request := target.part.Request("pool")
+	before := target.agent.Number()
+	_, err := target.part.Accept(peer.learner.Serve(&request))
 	assert.NilError(t, err)
-	assert.Assert(t, one.agent.Number() >= before)
-	if one.agent.Number() > 0 {
-		assert.Equal(t, one.agent.Current().Pool("pool").Limit, int(one.agent.Number()))
+	assert.Assert(t, target.agent.Number() >= before)
+	if target.agent.Number() > 0 {
+		assert.Equal(t, target.agent.Current().Pool("pool").Limit, int(target.agent.Number()))
 	}
 }
 
-func verify(t *rapid.T, one *process) {
-	now := one.holder.Number()
-	assert.Assert(t, now >= one.highest, "went back from %d to %d", one.highest, now)
-	one.highest = now
+func verify(t *rapid.T, target *process) {
+	now := target.holder.Number()
+	assert.Assert(t, now >= target.highest, "release went back from %d to %d", target.highest, now)
+	target.highest = now
 	if now > 0 {
-		assert.Equal(t, one.holder.Current().Pool("pool").Limit, int(now), "content of another release")
+		assert.Equal(t, target.holder.Current().Pool("pool").Limit, int(now), "manifest belongs to another release")
 	}
 }
--- a/internal/share/spread/part.go
+++ b/internal/share/spread/part.go
@@ -11,30 +11,30 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// Names that a peer can ask for.
+// Names of documents in a wire.Fetch.
 const (
-	// HeadName asks for the head document.
+	// HeadName is the name of the head document.
 	HeadName = ""
-	// partPrefix is followed by a pool: what an agent of that pool needs.
+	// partPrefix is followed by a pool. The document is the Part for its agents.
 	partPrefix = "part/"
 )
 
-// PartName returns the name under which an agent asks for its part.
+// PartName returns the name of the document with the Part for a pool.
 func PartName(pool string) string { return partPrefix + pool }
 
-// Part is what an agent needs of the configuration. Most changes leave it as
-// it is, so an agent that asks for a newer release mostly gets a few bytes
-// that say so.
+// Part is the part of a configuration that the agents of one pool need. Most
+// releases don't change it. Then the answer to an agent holds only the release
+// and the digest, a few bytes.
 type Part struct {
 	Manifest      manif.Manifest  `json:"manifest"`
 	Zones         []Zone          `json:"zones,omitempty"`
 	LeftEndpoints []head.Endpoint `json:"leftEndpoints,omitempty"`
 }
 
-// partOf cuts out the part of a release that agents of a pool need:
-// their pool, the zones, and the organisations whose share or priority is not
-// the default.
-func partOf(release *Release, pool string) *Part {
+// newPart returns the part of a release that the agents of a pool need: their
+// pool, the zones, and the organisations whose weight or priority is not the
+// default.
+func newPart(release *Release, pool string) *Part {
 	part := &Part{Zones: release.Zones}
 	part.Manifest.AvailabilityZones = release.Manifest.AvailabilityZones
 	if p := release.Pool(pool); p != nil {
@@ -47,15 +47,15 @@
 			})
 		}
 	}
-	for _, left := range release.LeftEndpoints {
-		if left.Pool == pool {
-			part.LeftEndpoints = append(part.LeftEndpoints, left)
+	for _, endpoint := range release.LeftEndpoints {
+		if endpoint.Pool == pool {
+			part.LeftEndpoints = append(part.LeftEndpoints, endpoint)
 		}
 	}
 	return part
 }
 
-// SamePart reports that the agents of a pool need the same of both releases.
+// SamePart reports whether both releases have the same Part for a pool.
 func SamePart(old, next *Release, pool string) bool {
 	if old == nil || next == nil {
 		return old == next
@@ -63,24 +63,25 @@
 	return bytes.Equal(partBytes(old, pool), partBytes(next, pool))
 }
 
-// Serve answers a peer from the configuration in force here.
+// Serve returns the document that a peer requested, from the newest
+// configuration accepted here.
 func (l *Learner) Serve(fetch *wire.Fetch) *wire.Section {
 	answer := &wire.Section{Name: fetch.Name}
 	l.mu.Lock()
-	held := l.newest
+	current := l.newest
 	l.mu.Unlock()
-	if held == nil {
+	if current == nil {
 		return answer
 	}
-	answer.Release = held.head.Release
+	answer.Release = current.head.Release
 	var raw []byte
 	switch pool, isPart := strings.CutPrefix(fetch.Name, partPrefix); {
 	case fetch.Name == HeadName:
-		raw = held.raw
+		raw = current.raw
 	case isPart:
-		raw = held.part(pool)
+		raw = current.part(pool)
 	default:
-		raw, _ = held.section(head.Ref{Name: fetch.Name, Digest: head.Digest(fetch.Digest)})
+		raw, _ = current.section(head.Ref{Name: fetch.Name, Digest: head.Digest(fetch.Digest)})
 	}
 	if raw == nil {
 		return answer
@@ -93,26 +94,26 @@
 	return answer
 }
 
-// part returns the part of a pool, worked out once a release: each agent of
-// the pool asks for the same.
+// part returns the encoded part for a pool. It is computed once per release,
+// since each agent of the pool requests the same one.
 func (d *document) part(pool string) []byte {
-	raw, known := d.parts.Load(pool)
-	if !known {
+	raw, found := d.parts.Load(pool)
+	if !found {
 		raw, _ = d.parts.LoadOrStore(pool, partBytes(d.release, pool))
 	}
 	return raw.([]byte)
 }
 
 func partBytes(release *Release, pool string) []byte {
-	raw, err := json.Marshal(partOf(release, pool))
+	raw, err := json.Marshal(newPart(release, pool))
 	if err != nil {
-		return nil // plain data that came from JSON always encodes
+		return nil // can't happen: the data was decoded from JSON
 	}
 	return raw
 }
 
-// PartHolder keeps an agent's part in force, under the same rule as a Learner:
-// only a strictly newer release changes anything.
+// PartHolder keeps the part that is in force in an agent. As in a Learner, only
+// a newer release takes effect.
 type PartHolder struct {
 	holder *Holder
 
@@ -121,17 +122,17 @@
 	digest uint64
 }
 
-// NewPartHolder returns a part holder that publishes to a holder.
+// NewPartHolder returns a part holder that publishes releases to a holder.
 func NewPartHolder(holder *Holder) *PartHolder { return &PartHolder{holder: holder} }
 
-// Request returns what to ask a peer for.
+// Request returns the request to a peer for the part for a pool.
 func (p *PartHolder) Request(pool string) wire.Fetch {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return wire.Fetch{Name: PartName(pool), Digest: p.digest}
 }
 
-// Accept puts a peer's answer in force.
+// Accept puts the part in a peer's answer in force if its release is newer.
 func (p *PartHolder) Accept(answer *wire.Section) (Verdict, error) {
 	if !answer.Found || answer.Release == 0 {
 		return Incomplete, nil
--- a/internal/share/spread/release.go
+++ b/internal/share/spread/release.go
@@ -1,5 +1,6 @@
-// Package spread holds the configuration in force in this process and never
-// lets it go back to an older release.
+// Package spread keeps the configuration release that is in force in this
+// process, and fetches newer ones from the platform and from peers. An older
+// release never replaces a newer one.
 package spread
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// ZoneState is what operators want of an availability zone.
+// ZoneState is the state that operators set for an availability zone.
 type ZoneState = head.ZoneState
 
 // States of an availability zone.
@@ -19,17 +20,18 @@
 	ZoneReturning = head.ZoneReturning
 )
 
-// Zone is the operators' decision on one availability zone.
+// Zone is the state of an availability zone, with the operator who set it.
 type Zone = head.Zone
 
-// Release is one accepted configuration. It is immutable: a request keeps the
-// release it began with.
+// Release is one accepted configuration. It is immutable: a request uses the
+// same release from start to end.
 type Release struct {
-	// Number grows with each accepted change; a rollback is a new number.
+	// Number grows with each accepted change. A rollback also gets a new number.
 	Number   uint64
 	Manifest *manif.Manifest
 	Zones    []Zone
-	// LeftEndpoints are taken out by operators, besides those in the manifest.
+	// LeftEndpoints are the endpoints that operators took out of use by a
+	// command. The pools of the manifest list further ones.
 	LeftEndpoints []head.Endpoint
 
 	services      map[string]*manif.Service
@@ -37,18 +39,18 @@
 	pools         map[string]*manif.Pool
 	organisations map[string]*manif.Organisation
 	byTokenHash   map[string]*manif.Organisation
-	left          map[string]bool
+	evacuated     map[string]bool
 }
 
-// Option changes a Release while it is built.
+// Option configures a Release.
 type Option func(*Release)
 
-// WithLeftEndpoints adds the endpoints that operators took out by a command.
+// WithLeftEndpoints sets the endpoints that operators took out of use by a command.
 func WithLeftEndpoints(left []head.Endpoint) Option {
 	return func(r *Release) { r.LeftEndpoints = left }
 }
 
-// New indexes a checked manifest as a release.
+// New returns a release with indexes over a manifest that passed the checks.
 func New(number uint64, manifest *manif.Manifest, zones []Zone, opts ...Option) *Release {
 	r := &Release{
 		Number: number, Manifest: manifest, Zones: zones,
@@ -57,7 +59,7 @@
 		pools:         make(map[string]*manif.Pool, len(manifest.Pools)),
 		organisations: make(map[string]*manif.Organisation, len(manifest.Organisations)),
 		byTokenHash:   make(map[string]*manif.Organisation, len(manifest.Organisations)),
-		left:          make(map[string]bool),
+		evacuated:     make(map[string]bool),
 	}
 	for i := range manifest.Services {
 		r.services[manifest.Services[i].Name] = &manifest.Services[i]
@@ -71,7 +73,7 @@
 	r.indexOrganisations()
 	for _, zone := range zones {
 		if zone.State == ZoneLeft {
-			r.left[zone.Name] = true
+			r.evacuated[zone.Name] = true
 		}
 	}
 	for _, opt := range opts {
@@ -105,10 +107,11 @@
 // ByTokenHash returns the organisation whose token has this SHA-256 hash, or nil.
 func (r *Release) ByTokenHash(hash string) *manif.Organisation { return r.byTokenHash[hash] }
 
-// ZoneEvacuated reports whether operators took the availability zone out.
-func (r *Release) ZoneEvacuated(zone string) bool { return r.left[zone] }
+// ZoneEvacuated reports whether operators took the availability zone out of use.
+func (r *Release) ZoneEvacuated(zone string) bool { return r.evacuated[zone] }
 
-// EndpointDisabled reports whether operators took the endpoint out.
+// EndpointDisabled reports whether operators took the endpoint out of use, by a
+// command or in the manifest.
 func (r *Release) EndpointDisabled(pool, endpoint string) bool {
 	for i := range r.LeftEndpoints {
 		if r.LeftEndpoints[i].Pool == pool && r.LeftEndpoints[i].Endpoint == endpoint {
@@ -127,16 +130,16 @@
 	return false
 }
 
-// Holder publishes the release in force by read-copy-update: readers on the
-// path of a request take no lock.
+// Holder publishes the release in force. Readers take no lock, since each
+// request reads it.
 type Holder struct {
 	current atomic.Pointer[Release]
 }
 
-// Current returns the release in force, or nil before the first.
+// Current returns the release in force, or nil if there is none yet.
 func (h *Holder) Current() *Release { return h.current.Load() }
 
-// Number returns the number of the release in force, 0 before the first.
+// Number returns the number of the release in force, or 0 if there is none yet.
 func (h *Holder) Number() uint64 {
 	if r := h.current.Load(); r != nil {
 		return r.Number
@@ -144,10 +147,10 @@
 	return 0
 }
 
-// Accept puts a release in force if it is strictly newer, and reports whether
-// it did. A stale read, a late watch event, a peer with old news or a restored
-// store would otherwise bring an old configuration back, and a zone that was
-// taken out would get work again.
+// Accept puts a release in force if its number is higher than the current one,
+// and reports whether it did. Stale reads, late watch events, peers that are
+// behind and a store restored from a backup all offer old releases. Accepting
+// one could send work to an evacuated zone again.
 func (h *Holder) Accept(next *Release) bool {
 	for {
 		current := h.current.Load()
