--- a/internal/share/roster/choose.go
+++ b/internal/share/roster/choose.go
@@ -11,28 +11,28 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// maxWatchers is how many entries wait on a watch of the head object. Each
-// waiting watch counts as a call, so their number must not grow with the
-// fleet; the others hear from their peers within a few hops.
+// maxWatchers is the number of entries that watch the head object. Each open
+// watch counts as a platform call, so the number must not grow with the fleet.
+// The other entries get changes from their peers within a few hops.
 const maxWatchers = 8
 
-// place is one host on a ring.
-type place struct {
+// position is one host on a ring.
+type position struct {
 	hash uint64
 	host store.Host
 }
 
-// ring is hosts in the order of the hashes of their names: an order that has
-// nothing to do with how operators name hosts, so neighbours on it stand in
+// ring holds hosts, sorted by the hash of their names. This order does not
+// depend on how operators name hosts, so neighbours on the ring usually are in
 // different racks and zones.
-type ring []place
+type ring []position
 
 func newRing(hosts []store.Host) ring {
 	r := make(ring, 0, len(hosts))
 	for _, host := range hosts {
-		r = append(r, place{hash: xxhash.Sum64String(host.Name), host: host})
+		r = append(r, position{hash: xxhash.Sum64String(host.Name), host: host})
 	}
-	slices.SortFunc(r, func(a, b place) int {
+	slices.SortFunc(r, func(a, b position) int {
 		if order := cmp.Compare(a.hash, b.hash); order != 0 {
 			return order
 		}
@@ -41,62 +41,64 @@
 	return r
 }
 
-// rank returns the place of a name on the ring, or where it would stand.
-func (r ring) rank(name string) int {
+// index returns the index of a name on the ring, or that at which it would be
+// inserted.
+func (r ring) index(name string) int {
 	hash := xxhash.Sum64String(name)
 	return sort.Search(len(r), func(i int) bool { return r[i].hash >= hash })
 }
 
-// arc returns size hosts from a place on.
+// arc returns size consecutive hosts, beginning at index start.
 func (r ring) arc(start, size int) []store.Host {
 	size = min(size, len(r))
-	taken := make([]store.Host, 0, size)
+	hosts := make([]store.Host, 0, size)
 	for i := range size {
-		taken = append(taken, r[(start+i)%len(r)].host)
+		hosts = append(hosts, r[(start+i)%len(r)].host)
 	}
-	return taken
+	return hosts
 }
 
-func inZone(hosts []store.Host, zone string) (near, far []store.Host) {
+func splitByZone(hosts []store.Host, zone string) (local, remote []store.Host) {
 	for _, host := range hosts {
 		if host.AvailabilityZone == zone {
-			near = append(near, host)
+			local = append(local, host)
 			continue
 		}
-		far = append(far, host)
+		remote = append(remote, host)
 	}
-	return near, far
+	return local, remote
 }
 
-// Subset returns the endpoints of a pool that one entry keeps sessions to. The
-// entries share the ring of endpoints evenly by their own rank, so each
-// endpoint is held by the same number of entries, give or take one or two:
-// drawing at random instead leaves some endpoints to nobody. Up to three
-// quarters are in the entry's zone, the rest keep the way out of it open.
+// Subset returns the endpoints of a pool to which an entry holds sessions. The
+// arcs of the entries are spread evenly over the ring of endpoints, so the
+// numbers of entries per endpoint differ by one or two. With a random choice,
+// some endpoints would get no entry at all. Up to three quarters of the subset
+// are in the entry's zone. The rest are in other zones, so that work can leave
+// the zone.
 func Subset(self store.Host, entries, endpoints []store.Host, size int) []store.Host {
 	if len(endpoints) <= size {
 		return newRing(endpoints).arc(0, size)
 	}
-	near, far := inZone(endpoints, self.AvailabilityZone)
-	nearEntries, _ := inZone(entries, self.AvailabilityZone)
-	nearSize := min(len(near), size*3/4)
-	farSize := min(len(far), size-nearSize)
-	nearSize = min(len(near), size-farSize)
-	chosen := share(self, nearEntries, near, nearSize)
-	return append(chosen, share(self, entries, far, farSize)...)
+	local, remote := splitByZone(endpoints, self.AvailabilityZone)
+	localEntries, _ := splitByZone(entries, self.AvailabilityZone)
+	localSize := min(len(local), size*3/4)
+	remoteSize := min(len(remote), size-localSize)
+	localSize = min(len(local), size-remoteSize)
+	chosen := subsetArc(self, localEntries, local, localSize)
+	return append(chosen, subsetArc(self, entries, remote, remoteSize)...)
 }
 
-// share cuts this entry's arc out of the ring of endpoints.
-func share(self store.Host, entries, endpoints []store.Host, size int) []store.Host {
+// subsetArc returns the arc of the ring of endpoints that belongs to self.
+func subsetArc(self store.Host, entries, endpoints []store.Host, size int) []store.Host {
 	if len(endpoints) == 0 || size == 0 {
 		return nil
 	}
-	sharers := newRing(withSelf(self, entries))
-	start := sharers.rank(self.Name) * len(endpoints) / len(sharers)
+	all := newRing(withSelf(self, entries))
+	start := all.index(self.Name) * len(endpoints) / len(all)
 	return newRing(endpoints).arc(start, size)
 }
 
-// withSelf adds this process: the platform's list lags and may not have it yet.
+// withSelf adds self to the entries if it is missing: the platform's list lags.
 func withSelf(self store.Host, entries []store.Host) []store.Host {
 	for _, entry := range entries {
 		if entry.Name == self.Name {
@@ -106,39 +108,40 @@
 	return append(slices.Clone(entries), self)
 }
 
-// IsWatcher reports whether an entry is one of the few that watch the head. They
-// stand evenly on the ring, so that nobody is far from one. Entries with
-// different lists may disagree for a while; then there are a few watches more
-// or fewer.
+// IsWatcher reports whether an entry is one of the few that watch the head. The
+// watchers are spaced evenly on the ring, so that no entry is far from one. While
+// the lists of entries differ, there can be a few watchers more or fewer.
 func IsWatcher(self store.Host, entries []store.Host) bool {
 	r := newRing(withSelf(self, entries))
-	own := r.rank(self.Name)
+	own := r.index(self.Name)
 	if own == 0 || len(r) <= maxWatchers {
 		return true
 	}
 	return own*maxWatchers/len(r) != (own-1)*maxWatchers/len(r)
 }
 
-// Peers returns the entries that an entry keeps sessions to: its successor, so
-// that the ring is closed, and some at growing distances, so that news reaches
-// everyone within a few hops. Each entry is also dialled by as many.
+// Peers returns the entries to which an entry opens sessions: its successor, so
+// that the ring is closed, and some at growing distances, so that a change
+// reaches every entry within a few hops. About as many entries open a session to
+// this one.
 func Peers(self store.Host, entries []store.Host) []store.Host {
 	r := newRing(withSelf(self, entries))
-	own := r.rank(self.Name)
+	own := r.index(self.Name)
 	var peers []store.Host
 	for _, distance := range distances(len(r)) {
 		host := r[(own+distance)%len(r)].host
-		known := slices.ContainsFunc(peers, func(h store.Host) bool { return h.Name == host.Name })
-		if host.Name != self.Name && !known {
+		added := slices.ContainsFunc(peers, func(h store.Host) bool { return h.Name == host.Name })
+		if host.Name != self.Name && !added {
 			peers = append(peers, host)
 		}
 	}
 	return peers
 }
 
-// distances returns how far on a ring of that length the peers are. Between
-// two watchers lie length/maxWatchers entries: one long jump, a few middle and
-// a few single steps cross that. The last leads to the other side.
+// distances returns the distances to the peers on a ring of that length. There
+// are length/maxWatchers entries between two watchers: one long, a few medium
+// and a few single steps cross them. The last distance leads to the opposite
+// side of the ring.
 func distances(length int) []int {
 	segment := float64(length) / maxWatchers
 	return []int{1, int(math.Sqrt(segment)), int(segment / 2), length / 2}
--- a/internal/share/roster/roster.go
+++ b/internal/share/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster knows who is alive: from the platform's lagging list of
-// hosts, from what sessions show, and from what peers say. No process holds
-// the full list of endpoints; an entry keeps, of each pool, those that it
-// holds sessions to.
+// Package roster keeps the hosts that an entry uses: the other entries, and the
+// endpoints of each pool to which it holds sessions. The sources are the
+// platform's list of hosts, which lags, the state of sessions, and the lists of
+// peers. No process keeps the full list of endpoints.
 package roster
 
 import (
@@ -16,78 +16,82 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Defaults and spans of a Roster.
+// Defaults and intervals of a Roster.
 const (
-	// DefaultSize is how many endpoints of a pool an entry holds sessions to.
+	// DefaultSize is the number of endpoints of a pool to which an entry holds
+	// sessions.
 	DefaultSize = 24
 	pageLimit   = 200
-	// A list is read again after a span that grows with the length of all lists
-	// together, so that the bytes a second stay the same: some 3,600 at 150
-	// bytes a host. A small deployment notices within 2 to 3 s that the platform
-	// takes a host away, one of 12,000 endpoints within 9 minutes: there the
-	// agent's own word, which comes at once, has to do.
-	refreshLeast   = 2 * clock.Second
-	refreshPerHost = 42 * clock.Millis(1)
-	retryAfter     = 1 * clock.Second
-	// suspectFor is how long a lost endpoint is only suspected: it gets no work
-	// without a session, but keeps its place. After that the next one on the
-	// ring takes the place, for deadFor.
-	suspectFor = 30 * clock.Second
-	deadFor    = 2 * clock.Minute
-	tick       = 500 * clock.Millis(1)
+	// The interval between two reads of a list grows with the total length of
+	// all lists, so that the traffic stays constant: some 3,600 bytes/s at 150
+	// bytes per host. In a small deployment a process notices within 2 to 3 s
+	// that the platform removes a host, with 12,000 endpoints within 9 minutes.
+	// In a large deployment it learns of it earlier from the agent itself, which
+	// announces at once that it is leaving.
+	minRefreshInterval = 2 * clock.Second
+	refreshPerHost     = 42 * clock.Millis(1)
+	retryInterval      = 1 * clock.Second
+	// suspectTimeout is how long an endpoint without a session is only suspected.
+	// It gets no work, but stays in the subset. After that the next endpoint on
+	// the ring replaces it for deadTimeout.
+	suspectTimeout = 30 * clock.Second
+	deadTimeout    = 2 * clock.Minute
+	stepInterval   = 500 * clock.Millis(1)
 )
 
 const entriesPool = ""
 
-// Roster keeps the hosts that this process needs to know.
+// Roster keeps the hosts that this process uses.
 type Roster struct {
 	self     store.Host
 	platform *store.Store
 	clock    *clock.Clock
 	size     int
-	// pools returns the pools that are wanted; it is asked at each tick.
+	// pools returns the names of the pools in use. It is called at each step.
 	pools func() []string
-	// changed is told the endpoints to hold sessions to, pool by pool, and
-	// under the empty name the entries.
+	// changed is called with the hosts to which the process must hold sessions:
+	// the endpoints of a pool or, with an empty pool, the entries.
 	changed func(pool string, hosts []store.Host)
 
 	mu      sync.Mutex
 	lists   map[string]*list
-	tracked map[string]*track
-	kick    chan struct{}
+	tracked map[string]*sessionState
+	trigger chan struct{}
 
 	refreshes *prometheus.CounterVec
 	listed    prometheus.Counter
 }
 
-// list is what is known of one pool, or of the entries.
+// list is the state of one pool, or of the entries.
 type list struct {
-	hosts []store.Host
-	due   clock.Millis
-	// listed is how many hosts the platform named last.
+	hosts    []store.Host
+	nextRead clock.Millis
+	// listed is the number of hosts in the platform's last answer.
 	listed int
-	// chosen was told last.
+	// chosen are the hosts last passed to changed.
 	chosen []store.Host
 }
 
-// Option changes a Roster while it is built.
+// Option configures a Roster.
 type Option func(*Roster)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(r *Roster) { r.clock = c } }
 
-// WithSize sets how many endpoints of each pool are wanted.
+// WithSize sets the number of endpoints of each pool to hold sessions to.
 func WithSize(size int) Option { return func(r *Roster) { r.size = size } }
 
-// WithPools sets the source of the pools that are wanted.
+// WithPools sets the function that returns the names of the pools in use.
 func WithPools(pools func() []string) Option { return func(r *Roster) { r.pools = pools } }
 
-// WithChanged sets who is told which sessions to hold. It must not block.
+// WithChanged sets a function that is called if the hosts of a pool change to
+// which the process must hold sessions. An empty pool stands for the entries. It
+// must not block.
 func WithChanged(changed func(pool string, hosts []store.Host)) Option {
 	return func(r *Roster) { r.changed = changed }
 }
 
-// WithRegisterer publishes the counters.
+// WithRegisterer registers the metrics.
 func WithRegisterer(reg prometheus.Registerer) Option {
 	return func(r *Roster) { reg.MustRegister(r.refreshes, r.listed) }
 }
@@ -99,8 +103,8 @@
 		pools:   func() []string { return nil },
 		changed: func(string, []store.Host) {},
 		lists:   make(map[string]*list),
-		tracked: make(map[string]*track),
-		kick:    make(chan struct{}, 1),
+		tracked: make(map[string]*sessionState),
+		trigger: make(chan struct{}, 1),
 		refreshes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "jujubescale_roster_refreshes_total",
 			Help: "Reads of the list of hosts by outcome.",
@@ -116,32 +120,32 @@
 	return r
 }
 
-// Run keeps the lists fresh until the context ends.
+// Run refreshes the lists until the context ends.
 func (r *Roster) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.Step(ctx)
-		due, stop := r.clock.After(tick)
+		due, stop := r.clock.After(stepInterval)
 		select {
 		case <-due:
-		case <-r.kick:
+		case <-r.trigger:
 		case <-ctx.Done():
 		}
 		stop()
 	}
 }
 
-// Step reads the lists that are due and tells what changed.
+// Step reads the lists that are due and reports changes through WithChanged.
 func (r *Roster) Step(ctx context.Context) {
-	r.expire()
+	r.replaceLost()
 	for _, pool := range append([]string{entriesPool}, r.pools()...) {
 		r.refresh(ctx, pool)
 	}
 }
 
-// Trigger makes Run look at once, for instance for a pool that has just become wanted.
+// Trigger makes Run take a step at once, for instance after a pool was added.
 func (r *Roster) Trigger() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -157,17 +161,17 @@
 
 func (r *Roster) refresh(ctx context.Context, pool string) {
 	r.mu.Lock()
-	due := r.clock.Now() >= r.list(pool).due
+	due := r.clock.Now() >= r.list(pool).nextRead
 	r.mu.Unlock()
 	if due {
 		hosts, err := r.read(ctx, pool)
-		r.note(pool, hosts, err)
+		r.update(pool, hosts, err)
 	}
-	r.choose(pool)
+	r.notify(pool)
 }
 
-// read pages through the hosts of one pool. Only those of this pool are held
-// while they are read, and only the chosen ones afterwards.
+// read returns all hosts of one pool, page by page. The full list is only kept
+// until the subset has been chosen.
 func (r *Roster) read(ctx context.Context, pool string) ([]store.Host, error) {
 	query := store.HostQuery{Role: "agent", Pool: pool, Limit: pageLimit}
 	if pool == entriesPool {
@@ -188,31 +192,31 @@
 	}
 }
 
-// note takes in a list. When the platform can't be used, what is known stays:
-// an outage alone must not take endpoints away.
-func (r *Roster) note(pool string, listed []store.Host, err error) {
+// update applies the result of a read. If the read failed, the previous hosts
+// stay: an outage of the platform alone must not remove endpoints.
+func (r *Roster) update(pool string, listed []store.Host, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.list(pool)
 	if err != nil {
 		r.refreshes.WithLabelValues("unavailable").Inc()
-		l.due = r.clock.Now() + retryAfter/2 + rand.N(retryAfter)
+		l.nextRead = r.clock.Now() + retryInterval/2 + rand.N(retryInterval)
 		return
 	}
 	r.refreshes.WithLabelValues("ok").Inc()
 	l.listed = len(listed)
-	span := max(refreshLeast, clock.Millis(r.listedInAll())*refreshPerHost)
-	l.due = r.clock.Now() + span*3/4 + rand.N(span/2)
-	live := notLeaving(listed)
+	interval := max(minRefreshInterval, clock.Millis(r.totalListed())*refreshPerHost)
+	l.nextRead = r.clock.Now() + interval*3/4 + rand.N(interval/2)
+	live := excludeLeaving(listed)
 	if pool == entriesPool {
 		l.hosts = r.merge(listed, live, l.hosts)
 		return
 	}
-	chosen := Subset(r.self, r.list(entriesPool).hosts, r.notDead(live), r.size)
+	chosen := Subset(r.self, r.list(entriesPool).hosts, r.excludeDead(live), r.size)
 	l.hosts = r.merge(listed, chosen, l.hosts)
 }
 
-func (r *Roster) listedInAll() int {
+func (r *Roster) totalListed() int {
 	total := 0
 	for _, l := range r.lists {
 		total += l.listed
@@ -220,28 +224,29 @@
 	return total
 }
 
-// notLeaving drops the hosts that the platform is about to take away. Their
-// agents may not know of it yet; work sent there would be cut with the host.
-func notLeaving(hosts []store.Host) []store.Host {
+// excludeLeaving drops the hosts that the platform is about to remove. Their
+// agents may not know it yet, and work sent there would be aborted with the host.
+func excludeLeaving(hosts []store.Host) []store.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h store.Host) bool { return h.State == store.HostLeaving })
 }
 
-// merge keeps hosts with an open session although the list lacks them: the
-// list lags, and a session shows that the process lives. What the list names
-// as leaving is dropped all the same; the session ends when its work has.
+// merge returns chosen and those hosts of old that have an open session but are
+// missing from listed. The platform's list lags, and the session shows that the
+// process runs. A host that is listed as leaving is not kept. Its session ends
+// after its last work.
 func (r *Roster) merge(listed, chosen, old []store.Host) []store.Host {
 	merged := slices.Clone(chosen)
 	for _, host := range old {
-		known := slices.ContainsFunc(listed, func(h store.Host) bool { return h.Address == host.Address })
-		if !known && r.isOpen(host.Address) {
+		found := slices.ContainsFunc(listed, func(h store.Host) bool { return h.Address == host.Address })
+		if !found && r.isOpen(host.Address) {
 			merged = append(merged, host)
 		}
 	}
 	return merged
 }
 
-// choose tells which sessions to hold when that changed.
-func (r *Roster) choose(pool string) {
+// notify calls changed if the hosts to hold sessions to have changed.
+func (r *Roster) notify(pool string) {
 	r.mu.Lock()
 	l := r.list(pool)
 	chosen := l.hosts
@@ -256,17 +261,18 @@
 	}
 }
 
-// Entries returns the entries that are known.
+// Entries returns the known entries.
 func (r *Roster) Entries() []store.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.list(entriesPool).hosts)
 }
 
-// IsWatcher reports whether this process is one of the few that watch the head.
+// IsWatcher reports whether this process is one of the few that watch the head
+// for all entries.
 func (r *Roster) IsWatcher() bool { return IsWatcher(r.self, r.Entries()) }
 
-// Endpoints returns the endpoints of a pool that this process holds sessions to.
+// Endpoints returns the endpoints of a pool to which this process holds sessions.
 func (r *Roster) Endpoints(pool string) []store.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/share/roster/roster_test.go
+++ b/internal/share/roster/roster_test.go
@@ -25,10 +25,10 @@
 	return made
 }
 
-// An endpoint that no entry holds a session to is paid for and gets no work; one
-// that all hold is the one that falls over. Every endpoint must be held about
-// equally often, whatever the numbers of entries and endpoints.
-func TestEveryEndpointIsHeldAboutEquallyOften(t *testing.T) {
+// An endpoint in no entry's subset gets no work, and one in too many subsets is
+// overloaded. Every endpoint must be in about the same number of subsets,
+// whatever the numbers of entries and endpoints.
+func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
 	cases := []struct{ entries, endpoints, zones, size int }{
 		{3, 5, 3, 24},
 		{10, 100, 4, 24},
@@ -38,27 +38,27 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%d entries, %d endpoints", c.entries, c.endpoints), func(t *testing.T) {
 			entries, endpoints := hosts("entry", c.entries, c.zones), hosts("agent", c.endpoints, c.zones)
-			held := make(map[string]int)
+			subsets := make(map[string]int)
 			for _, entry := range entries {
 				chosen := roster.Subset(entry, entries, endpoints, c.size)
 				assert.Equal(t, len(chosen), min(c.size, c.endpoints))
 				for _, host := range chosen {
-					held[host.Name]++
+					subsets[host.Name]++
 				}
 			}
 			least, most := c.entries, 0
 			for _, host := range endpoints {
-				least, most = min(least, held[host.Name]), max(most, held[host.Name])
+				least, most = min(least, subsets[host.Name]), max(most, subsets[host.Name])
 			}
 			mean := c.entries * min(c.size, c.endpoints) / c.endpoints
-			t.Logf("held by %d to %d entries, mean %d", least, most, mean)
+			t.Logf("each endpoint is in %d to %d subsets, mean %d", least, most, mean)
 			assert.Assert(t, least >= 1 && most <= 2*mean+2)
 		})
 	}
 }
 
-// One endpoint joins. If every entry chose anew, all sessions would be opened
-// again at once, all over the fleet.
+// An endpoint joins. If the subsets changed completely, the whole fleet would
+// open all sessions again at once.
 func TestSubsetStaysMostlyTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := hosts("entry", rapid.IntRange(1, 60).Draw(t, "entries"), 4)
@@ -76,14 +76,14 @@
 	})
 }
 
-// News must reach every entry over the peers' sessions when only a few watch,
-// or a zone stays in use on the entries that were left out.
-func TestNewsReachesEveryEntry(t *testing.T) {
+// Only a few entries watch the head. A release must reach all others over the
+// sessions between peers, or entries that miss it go on using an evacuated zone.
+func TestReleaseReachesEveryEntry(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 8, 50, 200, 500} {
 		entries := hosts("entry", count, 5)
 		links := make(map[string][]string)
 		reached := make(map[string]bool)
-		var front []string
+		var frontier []string
 		watchers := 0
 		for _, entry := range entries {
 			for _, peer := range roster.Peers(entry, entries) {
@@ -93,13 +93,13 @@
 			if roster.IsWatcher(entry, entries) {
 				watchers++
 				reached[entry.Name] = true
-				front = append(front, entry.Name)
+				frontier = append(frontier, entry.Name)
 			}
 		}
 		hops := 0
-		for ; len(reached) < count && len(front) > 0; hops++ {
+		for ; len(reached) < count && len(frontier) > 0; hops++ {
 			var next []string
-			for _, name := range front {
+			for _, name := range frontier {
 				for _, peer := range links[name] {
 					if !reached[peer] {
 						reached[peer] = true
@@ -107,7 +107,7 @@
 					}
 				}
 			}
-			front = next
+			frontier = next
 		}
 		t.Logf("%d entries: %d watch, %d hops", count, watchers, hops)
 		assert.Equal(t, len(reached), count)
@@ -116,7 +116,7 @@
 	}
 }
 
-// platform is a list of hosts that can fail.
+// platform returns a fixed list of hosts, or an error.
 type platform struct {
 	hosts []store.Host
 	err   error
@@ -136,24 +136,24 @@
 	}}
 }
 
-// bench runs a roster step by step.
-type bench struct {
+// harness runs a roster step by step with a fake clock.
+type harness struct {
 	fake   *clock.Fake
 	roster *roster.Roster
-	want   map[string][]store.Host
+	chosen map[string][]store.Host
 }
 
-func newBench(p *platform, size int) *bench {
-	b := &bench{fake: clock.NewFake(1), want: make(map[string][]store.Host)}
+func newHarness(p *platform, size int) *harness {
+	b := &harness{fake: clock.NewFake(1), chosen: make(map[string][]store.Host)}
 	b.roster = roster.New(store.Host{Name: "entry-0", Role: "entry"}, p.store(),
 		roster.WithClock(b.fake.Clock()), roster.WithSize(size),
 		roster.WithPools(func() []string { return []string{"p"} }),
-		roster.WithChanged(func(pool string, hosts []store.Host) { b.want[pool] = hosts }))
+		roster.WithChanged(func(pool string, hosts []store.Host) { b.chosen[pool] = hosts }))
 	return b
 }
 
-// after moves the clock and lets the roster look once.
-func (b *bench) after(span clock.Millis) {
+// stepAfter advances the clock and takes one step.
+func (b *harness) stepAfter(span clock.Millis) {
 	b.fake.Advance(span)
 	b.roster.Step(context.Background())
 }
@@ -166,76 +166,77 @@
 	return made
 }
 
-// The platform's store goes down for an hour. Its list of hosts fails or comes
-// back empty; the endpoints are all still there and must keep their sessions.
-func TestOutageTakesNoEndpointAway(t *testing.T) {
+// The platform's store is down for an hour. Reads of its list of hosts fail, and
+// later return an empty list. All endpoints still run and must keep their
+// sessions.
+func TestPlatformOutageKeepsEndpoints(t *testing.T) {
 	p := &platform{hosts: agents(4)}
-	b := newBench(p, 24)
-	b.after(1)
-	assert.Equal(t, len(b.want["p"]), 4)
+	b := newHarness(p, 24)
+	b.stepAfter(1)
+	assert.Equal(t, len(b.chosen["p"]), 4)
 	for _, host := range p.hosts {
 		b.roster.SessionOpened(host.Address, 1)
 	}
 	p.err = &store.UnavailableError{}
-	b.after(clock.Hour)
-	assert.Equal(t, len(b.want["p"]), 4)
+	b.stepAfter(clock.Hour)
+	assert.Equal(t, len(b.chosen["p"]), 4)
 	p.hosts, p.err = nil, nil
-	b.after(clock.Hour)
-	assert.Equal(t, len(b.want["p"]), 4, "sessions show that they live")
+	b.stepAfter(clock.Hour)
+	assert.Equal(t, len(b.chosen["p"]), 4, "endpoints with an open session stay")
 }
 
-// A host fails for good. Its place goes to another endpoint, but not at the
-// first lost session: a restart takes seconds and must not move sessions.
-func TestSuspectedBeforeDead(t *testing.T) {
+// A host fails for good and is replaced by another endpoint, but not as soon as
+// its session is lost: a restart takes seconds and must not move sessions.
+func TestLostEndpointIsReplacedAfterTimeout(t *testing.T) {
 	p := &platform{hosts: agents(40)}
-	b := newBench(p, 8)
-	b.after(1)
-	for _, host := range b.want["p"] {
+	b := newHarness(p, 8)
+	b.stepAfter(1)
+	for _, host := range b.chosen["p"] {
 		b.roster.SessionOpened(host.Address, 1)
 	}
-	lost := b.want["p"][0]
+	lost := b.chosen["p"][0]
 	b.roster.SessionEnded(lost.Address)
-	b.after(20 * clock.Second)
-	assert.Assert(t, slices.Contains(b.want["p"], lost))
-	b.after(11 * clock.Second)
-	b.after(1)
-	assert.Assert(t, !slices.Contains(b.want["p"], lost))
-	assert.Assert(t, len(b.want["p"]) >= 8)
+	b.stepAfter(20 * clock.Second)
+	assert.Assert(t, slices.Contains(b.chosen["p"], lost))
+	b.stepAfter(11 * clock.Second)
+	b.stepAfter(1)
+	assert.Assert(t, !slices.Contains(b.chosen["p"], lost))
+	assert.Assert(t, len(b.chosen["p"]) >= 8)
 }
 
-// This process was paused for a minute and finds all its sessions lost. The
-// others are well; it must not give them all up.
-func TestPausedProcessDoesNotDeclareOthersDead(t *testing.T) {
+// This process was paused for a minute and lost all its sessions. The endpoints
+// still run, and it must not replace them.
+func TestPausedProcessKeepsEndpoints(t *testing.T) {
 	p := &platform{hosts: agents(40)}
-	b := newBench(p, 8)
-	b.after(1)
-	before := b.want["p"]
+	b := newHarness(p, 8)
+	b.stepAfter(1)
+	before := b.chosen["p"]
 	for _, host := range before {
 		b.roster.SessionOpened(host.Address, 1)
 		b.roster.SessionEnded(host.Address)
 	}
-	b.after(clock.Minute)
-	b.after(clock.Minute)
-	assert.DeepEqual(t, b.want["p"], before)
+	b.stepAfter(clock.Minute)
+	b.stepAfter(clock.Minute)
+	assert.DeepEqual(t, b.chosen["p"], before)
 }
 
 func TestNewIncarnationUnderTheSameAddress(t *testing.T) {
-	b := newBench(&platform{}, 8)
+	b := newHarness(&platform{}, 8)
 	assert.Assert(t, !b.roster.SessionOpened("a", 1))
 	assert.Assert(t, !b.roster.SessionOpened("a", 1))
 	assert.Assert(t, b.roster.SessionOpened("a", 2))
 }
 
-// A process starts while the platform is down: a peer tells it who is there.
-func TestHostsFromAPeer(t *testing.T) {
+// A process starts while the platform is down. It gets the hosts from a peer.
+func TestHostsImportedFromPeer(t *testing.T) {
 	p := &platform{hosts: agents(3)}
-	peer := newBench(p, 8)
-	peer.after(1)
+	peer := newHarness(p, 8)
+	peer.stepAfter(1)
 	raw, err := peer.roster.Export("p")
 	assert.NilError(t, err)
-	own := newBench(&platform{err: &store.UnavailableError{}}, 8)
-	own.after(1)
-	assert.Assert(t, own.roster.Missing("p"))
-	assert.NilError(t, own.roster.Import("p", raw))
-	assert.Equal(t, len(own.want["p"]), 3)
+	importer := newHarness(&platform{err: &store.UnavailableError{}}, 8)
+	importer.stepAfter(1)
+	assert.Assert(t, importer.roster.Missing("p"))
+	assert.NilError(t, importer.roster.Import("p", raw))
+	assert.Equal(t, len(importer.chosen["p"]), 3)
 }
--- a/internal/share/roster/track.go
+++ b/internal/share/roster/track.go
@@ -8,36 +8,37 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// track is what sessions show of one address.
-type track struct {
+// sessionState is the state of the sessions to one address.
+type sessionState struct {
 	open int
-	// lost is when the last session ended, 0 while one is open.
-	lost clock.Millis
-	// dead is until when another endpoint takes the place.
-	dead clock.Millis
-	// incarnation tells a restarted process under the same address apart.
+	// lostAt is when the last session ended, or 0 while one is open.
+	lostAt clock.Millis
+	// deadUntil is the time until which another endpoint replaces this one.
+	deadUntil clock.Millis
+	// incarnation differs after a restart of the process at this address.
 	incarnation token.Incarnation
 }
 
-// SessionOpened notes a session to an address. It reports whether a new incarnation
-// of the process answers there: what was known of the old one is void.
+// SessionOpened records a session to an address. It reports whether the process
+// there has restarted, which invalidates all state of its earlier incarnation.
 func (r *Roster) SessionOpened(address string, incarnation token.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tracked[address]
 	if t == nil {
-		t = &track{}
+		t = &sessionState{}
 		r.tracked[address] = t
 	}
 	restarted := t.incarnation != 0 && t.incarnation != incarnation
 	t.open++
-	t.lost, t.dead = 0, 0
+	t.lostAt, t.deadUntil = 0, 0
 	t.incarnation = incarnation
 	return restarted
 }
 
-// SessionEnded notes the end of a session. The process there is suspected: it gets no
-// work without a session, but it may merely have been cut off or restarted.
+// SessionEnded records the end of a session. The process at the address is
+// suspected from now on: without a session it gets no work, but it may only be
+// unreachable or restarting.
 func (r *Roster) SessionEnded(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 	t.open = max(0, t.open-1)
 	if t.open == 0 {
-		t.lost = r.clock.Now()
+		t.lostAt = r.clock.Now()
 	}
 }
 
@@ -56,75 +57,77 @@
 	return t != nil && t.open > 0
 }
 
-func (r *Roster) notDead(hosts []store.Host) []store.Host {
+func (r *Roster) excludeDead(hosts []store.Host) []store.Host {
 	now := r.clock.Now()
 	var alive []store.Host
 	for _, host := range hosts {
-		if t := r.tracked[host.Address]; t == nil || now >= t.dead {
+		if t := r.tracked[host.Address]; t == nil || now >= t.deadUntil {
 			alive = append(alive, host)
 		}
 	}
 	return alive
 }
 
-// expire turns suspicion into death and looks for replacements. While most
-// sessions are lost the fault is probably here: this process was paused or cut
-// off, and giving up its endpoints would only move it to others.
-func (r *Roster) expire() {
+// replaceLost marks endpoints that were suspected for suspectTimeout as dead, so
+// that others replace them. It replaces none while most sessions are lost. Then
+// the fault is probably in this process, which was paused or is unreachable,
+// and its sessions to other endpoints would fail too.
+func (r *Roster) replaceLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	var suspects []*list
-	lost, all := 0, 0
+	lost, total := 0, 0
 	for pool, l := range r.lists {
 		for _, host := range l.hosts {
 			t := r.tracked[host.Address]
 			if pool == entriesPool || t == nil {
 				continue
 			}
-			all++
+			total++
 			if t.open == 0 {
 				lost++
 			}
-			if t.open == 0 && now >= t.lost+suspectFor && now >= t.dead && l.listed > r.size {
+			if t.open == 0 && now >= t.lostAt+suspectTimeout && now >= t.deadUntil && l.listed > r.size {
 				suspects = append(suspects, l)
 			}
 		}
 	}
-	if lost*2 > all {
+	if lost*2 > total {
 		return
 	}
 	for _, l := range suspects {
-		r.replace(l, now)
+		r.markDead(l, now)
 	}
-	r.forget(now)
+	r.prune(now)
 }
 
-func (r *Roster) replace(l *list, now clock.Millis) {
-	l.due = now
+func (r *Roster) markDead(l *list, now clock.Millis) {
+	l.nextRead = now
 	for _, host := range l.hosts {
-		if t := r.tracked[host.Address]; t != nil && t.open == 0 && now >= t.lost+suspectFor {
-			t.dead = now + deadFor
+		if t := r.tracked[host.Address]; t != nil && t.open == 0 && now >= t.lostAt+suspectTimeout {
+			t.deadUntil = now + deadTimeout
 		}
 	}
 }
 
-// forget drops what is known of addresses that are on no list any more.
-func (r *Roster) forget(now clock.Millis) {
+// prune deletes the state of addresses that had no session for a long time.
+func (r *Roster) prune(now clock.Millis) {
 	for address, t := range r.tracked {
-		if t.open == 0 && now >= max(t.lost+suspectFor, t.dead)+deadFor {
+		if t.open == 0 && now >= max(t.lostAt+suspectTimeout, t.deadUntil)+deadTimeout {
 			delete(r.tracked, address)
 		}
 	}
 }
 
-// export is what a peer is told: the entries, and the endpoints of one pool.
+// export is the message to a peer with the known hosts of one pool, or with the
+// entries.
 type export struct {
 	Hosts []store.Host `json:"hosts"`
 }
 
-// Export returns the hosts of a pool that are known here, for a peer that
-// starts while the platform can't be used. The empty name exports the entries.
+// Export returns the known hosts of a pool, encoded for a peer that starts while
+// the platform is unavailable. An empty pool exports the entries.
 func (r *Roster) Export(pool string) ([]byte, error) {
 	r.mu.Lock()
 	hosts := r.list(pool).hosts
@@ -132,24 +135,24 @@
 	return json.Marshal(export{Hosts: hosts})
 }
 
-// Import takes in what a peer exported, as long as the platform has not
-// answered here.
+// Import adds the hosts that a peer exported, unless the platform has already
+// listed the pool.
 func (r *Roster) Import(pool string, raw []byte) error {
-	var said export
-	if err := json.Unmarshal(raw, &said); err != nil {
+	var imported export
+	if err := json.Unmarshal(raw, &imported); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	l := r.list(pool)
 	if l.listed == 0 {
-		l.hosts = r.merge(said.Hosts, said.Hosts, l.hosts)
+		l.hosts = r.merge(imported.Hosts, imported.Hosts, l.hosts)
 	}
 	r.mu.Unlock()
-	r.choose(pool)
+	r.notify(pool)
 	return nil
 }
 
-// Missing reports that nothing is known of a pool yet.
+// Missing reports whether no host of a pool is known.
 func (r *Roster) Missing(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
