--- a/internal/share/node/agent.go
+++ b/internal/share/node/agent.go
@@ -10,26 +10,26 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Agent is the sharing of an agent: its part of the configuration comes over
-// the sessions of entries, so it spends no watch of the platform.
+// Agent is the node of an agent. It gets its part of the configuration over the
+// sessions that entries open, so it needs no watch of the platform.
 type Agent struct {
 	base
 	part *spread.PartHolder
 }
 
-// NewAgent returns the sharing of an agent at a place.
+// NewAgent returns the node of an agent at a place.
 func NewAgent(place avail.Place, holder *spread.Holder, opts ...Option) *Agent {
-	a := &Agent{base: newBase(collect(opts), place, holder), part: spread.NewPartHolder(holder)}
-	a.catch = peer.NewSyncer(a.clock, holder.Number, a.learn, nil)
-	a.peers = peer.New(holder.Number, peer.WithNewerRelease(a.catch.NewerRelease), peer.WithBeat(a.beat))
+	a := &Agent{base: newBase(newOptions(opts), place, holder), part: spread.NewPartHolder(holder)}
+	a.syncer = peer.NewSyncer(a.clock, holder.Number, a.fetchPart, nil)
+	a.peers = peer.New(holder.Number, peer.WithNewerRelease(a.syncer.NewerRelease), peer.WithBeat(a.handleBeat))
 	return a
 }
 
-func (a *Agent) learn(ctx context.Context, s *sess.Session) error {
+func (a *Agent) fetchPart(ctx context.Context, s *sess.Session) error {
 	before := a.holder.Number()
 	err := a.peers.FetchPart(ctx, s, a.place.Pool, a.part)
 	if err != nil {
-		a.log.Warn("part of the configuration not taken", "peer", s.Peer().Process, "error", err)
+		a.log.Warn("part of the configuration not accepted", "peer", s.Peer().Process, "error", err)
 	}
 	if current := a.holder.Current(); current != nil && current.Number > before {
 		a.accepted(current)
@@ -37,17 +37,17 @@
 	return err
 }
 
-// Run shares until the context ends; Done then closes.
+// Run starts the node. It stops when the context ends; see Done.
 func (a *Agent) Run(ctx context.Context) { a.run(ctx) }
 
-// SessionOpened takes in a session of an entry.
-func (a *Agent) SessionOpened(s *sess.Session) { a.opened(s) }
+// SessionOpened adds a session of an entry.
+func (a *Agent) SessionOpened(s *sess.Session) { a.sessionOpened(s) }
 
-// SessionClosed forgets a session.
+// SessionClosed removes a session.
 func (a *Agent) SessionClosed(s *sess.Session) { a.peers.Remove(s) }
 
-// HandleFrame looks at each frame that arrives and reports whether it concerned the
-// sharing alone.
+// HandleFrame must be called for each frame that arrives. It reports whether the
+// frame needs no other handling.
 func (a *Agent) HandleFrame(s *sess.Session, frame *wire.Frame) bool {
 	return a.peers.HandleFrame(s, frame)
 }
--- a/internal/share/node/entry.go
+++ b/internal/share/node/entry.go
@@ -19,89 +19,91 @@
 )
 
 const (
-	// gatherLimit is how long a start waits for the slower of platform and
-	// peers once it has a configuration.
-	gatherLimit = 1 * clock.Second
-	gatherStep  = 10 * clock.Millis(1)
-	importEvery = 500 * clock.Millis(1)
-	// announceAll is the number of sessions up to which every peer is told of
-	// every release. Beyond it, agents whose part is the same hear of the
-	// number with the next message.
-	announceAll = 64
-	// askRoster is followed by a pool; a peer answers with the hosts it knows.
-	askRoster = "roster/"
+	// gatherTimeout is how long the start waits for the platform and a peer to
+	// answer, once it has a configuration.
+	gatherTimeout  = 1 * clock.Second
+	gatherInterval = 10 * clock.Millis(1)
+	importInterval = 500 * clock.Millis(1)
+	// maxAnnounceAll is the number of sessions up to which every release is sent
+	// to every peer. With more sessions, agents whose part is unchanged get the
+	// release number with the next frame.
+	maxAnnounceAll = 64
+	// rosterPrefix is followed by a pool. The document holds the hosts of the pool
+	// that a peer knows.
+	rosterPrefix = "roster/"
 )
 
-// Entry is the sharing of an entry: it follows the platform or its peers,
-// serves both peers and agents, and says which sessions to hold.
+// Entry is the node of an entry. It gets the configuration from the platform or
+// from peers, serves it to peers and agents, and chooses the sessions to hold.
 type Entry struct {
 	base
 	learner  *spread.Learner
 	follower *spread.Follower
 	roster   *roster.Roster
 	links    *peer.Links
-	// address is this process's own, which it does not dial.
-	address  string
-	told     atomic.Bool
-	read     atomic.Bool
-	previous atomic.Pointer[spread.Release]
+	// address is the process's own address, which it must not dial.
+	address          string
+	peerAnswered     atomic.Bool
+	platformAnswered atomic.Bool
+	previous         atomic.Pointer[spread.Release]
 }
 
-// NewEntry returns the sharing of an entry. A caller must be given.
+// NewEntry returns the node of an entry. The option WithCaller is required.
 func NewEntry(self store.Host, holder *spread.Holder, opts ...Option) *Entry {
-	e := &Entry{base: newBase(collect(opts), avail.Place{AvailabilityZone: self.AvailabilityZone}, holder), address: self.Address}
+	e := &Entry{base: newBase(newOptions(opts), avail.Place{AvailabilityZone: self.AvailabilityZone}, holder), address: self.Address}
 	e.learner = spread.NewLearner(holder, spread.WithCheck(e.check),
-		spread.WithAccepted(e.inForce), spread.WithRegisterer(e.registerer))
+		spread.WithAccepted(e.releaseAccepted), spread.WithRegisterer(e.registerer))
 	e.roster = roster.New(self, e.caller.Store(call.Roster), roster.WithClock(e.clock),
-		roster.WithPools(e.pools), roster.WithChanged(e.sessions), roster.WithSize(e.sizeOr(roster.DefaultSize)),
+		roster.WithPools(e.pools), roster.WithChanged(e.updateSessions), roster.WithSize(e.sizeOr(roster.DefaultSize)),
 		roster.WithRegisterer(e.registerer))
 	e.follower = spread.NewFollower(e.learner, e.caller.Store(call.Zone), e.caller.Store(call.Config),
 		spread.WithWatch(e.roster.IsWatcher), spread.WithFollowClock(e.clock), spread.WithFollowLog(e.log),
 		spread.WithFollowRegisterer(e.registerer))
-	e.catch = peer.NewSyncer(e.clock, e.learner.Number, e.learn, e.follower.Trigger)
-	e.peers = peer.New(holder.Number, peer.WithServe(e.serve), peer.WithNewerRelease(e.catch.NewerRelease), peer.WithBeat(e.beat))
+	e.syncer = peer.NewSyncer(e.clock, e.learner.Number, e.fetchConfig, e.follower.Trigger)
+	e.peers = peer.New(holder.Number, peer.WithServe(e.serve), peer.WithNewerRelease(e.syncer.NewerRelease), peer.WithBeat(e.handleBeat))
 	e.links = peer.NewLinks(e.clock, e.dial)
 	return e
 }
 
-func (e *Entry) sizeOr(otherwise int) int {
+func (e *Entry) sizeOr(defaultSize int) int {
 	if e.size == 0 {
-		return otherwise
+		return defaultSize
 	}
 	return e.size
 }
 
-// Run shares until the context ends; Done then closes.
+// Run starts the node. It stops when the context ends; see Done.
 func (e *Entry) Run(ctx context.Context) {
-	e.want(ctx, e.seeds)
-	e.run(ctx, e.start, e.follower.Run, func(ctx context.Context) {
+	e.setPeers(ctx, e.seeds)
+	e.run(ctx, e.gather, e.follower.Run, func(ctx context.Context) {
 		e.roster.Run(ctx)
 		e.links.Wait()
 	}, e.importHosts)
 }
 
-// start gathers the newest configuration of the platform and of peers before
-// one comes into force: a stale read alone would bring an old one back.
-func (e *Entry) start(ctx context.Context) {
+// gather waits for the newest configuration from the platform and from peers
+// before one comes into force. A single read can be stale and return an old one.
+func (e *Entry) gather(ctx context.Context) {
 	e.group.Go(func() {
 		_, answered := e.follower.Read(ctx)
-		e.read.Store(answered)
+		e.platformAnswered.Store(answered)
 	})
-	limit := e.clock.Now() + gatherLimit
+	deadline := e.clock.Now() + gatherTimeout
 	for {
-		heard := e.read.Load() && (len(e.seeds) == 0 || e.told.Load())
-		if e.learner.Number() > 0 && (heard || e.clock.Now() >= limit) {
+		complete := e.platformAnswered.Load() && (len(e.seeds) == 0 || e.peerAnswered.Load())
+		if e.learner.Number() > 0 && (complete || e.clock.Now() >= deadline) {
 			break
 		}
-		if e.clock.Sleep(ctx, gatherStep) != nil {
+		if e.clock.Sleep(ctx, gatherInterval) != nil {
 			return
 		}
 	}
 	e.learner.Activate()
 }
 
-// inForce tells the peers and the owner of a new release.
-func (e *Entry) inForce(release *spread.Release) {
+// releaseAccepted passes a new release to the callback and announces it to the
+// peers.
+func (e *Entry) releaseAccepted(release *spread.Release) {
 	old := e.previous.Swap(release)
 	e.accepted(release)
 	e.roster.Trigger()
@@ -110,7 +112,7 @@
 	for _, s := range sessions {
 		pool := s.Peer().Pool
 		if _, known := changed[pool]; !known {
-			changed[pool] = pool == "" || len(sessions) <= announceAll || !spread.SamePart(old, release, pool)
+			changed[pool] = pool == "" || len(sessions) <= maxAnnounceAll || !spread.SamePart(old, release, pool)
 		}
 		if changed[pool] {
 			peer.SendRelease(s)
@@ -118,9 +120,10 @@
 	}
 }
 
-// learn takes the configuration of a peer that showed a newer release. An
-// agent holds only a part, so the platform is asked instead.
-func (e *Entry) learn(ctx context.Context, s *sess.Session) error {
+// fetchConfig gets the configuration from a peer that has a newer release. An
+// agent has only a part of it, so in that case the head is read from the
+// platform.
+func (e *Entry) fetchConfig(ctx context.Context, s *sess.Session) error {
 	if s.Peer().Role == RoleAgent {
 		e.follower.Trigger()
 		if e.learner.Number() == 0 {
@@ -131,56 +134,56 @@
 	}
 	err := e.peers.FetchConfig(ctx, s, e.learner)
 	if err != nil {
-		e.log.Debug("configuration of peer not taken", "peer", s.Peer().Process, "error", err)
+		e.log.Debug("configuration of peer not accepted", "peer", s.Peer().Process, "error", err)
 	}
 	return err
 }
 
 func (e *Entry) serve(fetch *wire.Fetch) *wire.Section {
-	pool, asked := strings.CutPrefix(fetch.Name, askRoster)
-	if !asked {
+	pool, isRoster := strings.CutPrefix(fetch.Name, rosterPrefix)
+	if !isRoster {
 		return e.learner.Serve(fetch)
 	}
 	raw, err := e.roster.Export(pool)
 	return &wire.Section{Name: fetch.Name, Found: err == nil, Bytes: raw}
 }
 
-// SessionOpened takes in a session to any process at an address (host:port; empty
-// when the peer dialled).
+// SessionOpened adds a session to a process. The address (host:port) is empty if
+// the peer dialled.
 func (e *Entry) SessionOpened(s *sess.Session, address string) {
 	if e.roster.SessionOpened(address, s.Peer().Incarnation) {
 		e.log.Info("process restarted", "process", s.Peer().Process, "address", address)
 	}
-	e.opened(s)
+	e.sessionOpened(s)
 }
 
-// SessionClosed forgets a session.
+// SessionClosed removes a session.
 func (e *Entry) SessionClosed(s *sess.Session, address string) {
 	e.peers.Remove(s)
 	e.roster.SessionEnded(address)
 }
 
-// NewerRelease notes that a peer showed a newer release.
-func (e *Entry) NewerRelease(s *sess.Session, release uint64) { e.catch.NewerRelease(s, release) }
+// NewerRelease records that a peer has a newer release.
+func (e *Entry) NewerRelease(s *sess.Session, release uint64) { e.syncer.NewerRelease(s, release) }
 
-// HandleFrame takes the frames of a session to an agent that belong to no request.
+// HandleFrame handles a frame from an agent that belongs to no request.
 func (e *Entry) HandleFrame(s *sess.Session, frame *wire.Frame) { e.peers.HandleFrame(s, frame) }
 
-// take looks at each frame of a session to another entry.
-func (e *Entry) take(s *sess.Session, frame *wire.Frame) {
-	e.told.Store(true)
+// handlePeerFrame handles each frame from another entry.
+func (e *Entry) handlePeerFrame(s *sess.Session, frame *wire.Frame) {
+	e.peerAnswered.Store(true)
 	e.peers.HandleFrame(s, frame)
 }
 
-// Accept serves a session that another entry opens. It returns when the
-// session has ended.
+// Accept serves a session that another entry opens. It returns after the session
+// has ended.
 func (e *Entry) Accept(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	s, err := sess.Accept(ctx, w, r, e.sessionOptions()...)
 	if err != nil {
 		e.log.Warn("session refused", "from", r.RemoteAddr, "error", err)
 		return
 	}
-	e.opened(s)
+	e.sessionOpened(s)
 	<-s.Done()
 	e.peers.Remove(s)
 }
@@ -188,10 +191,10 @@
 func (e *Entry) sessionOptions() []sess.Option {
 	return append(slices.Clone(e.session),
 		sess.WithClock(e.clock), sess.WithRelease(e.holder.Number), sess.WithOutside(e.Outside),
-		sess.WithHandler(e.take))
+		sess.WithHandler(e.handlePeerFrame))
 }
 
-// dial holds one session to another entry until it ends.
+// dial opens a session to another entry and waits until it ends.
 func (e *Entry) dial(ctx context.Context, address string) error {
 	s, err := sess.Dial(ctx, address, e.sessionOptions()...)
 	if err != nil {
@@ -203,8 +206,9 @@
 	return nil
 }
 
-// sessions passes on which sessions to hold: those to entries are held here.
-func (e *Entry) sessions(pool string, hosts []store.Host) {
+// updateSessions receives the hosts to hold sessions to. It passes endpoints on to
+// the callback and connects to the entries itself.
+func (e *Entry) updateSessions(pool string, hosts []store.Host) {
 	if pool != "" {
 		e.endpoints(pool, hosts)
 		return
@@ -216,14 +220,14 @@
 			addresses = append(addresses, host.Address)
 		}
 	}
-	e.want(context.Background(), addresses)
+	e.setPeers(context.Background(), addresses)
 }
 
-func (e *Entry) want(ctx context.Context, addresses []string) {
+func (e *Entry) setPeers(ctx context.Context, addresses []string) {
 	e.links.SetAddresses(ctx, slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == e.address }))
 }
 
-// pools returns the pools that pipelines and services use.
+// pools returns the names of all pools in the manifest.
 func (e *Entry) pools() []string {
 	release := e.holder.Current()
 	if release == nil {
@@ -236,10 +240,10 @@
 	return names
 }
 
-// importHosts asks peers for hosts while the platform has not named any: a
-// process that starts during an outage of the platform gets them there.
+// importHosts requests hosts from peers for each pool without known hosts, so
+// that a process can start during an outage of the platform.
 func (e *Entry) importHosts(ctx context.Context) {
-	for e.clock.Sleep(ctx, importEvery) == nil {
+	for e.clock.Sleep(ctx, importInterval) == nil {
 		for _, pool := range e.pools() {
 			if e.roster.Missing(pool) {
 				e.importPool(ctx, pool)
@@ -253,10 +257,10 @@
 		if s.Peer().Role != RoleEntry {
 			continue
 		}
-		answer, err := e.peers.Fetch(ctx, s, wire.Fetch{Name: askRoster + pool})
+		answer, err := e.peers.Fetch(ctx, s, wire.Fetch{Name: rosterPrefix + pool})
 		if err == nil && answer.Found {
 			if err := e.roster.Import(pool, answer.Bytes); err != nil {
-				e.log.Warn("hosts of peer not taken", "peer", s.Peer().Process, "error", err)
+				e.log.Warn("hosts of peer not imported", "peer", s.Peer().Process, "error", err)
 			}
 		}
 	}
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -1,6 +1,7 @@
-// Package node puts the sharing parts together for one process: it learns the
-// configuration in force, knows who is alive, notices that it is cut off, and
-// does so over the sessions that the process has anyway.
+// Package node runs the exchange of configuration and of host lists in one
+// process, over the sessions to other processes that exist anyway. It keeps the
+// configuration in force and the hosts to use, and detects that the process has
+// no contact outside its availability zone.
 package node
 
 import (
@@ -24,22 +25,23 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Roles of processes in a hello.
+// Roles of processes in a wire.Hello.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
 )
 
 const (
-	// probeEvery is the least span between two rounds of probes.
-	probeEvery = 500 * clock.Millis(1)
-	// probePlatform is the silence after which the platform is asked too.
-	probePlatform = 2 * clock.Second
-	probeOutside  = 2
-	probeInside   = 1
+	// probeInterval is the minimum interval between two rounds of probes.
+	probeInterval = 500 * clock.Millis(1)
+	// platformProbeAfter is the time without contact after which the platform is
+	// probed too.
+	platformProbeAfter = 2 * clock.Second
+	probesOutside      = 2
+	probesInside       = 1
 )
 
-// Option changes a node while it is built.
+// Option configures an Entry or an Agent.
 type Option func(*options)
 
 type options struct {
@@ -61,7 +63,8 @@
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithCaller sets the way to the platform. An agent may do without.
+// WithCaller sets the caller for the platform. An entry needs one, an agent
+// doesn't.
 func WithCaller(caller *call.Caller) Option { return func(o *options) { o.caller = caller } }
 
 // WithCheck sets the check that a manifest must pass before it takes effect.
@@ -69,33 +72,34 @@
 	return func(o *options) { o.check = check }
 }
 
-// WithRegisterer publishes the counters.
+// WithRegisterer registers the metrics.
 func WithRegisterer(r prometheus.Registerer) Option { return func(o *options) { o.registerer = r } }
 
-// WithSeeds sets addresses (host:port) of entries to ask when the platform
-// can't name any.
+// WithSeeds sets addresses (host:port) of entries. The process keeps sessions to
+// them, so that it has peers even if the platform lists none.
 func WithSeeds(addresses []string) Option { return func(o *options) { o.seeds = addresses } }
 
 // WithSession sets the options of sessions to other entries, such as hello,
 // TLS and dialer.
 func WithSession(session ...sess.Option) Option { return func(o *options) { o.session = session } }
 
-// WithEndpoints sets who holds the sessions to endpoints: it is told, pool by
-// pool, which ones. It must not block.
+// WithEndpoints sets a function that is called with the endpoints of a pool to
+// which sessions must be held. It must not block.
 func WithEndpoints(endpoints func(pool string, hosts []store.Host)) Option {
 	return func(o *options) { o.endpoints = endpoints }
 }
 
-// WithAccepted sets who is told of each release that comes into force. It must
-// not block.
+// WithAccepted sets a function that is called with each release that comes into
+// force. It must not block.
 func WithAccepted(accepted func(*spread.Release)) Option {
 	return func(o *options) { o.accepted = accepted }
 }
 
-// WithSize sets how many endpoints of each pool the process holds sessions to.
+// WithSize sets the number of endpoints of each pool to which the process holds
+// sessions.
 func WithSize(size int) Option { return func(o *options) { o.size = size } }
 
-func collect(opts []Option) options {
+func newOptions(opts []Option) options {
 	o := options{
 		clock: clock.New(), log: log.Default(), registerer: prometheus.NewRegistry(),
 		check:     func(*manif.Manifest) error { return nil },
@@ -108,30 +112,30 @@
 	return o
 }
 
-// base is what both kinds of processes have.
+// base is the common part of Entry and Agent.
 type base struct {
 	options
-	place  avail.Place
-	holder *spread.Holder
-	reach  *avail.Contact
-	peers  *peer.Set
-	catch  *peer.Syncer
-	probed clock.Millis
-	group  sync.WaitGroup
-	done   chan struct{}
+	place     avail.Place
+	holder    *spread.Holder
+	contact   *avail.Contact
+	peers     *peer.Set
+	syncer    *peer.Syncer
+	lastProbe clock.Millis
+	group     sync.WaitGroup
+	done      chan struct{}
 }
 
 func newBase(o options, place avail.Place, holder *spread.Holder) base {
 	return base{
 		options: o, place: place, holder: holder,
-		reach: avail.NewContact(o.clock, place.AvailabilityZone),
-		done:  make(chan struct{}),
+		contact: avail.NewContact(o.clock, place.AvailabilityZone),
+		done:    make(chan struct{}),
 	}
 }
 
-// run starts the loops and closes done after all of them have ended.
+// run starts the loops. It closes done after all of them have ended.
 func (b *base) run(ctx context.Context, loops ...func(context.Context)) {
-	for _, loop := range append(loops, b.catch.Run, b.watchReach) {
+	for _, loop := range append(loops, b.syncer.Run, b.watchContact) {
 		b.group.Go(func() { loop(ctx) })
 	}
 	go func() {
@@ -140,75 +144,81 @@
 	}()
 }
 
-// Done closes once all goroutines have ended after the context of Run.
+// Done returns a channel that is closed once the context of Run and then all
+// goroutines have ended.
 func (b *base) Done() <-chan struct{} { return b.done }
 
-// opened takes in a session to any process.
-func (b *base) opened(s *sess.Session) {
+// sessionOpened adds a session to any process. If no configuration is in force
+// yet, it requests one on this session.
+func (b *base) sessionOpened(s *sess.Session) {
 	b.peers.Add(s)
 	if b.holder.Number() == 0 {
-		b.catch.NewerRelease(s, 1)
+		b.syncer.NewerRelease(s, 1)
 	}
 }
 
-// RefusalReason returns the reason why this process takes no new work now; false
-// when it takes work.
+// RefusalReason returns the reason why this process accepts no new work now, or
+// false if it accepts work.
 func (b *base) RefusalReason() (fault.Reason, bool) {
-	return b.place.RefusalReason(b.holder.Current(), b.reach)
+	return b.place.RefusalReason(b.holder.Current(), b.contact)
 }
 
-// Outside is what heartbeats say of this process's reach; see wire.Beat.
-func (b *base) Outside() clock.Millis { return b.reach.Age() + 1 }
+// Outside returns the value for the field Outside of a wire.Beat: the time since
+// this process last had contact outside its zone, plus 1 ms, since 0 means that
+// the time is not given.
+func (b *base) Outside() clock.Millis { return b.contact.Age() + 1 }
 
-// beat takes in what a peer says of its own reach.
-func (b *base) beat(s *sess.Session, beat *wire.Beat) {
+// handleBeat records the contact that a peer in the same zone has outside it.
+func (b *base) handleBeat(s *sess.Session, beat *wire.Beat) {
 	if beat.Outside > 0 && s.Peer().AvailabilityZone == b.place.AvailabilityZone {
-		b.reach.RecordIndirect(beat.Outside - 1)
+		b.contact.RecordIndirect(beat.Outside - 1)
 	}
 }
 
-// watchReach keeps the reach up to date and probes when it has been silent.
-func (b *base) watchReach(ctx context.Context) {
+// watchContact updates the contact state at each interval, sends probes after a
+// time without contact, and logs when the process becomes isolated or recovers.
+func (b *base) watchContact(ctx context.Context) {
 	isolated := false
 	for b.clock.Sleep(ctx, avail.CheckEvery) == nil {
-		b.lookAround()
-		if now := b.clock.Now(); b.reach.ProbeDue() && now-b.probed >= probeEvery {
-			b.probed = now
+		b.recordContact()
+		if now := b.clock.Now(); b.contact.ProbeDue() && now-b.lastProbe >= probeInterval {
+			b.lastProbe = now
 			b.probe(ctx)
 		}
-		if reason, refuses := b.RefusalReason(); (refuses && reason == fault.Isolated) != isolated {
+		if reason, refused := b.RefusalReason(); (refused && reason == fault.Isolated) != isolated {
 			isolated = !isolated
-			b.log.Warn("reach outside the availability zone changed", "isolated", isolated, "silentMs", b.reach.Age())
+			b.log.Warn("contact outside the availability zone changed", "isolated", isolated, "silentMs", b.contact.Age())
 		}
 	}
 }
 
-func (b *base) lookAround() {
+func (b *base) recordContact() {
 	for _, s := range b.peers.Sessions() {
-		b.reach.RecordPeer(s.Peer().AvailabilityZone, s.LastHeard())
+		b.contact.RecordPeer(s.Peer().AvailabilityZone, s.LastHeard())
 	}
 	if b.caller != nil {
-		b.reach.RecordPlatform(b.caller.Heard())
+		b.contact.RecordPlatform(b.caller.Heard())
 	}
 }
 
-// probe asks a few peers for a sign of life; idle sessions are silent for
-// longer than an isolated process may go on.
+// probe sends heartbeats to a few peers that they must answer, because an idle
+// session may be silent for longer than the time after which a process counts
+// as isolated. After platformProbeAfter it also reads the head from the platform.
 func (b *base) probe(ctx context.Context) {
 	sessions := b.peers.Sessions()
 	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] })
-	outside, inside := probeOutside, probeInside
+	outside, inside := probesOutside, probesInside
 	for _, s := range sessions {
-		left := &outside
+		remaining := &outside
 		if s.Peer().AvailabilityZone == b.place.AvailabilityZone {
-			left = &inside
+			remaining = &inside
 		}
-		if *left > 0 {
-			*left--
+		if *remaining > 0 {
+			*remaining--
 			_ = s.Send(&wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Outside: b.Outside()}})
 		}
 	}
-	if b.caller == nil || b.reach.Age() < probePlatform {
+	if b.caller == nil || b.contact.Age() < platformProbeAfter {
 		return
 	}
 	b.group.Go(func() {
--- a/internal/share/node/node_test.go
+++ b/internal/share/node/node_test.go
@@ -29,28 +29,28 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// fleet is entries' sharing parts on loopback, without the entries.
+// fleet is the nodes of several entries on loopback and a platform stand-in.
 type fleet struct {
 	platform *plat.Plat
 	operator *apply.Operator
 	holders  []*spread.Holder
-	// bytes counts what the sessions between entries carry, both ways.
+	// bytes counts the bytes of the sessions between entries, in both directions.
 	bytes atomic.Int64
 }
 
-// counted counts the bytes of a connection.
-type counted struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -61,10 +61,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &counted{Conn: conn, bytes: &f.bytes}, nil
+	return &countingConn{Conn: conn, bytes: &f.bytes}, nil
 }
 
-// manifest has the organisations of the size that decides the design.
+// manifest returns a manifest with organisations of realistic size, on which
+// the number of sections depends.
 func manifest(organisations, weight int) *manif.Manifest {
 	m := &manif.Manifest{AvailabilityZones: []string{"z0", "z1", "z2"}, Pools: []manif.Pool{{Name: "p"}}}
 	for i := range organisations {
@@ -119,7 +120,7 @@
 	return f
 }
 
-// wait waits until a release is in force everywhere.
+// wait waits until a release is in force in all processes.
 func (f *fleet) wait(tb testing.TB, release uint64) {
 	tb.Helper()
 	check := func(poll.LogT) poll.Result {
@@ -140,9 +141,8 @@
 	return result.Head.Release
 }
 
-// Only eight of twenty entries watch the platform. The others must hear of a
-// change from them, or a zone that was taken out stays in use there until the
-// slow read.
+// Only eight of twenty entries watch the platform. The others must get a change
+// from them, or they use an evacuated zone until their next read of the head.
 func TestChangeReachesEntriesThatDontWatch(t *testing.T) {
 	f := newFleet(t, 20, 3)
 	for weight := 2; weight < 5; weight++ {
@@ -151,9 +151,9 @@
 	assert.Assert(t, f.platform.Calls().Watches > 0)
 }
 
-// BenchmarkInForce measures a change of one organisation of 1,700: from the
-// operator's accepted write until it is in force, in how many platform calls,
-// and in how many bytes on the sessions of each process.
+// BenchmarkInForce changes one of 1,700 organisations. It measures the time from
+// the accepted write until the change is in force in each process, the number of
+// platform calls, and the bytes on the sessions of each process.
 func BenchmarkInForce(b *testing.B) {
 	const organisations = 1700
 	for _, size := range []int{10, 50, 200} {
@@ -180,17 +180,18 @@
 	}
 }
 
-// measure makes one change and returns how long each process took.
+// measure makes one change and returns how long it took to come into force in
+// each process.
 func (f *fleet) measure(b *testing.B, organisations, weight int) []time.Duration {
 	b.Helper()
 	release := f.change(b, organisations, weight)
 	accepted := time.Now()
 	spans := make([]time.Duration, len(f.holders))
-	for left := len(f.holders); left > 0; {
+	for remaining := len(f.holders); remaining > 0; {
 		for i, holder := range f.holders {
 			if spans[i] == 0 && holder.Number() >= release {
 				spans[i] = max(time.Since(accepted), 1)
-				left--
+				remaining--
 			}
 		}
 		time.Sleep(100 * time.Microsecond)
