--- a/internal/share/apply/apply.go
+++ b/internal/share/apply/apply.go
@@ -1,8 +1,9 @@
-// Package apply holds the operators' actions on the configuration: apply,
-// rollback, history, and taking availability zones and endpoints out and in.
-// Each action is one conditional update of the head object, so operators who
-// race lose cleanly, and each write is recognised by its nonce, so an action
-// whose answer is lost is neither repeated nor given up.
+// Package apply implements the operators' actions on the configuration: apply,
+// rollback, history, and taking availability zones and endpoints out of use and
+// back. Each action is one conditional update of the head object, so of several
+// operators at the same time only one succeeds and the others get a conflict.
+// Each write is identified by its nonce, so that an action whose answer is lost
+// is neither repeated nor reported as failed.
 package apply
 
 import (
@@ -23,31 +24,32 @@
 // Defaults of an Operator.
 const (
 	defaultTries = 8
-	firstPause   = 20 * clock.Millis(1)
+	minPause     = 20 * clock.Millis(1)
 	maxPause     = 2 * clock.Second
 )
 
-// Operator acts on the configuration in the platform's store.
+// Operator reads and changes the configuration in the platform's store.
 type Operator struct {
 	store *store.Store
 	clock *clock.Clock
 	tries int
-	// CheckFunc refuses an invalid manifest; nil accepts every one.
+	// CheckFunc returns an error for an invalid manifest. If it is nil, every
+	// manifest is accepted.
 	CheckFunc func(*manif.Manifest) error
-	// FleetFunc returns the newest release in force at any daemon that can be
-	// asked, 0 when none can. It finds out that the store was restored to an
-	// older state; nil skips that check.
+	// FleetFunc returns the newest release in force in any daemon that answers,
+	// or 0 if none does. It serves to detect that the store was restored to an
+	// older state. If it is nil, this is not checked.
 	FleetFunc func(ctx context.Context) uint64
-	// NonceFunc draws the nonce of a write.
+	// NonceFunc returns a random nonce for a write.
 	NonceFunc func() string
-	// WallFunc returns the wall clock for people.
+	// WallFunc returns the wall clock time that the history shows.
 	WallFunc func() time.Time
 }
 
-// Option changes an Operator while it is built.
+// Option configures an Operator.
 type Option func(*Operator)
 
-// WithClock replaces the clock.
+// WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(o *Operator) { o.clock = c } }
 
 // WithCheck sets the check that a manifest must pass.
@@ -55,19 +57,19 @@
 	return func(o *Operator) { o.CheckFunc = check }
 }
 
-// WithFleet sets the request for the newest release in force.
+// WithFleet sets the function that returns the newest release in force.
 func WithFleet(fleet func(ctx context.Context) uint64) Option {
 	return func(o *Operator) { o.FleetFunc = fleet }
 }
 
-// WithNonce replaces the source of nonces.
+// WithNonce sets the source of nonces.
 func WithNonce(nonce func() string) Option { return func(o *Operator) { o.NonceFunc = nonce } }
 
-// WithTries bounds how often one action is tried while the store can't be
-// used or other operators win.
+// WithTries sets how often an action is tried if the store is unavailable or
+// other operators write at the same time.
 func WithTries(tries int) Option { return func(o *Operator) { o.tries = tries } }
 
-// New returns an operator on a store.
+// New returns an operator for the configuration in a store.
 func New(platform *store.Store, opts ...Option) *Operator {
 	o := &Operator{
 		store: platform, clock: clock.New(), tries: defaultTries,
@@ -79,32 +81,33 @@
 	return o
 }
 
-// Change says who acts and why.
+// Change describes who makes a change, and why.
 type Change struct {
 	Who    string
 	Reason string
-	// Expected is the release the operator looked at; 0 means any. An apply
-	// collides when another operator changed the manifest since, a change of a
-	// zone or endpoint when another operator changed the same one.
+	// Expected is the release that the operator has seen, or 0 for any. An apply
+	// or a rollback fails with a conflict if another operator has changed the
+	// manifest since, a change of a zone if another operator has changed the
+	// same zone. A change of an endpoint is not checked for such conflicts.
 	Expected uint64
 }
 
-// Result is what an action came to. Changed is false when everything was as
-// wanted already.
+// Result is the result of an action. Changed is false if the configuration
+// already was as requested.
 type Result struct {
 	Head    *head.Head
 	Changed bool
 }
 
-// ConflictError says that other operators were first. Between holds their
-// releases, oldest first.
+// ConflictError is returned if other operators made conflicting changes since
+// the expected release. Between holds the releases since then, oldest first.
 type ConflictError struct {
 	Expected uint64
 	Current  uint64
 	Between  []*head.Head
 }
 
-// Error implements error, with who changed what.
+// Error implements error. The text lists who changed what.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("release is %d, not %d", e.Current, e.Expected)
 	for _, h := range e.Between {
@@ -113,9 +116,9 @@
 	return text
 }
 
-// StoreBehindError says that daemons have a newer release in force than the
-// store holds: the store was restored to an older state. The daemons write
-// their release back; an action before that would never take effect.
+// StoreBehindError is returned if daemons have a newer release in force than the
+// store holds, because the store was restored to an older state. The daemons
+// write their release back. A change made before that would never take effect.
 type StoreBehindError struct {
 	Store uint64
 	Fleet uint64
@@ -126,7 +129,7 @@
 	return fmt.Sprintf("store holds release %d but release %d is in force; wait until the daemons have written it back", e.Store, e.Fleet)
 }
 
-// NotFoundError says that a release, zone or pool doesn't exist.
+// NotFoundError is returned if a release, zone or pool doesn't exist.
 type NotFoundError struct {
 	Kind string
 	Name string
@@ -135,32 +138,33 @@
 // Error implements error.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
 
-// Config is one whole release.
+// Config is one release with its decoded manifest.
 type Config struct {
 	Head     *head.Head
 	Manifest *manif.Manifest
 }
 
-// Current reads the newest release; nil without error when there is none yet.
+// Current reads the newest release. It returns nil and no error if there is none
+// yet.
 func (o *Operator) Current(ctx context.Context) (*Config, error) {
 	current, _, err := o.read(ctx)
 	if err != nil || current == nil {
 		return nil, err
 	}
-	return o.whole(ctx, current)
+	return o.load(ctx, current)
 }
 
-// At reads an older release.
+// At reads the given release.
 func (o *Operator) At(ctx context.Context, release uint64) (*Config, error) {
 	h, err := o.headAt(ctx, release)
 	if err != nil {
 		return nil, err
 	}
-	return o.whole(ctx, h)
+	return o.load(ctx, h)
 }
 
-// Apply puts a manifest into force as a new release. The decisions on zones
-// and endpoints stay as they are.
+// Apply stores a manifest as a new release. Zones and endpoints that are out of
+// use stay so.
 func (o *Operator) Apply(ctx context.Context, manifest *manif.Manifest, change Change) (Result, error) {
 	if o.CheckFunc != nil {
 		if err := o.CheckFunc(manifest); err != nil {
@@ -172,8 +176,8 @@
 		return Result{}, err
 	}
 	return o.change(ctx, change, edit{
-		action: head.ActionApply,
-		needs:  sections,
+		action:      head.ActionApply,
+		newSections: sections,
 		collides: func(current *head.Head) bool {
 			return current.ManifestRelease > change.Expected && change.Expected != 0
 		},
@@ -185,9 +189,9 @@
 	})
 }
 
-// Rollback puts the manifest of an older release into force as a new release.
-// It leaves zones and endpoints as they are now: a rollback must not send work
-// into a zone that was taken out since.
+// Rollback stores the manifest of an older release as a new release. It doesn't
+// change zones and endpoints, since a rollback must not send work to a zone that
+// was evacuated in the meantime.
 func (o *Operator) Rollback(ctx context.Context, release uint64, change Change) (Result, error) {
 	old, err := o.headAt(ctx, release)
 	if err != nil {
@@ -215,7 +219,7 @@
 	return refs
 }
 
-func (o *Operator) whole(ctx context.Context, h *head.Head) (*Config, error) {
+func (o *Operator) load(ctx context.Context, h *head.Head) (*Config, error) {
 	raws := make([][]byte, 0, len(h.Sections))
 	for _, ref := range h.Sections {
 		object, err := o.get(ctx, ref.Object())
@@ -231,10 +235,10 @@
 	return &Config{Head: h, Manifest: manifest}, nil
 }
 
-// get reads with patience: an operator would rather wait two seconds than
-// read an error for one refused call.
+// get reads an object and retries while the store is unavailable, so that one
+// refused call doesn't fail the operator's command.
 func (o *Operator) get(ctx context.Context, name string) (store.Object, error) {
-	pause := firstPause
+	pause := minPause
 	for try := 1; ; try++ {
 		object, err := o.store.Get(ctx, name)
 		var unavailable *store.UnavailableError
--- a/internal/share/apply/query.go
+++ b/internal/share/apply/query.go
@@ -9,7 +9,7 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-const askAgain = 50 * clock.Millis(1)
+const askInterval = 50 * clock.Millis(1)
 
 // History returns the heads of the newest releases, newest first.
 func (o *Operator) History(ctx context.Context, limit int) ([]*head.Head, error) {
@@ -42,15 +42,15 @@
 	return heads, nil
 }
 
-// ProcessRelease is what one daemon says of the configuration it runs on.
+// ProcessRelease is the release that is in force in one daemon.
 type ProcessRelease struct {
 	Process string
 	Release uint64
-	// Cause says why the daemon could not be asked.
+	// Cause is the error if the daemon did not answer.
 	Cause error
 }
 
-// NotInForceError says which daemons don't have the release yet.
+// NotInForceError lists the daemons in which the release is not in force yet.
 type NotInForceError struct {
 	Release uint64
 	Behind  []ProcessRelease
@@ -68,27 +68,27 @@
 	return text
 }
 
-// WaitInForce asks the daemons until all that answer have the release in
-// force, at most for limit. It fails with NotInForceError, also when no daemon
-// answers at all.
+// WaitInForce calls ask until the release is in force in all daemons that it
+// returns. After limit it fails with NotInForceError, also if ask returns no
+// daemon.
 func (o *Operator) WaitInForce(ctx context.Context, release uint64, limit clock.Millis, ask func(context.Context) []ProcessRelease) error {
-	end := o.clock.Now() + limit
+	deadline := o.clock.Now() + limit
 	for {
 		answers := ask(ctx)
-		behind := behindOf(answers, release)
+		behind := olderThan(answers, release)
 		if len(answers) > 0 && len(behind) == 0 {
 			return nil
 		}
-		if o.clock.Now() >= end {
+		if o.clock.Now() >= deadline {
 			return &NotInForceError{Release: release, Behind: behind}
 		}
-		if err := o.clock.Sleep(ctx, askAgain); err != nil {
+		if err := o.clock.Sleep(ctx, askInterval); err != nil {
 			return err
 		}
 	}
 }
 
-func behindOf(answers []ProcessRelease, release uint64) []ProcessRelease {
+func olderThan(answers []ProcessRelease, release uint64) []ProcessRelease {
 	var behind []ProcessRelease
 	for _, answer := range answers {
 		if answer.Release < release {
--- a/internal/share/apply/write.go
+++ b/internal/share/apply/write.go
@@ -13,23 +13,23 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// edit is one action as steps on the head.
+// edit describes how one action changes the head.
 type edit struct {
 	action  head.Action
 	subject string
-	// needs are the sections that must exist before the head names them.
-	needs []head.Section
-	// collides reports that another operator's release since the expected one
-	// stands against this action.
+	// newSections are written before the head that refers to them.
+	newSections []head.Section
+	// collides reports whether another operator has made a conflicting change
+	// since the expected release.
 	collides func(current *head.Head) bool
-	// done reports that there is nothing to do.
+	// done reports whether the head needs no change.
 	done func(current *head.Head) bool
-	// edit changes the copy that becomes the next release.
+	// edit changes a copy of the head, which becomes the next release.
 	edit func(next *head.Head)
 }
 
-// GaveUpError says that an action could not be finished. Unknown means that
-// the last write may still take effect.
+// GaveUpError is returned if an action failed after its last try. If Unknown is
+// set, a write without an answer may still take effect.
 type GaveUpError struct {
 	Tries   int
 	Unknown bool
@@ -47,48 +47,48 @@
 // Unwrap returns the cause.
 func (e *GaveUpError) Unwrap() error { return e.Cause }
 
-// attempt is the state of one action over its tries.
+// attempt is the state of one action across its tries.
 type attempt struct {
 	edit   edit
 	change Change
-	// nonce is one for the whole action: a write whose answer was lost is
-	// found again under it, however many tries later.
+	// nonce is the same for all tries. It identifies an earlier write of this
+	// action whose answer was lost.
 	nonce string
-	// unknown is set once a write of the head had no answer.
-	unknown bool
-	// written is set once the sections exist.
-	written bool
+	// outcomeUnknown is set after a write of the head got no answer.
+	outcomeUnknown bool
+	// sectionsWritten is set after all sections were written.
+	sectionsWritten bool
 }
 
-// change runs one action: read the head, look for collisions, write the
-// sections, then the head on the condition that nobody wrote it since. When
-// another operator won, it starts again on the newer head, so that changes
-// which don't touch each other both get through.
+// change performs one action. It reads the head, checks for conflicts, writes
+// the sections, and then writes the head on the condition that it is unchanged.
+// If another operator has written the head in the meantime, it retries with the
+// newer head, so that changes of different objects both succeed.
 func (o *Operator) change(ctx context.Context, change Change, e edit) (Result, error) {
 	a := &attempt{edit: e, change: change, nonce: o.NonceFunc()}
-	pause := firstPause
+	pause := minPause
 	for try := 1; ; try++ {
 		result, err := o.try(ctx, a)
-		if err == nil || !temporary(err) {
+		if err == nil || !retryable(err) {
 			return result, err
 		}
 		if try >= o.tries {
-			return Result{}, &GaveUpError{Tries: try, Unknown: a.unknown, Cause: err}
+			return Result{}, &GaveUpError{Tries: try, Unknown: a.outcomeUnknown, Cause: err}
 		}
 		if stopped := o.clock.Sleep(ctx, pause); stopped != nil {
-			return Result{}, &GaveUpError{Tries: try, Unknown: a.unknown, Cause: stopped}
+			return Result{}, &GaveUpError{Tries: try, Unknown: a.outcomeUnknown, Cause: stopped}
 		}
 		pause = min(2*pause, maxPause)
 	}
 }
 
-// temporary reports that the action may get through on a newer head or a
-// better platform.
-func temporary(err error) bool {
+// retryable reports whether the action may succeed on a newer head or when the
+// platform is available again.
+func retryable(err error) bool {
 	var conflict *store.ConflictError
-	var lost *store.UnknownError
+	var unknown *store.UnknownError
 	var unavailable *store.UnavailableError
-	return errors.As(err, &conflict) || errors.As(err, &lost) || errors.As(err, &unavailable)
+	return errors.As(err, &conflict) || errors.As(err, &unknown) || errors.As(err, &unavailable)
 }
 
 func (o *Operator) try(ctx context.Context, a *attempt) (Result, error) {
@@ -96,34 +96,34 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if a.unknown {
-		mine, err := o.findNonce(ctx, current, a.nonce)
-		if err != nil || mine != nil {
-			return Result{Head: mine, Changed: mine != nil}, err
+	if a.outcomeUnknown {
+		own, err := o.findNonce(ctx, current, a.nonce)
+		if err != nil || own != nil {
+			return Result{Head: own, Changed: own != nil}, err
 		}
 	}
 	next, err := o.next(ctx, current, a)
 	if err != nil || next == nil {
 		return Result{Head: current}, err
 	}
-	if !a.written {
-		if err := o.writeSections(ctx, missing(current, a.edit.needs)); err != nil {
+	if !a.sectionsWritten {
+		if err := o.writeSections(ctx, missing(current, a.edit.newSections)); err != nil {
 			return Result{}, err
 		}
-		a.written = true
+		a.sectionsWritten = true
 	}
 	if err := o.writeHistory(ctx, current); err != nil {
 		return Result{}, err
 	}
 	if err := o.writeHead(ctx, version, next); err != nil {
-		var lost *store.UnknownError
-		a.unknown = a.unknown || errors.As(err, &lost)
+		var unknown *store.UnknownError
+		a.outcomeUnknown = a.outcomeUnknown || errors.As(err, &unknown)
 		return Result{}, err
 	}
 	return Result{Head: next, Changed: true}, nil
 }
 
-// next builds the release that follows; nil when there is nothing to do.
+// next returns the head of the next release, or nil if no change is needed.
 func (o *Operator) next(ctx context.Context, current *head.Head, a *attempt) (*head.Head, error) {
 	change, e := a.change, a.edit
 	if current == nil {
@@ -172,7 +172,7 @@
 	return conflict
 }
 
-// read returns the head and its version; a nil head when there is none.
+// read returns the head and its version. The head is nil if there is none.
 func (o *Operator) read(ctx context.Context) (*head.Head, uint64, error) {
 	object, err := o.store.Get(ctx, head.Object)
 	if err != nil || object.Version == 0 {
@@ -200,9 +200,10 @@
 	return head.Decode(object.Value)
 }
 
-// findNonce looks for an own write whose answer was lost. It stands in the
-// head, or in the history when another operator wrote after it: everyone
-// keeps the release before theirs there first.
+// findNonce returns the head that an earlier try wrote but got no answer for, or
+// nil. It is the current head or, if another operator has written since, an
+// object of the history: each operator stores the current head there before
+// writing the next one.
 func (o *Operator) findNonce(ctx context.Context, current *head.Head, nonce string) (*head.Head, error) {
 	if current == nil {
 		return nil, nil
@@ -210,8 +211,8 @@
 	if current.Nonce == nonce {
 		return current, nil
 	}
-	// Own writes aimed at one release each; with few tries they lie just
-	// below the current one.
+	// Each try wrote at most one release, so the write is among the last
+	// o.tries releases.
 	for back := uint64(1); back <= uint64(o.tries) && back < current.Release; back++ {
 		object, err := o.store.Get(ctx, head.HistoryObject(current.Release-back))
 		if err != nil {
@@ -227,8 +228,8 @@
 	return nil, nil
 }
 
-// missing returns the sections that the current head doesn't name: the others
-// are in the store already.
+// missing returns the sections to which the current head doesn't refer. The
+// others are in the store already.
 func missing(current *head.Head, sections []head.Section) []head.Section {
 	if current == nil {
 		return sections
@@ -247,8 +248,8 @@
 	return nil
 }
 
-// writeHistory keeps the head that is about to be replaced. It goes before
-// the head, so that no release is ever missing from the history.
+// writeHistory stores the current head in the history. It must be called before
+// the next head is written, so that the history lacks no release.
 func (o *Operator) writeHistory(ctx context.Context, current *head.Head) error {
 	if current == nil {
 		return nil
@@ -260,11 +261,10 @@
 	return o.create(ctx, head.HistoryObject(current.Release), raw)
 }
 
-// create writes an object that never changes. That it exists already with the
-// same content is as good as having written it; a lost answer is settled the
-// same way by writing again, which can't do harm twice.
+// create writes an immutable object. It succeeds if the object already exists
+// with the same content, so it is safe to write again after a lost answer.
 func (o *Operator) create(ctx context.Context, name string, value []byte) error {
-	pause := firstPause
+	pause := minPause
 	for try := 1; ; try++ {
 		_, err := o.store.Put(ctx, name, 0, value)
 		if err == nil {
--- a/internal/share/apply/zone.go
+++ b/internal/share/apply/zone.go
@@ -7,19 +7,20 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// LeaveZone takes an availability zone out: no new work goes there. It touches
-// the head alone and so merges with an apply that runs at the same time.
+// LeaveZone takes an availability zone out of use: it gets no new work. It only
+// changes the head, so it doesn't conflict with an apply at the same time.
 func (o *Operator) LeaveZone(ctx context.Context, zone string, change Change) (Result, error) {
 	return o.setZone(ctx, zone, head.ZoneLeft, head.ActionZoneLeave, change)
 }
 
-// ReturnZone brings an availability zone back. The zone is returning: work
-// grows in steps there and models are loaded one endpoint after another.
+// ReturnZone takes an availability zone back into use. Its state becomes
+// returning: its work grows in steps, and its endpoints load models one after
+// another.
 func (o *Operator) ReturnZone(ctx context.Context, zone string, change Change) (Result, error) {
 	return o.setZone(ctx, zone, head.ZoneReturning, head.ActionZoneReturn, change)
 }
 
-// SettleZone ends the return of a zone.
+// SettleZone ends the return of a zone: its state becomes in.
 func (o *Operator) SettleZone(ctx context.Context, zone string, change Change) (Result, error) {
 	return o.setZone(ctx, zone, head.ZoneIn, head.ActionZoneIn, change)
 }
@@ -32,17 +33,17 @@
 	if current == nil || !slices.Contains(current.Manifest.AvailabilityZones, zone) {
 		return Result{}, &NotFoundError{Kind: "availability zone", Name: zone}
 	}
-	seen := decisionOn(current.Head, zone)
+	before := zoneDecision(current.Head, zone)
 	return o.change(ctx, change, edit{
 		action:  action,
 		subject: zone,
-		// Someone else decided on this zone since the operator looked, or
-		// between this action's read and its write.
+		// Another operator has changed this zone since the expected release, or
+		// between the read and the write of this action.
 		collides: func(now *head.Head) bool {
-			decided := decisionOn(now, zone)
-			return decided.Release > seen.Release || (change.Expected != 0 && decided.Release > change.Expected)
+			latest := zoneDecision(now, zone)
+			return latest.Release > before.Release || (change.Expected != 0 && latest.Release > change.Expected)
 		},
-		done: func(now *head.Head) bool { return alreadySo(now.ZoneState(zone), state) },
+		done: func(now *head.Head) bool { return unchanged(now.ZoneState(zone), state) },
 		edit: func(next *head.Head) {
 			next.SetZone(head.Zone{
 				Name: zone, State: state, ChangedBy: change.Who, Reason: change.Reason, Release: next.Release,
@@ -51,13 +52,13 @@
 	})
 }
 
-// alreadySo reports that a zone needs no change: a zone that is in needs no
+// unchanged reports whether a zone needs no change. A zone that is in needs no
 // return.
-func alreadySo(now, want head.ZoneState) bool {
+func unchanged(now, want head.ZoneState) bool {
 	return now == want || (now == head.ZoneIn && want == head.ZoneReturning)
 }
 
-func decisionOn(h *head.Head, zone string) head.Zone {
+func zoneDecision(h *head.Head, zone string) head.Zone {
 	for _, z := range h.Zones {
 		if z.Name == zone {
 			return z
@@ -66,17 +67,17 @@
 	return head.Zone{Name: zone, State: head.ZoneIn}
 }
 
-// LeaveEndpoint takes one endpoint out.
+// LeaveEndpoint takes one endpoint out of use.
 func (o *Operator) LeaveEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
 	return o.setEndpoint(ctx, pool, endpoint, true, change)
 }
 
-// ReturnEndpoint brings one endpoint back.
+// ReturnEndpoint takes one endpoint back into use.
 func (o *Operator) ReturnEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
 	return o.setEndpoint(ctx, pool, endpoint, false, change)
 }
 
-func (o *Operator) setEndpoint(ctx context.Context, pool, endpoint string, left bool, change Change) (Result, error) {
+func (o *Operator) setEndpoint(ctx context.Context, pool, endpoint string, disabled bool, change Change) (Result, error) {
 	current, err := o.Current(ctx)
 	if err != nil {
 		return Result{}, err
@@ -85,18 +86,18 @@
 		return Result{}, &NotFoundError{Kind: "pool", Name: pool}
 	}
 	action := head.ActionEndpointReturn
-	if left {
+	if disabled {
 		action = head.ActionEndpointLeave
 	}
 	return o.change(ctx, change, edit{
 		action:   action,
 		subject:  pool + "/" + endpoint,
 		collides: func(*head.Head) bool { return false },
-		done:     func(now *head.Head) bool { return now.EndpointDisabled(pool, endpoint) == left },
+		done:     func(now *head.Head) bool { return now.EndpointDisabled(pool, endpoint) == disabled },
 		edit: func(next *head.Head) {
 			next.SetEndpoint(head.Endpoint{
 				Pool: pool, Endpoint: endpoint, ChangedBy: change.Who, Reason: change.Reason,
-			}, left)
+			}, disabled)
 		},
 	})
 }
--- a/internal/share/head/head.go
+++ b/internal/share/head/head.go
@@ -1,7 +1,7 @@
-// Package head holds the documents that make up a configuration in the
-// platform's object API: one small head object that orders everything, and
-// immutable sections of the manifest named by their content. A change moves
-// the head and the sections it touches, nothing else.
+// Package head defines the documents of a configuration in the platform's object
+// API: one small head object with the release number, and immutable sections of
+// the manifest that are named by their content. A change writes the head and the
+// sections that it changes.
 package head
 
 import (
@@ -18,8 +18,8 @@
 
 // Names of the objects in the platform's object API.
 const (
-	// Object is the head: the only configuration object that is ever updated,
-	// and so the only one that is worth a watch.
+	// Object is the head. It is the only configuration object that is ever
+	// updated, so it is the only one to watch.
 	Object        = "config/head"
 	sectionPrefix = "config/section/"
 	// HistoryPrefix is followed by the release number in 20 digits, so that
@@ -27,7 +27,7 @@
 	HistoryPrefix = "config/history/"
 )
 
-// Action is what an operator did to make a release.
+// Action is the operator's action that created a release.
 type Action string
 
 // Actions of operators.
@@ -41,29 +41,29 @@
 	ActionEndpointReturn Action = "endpointReturn"
 )
 
-// ZoneState is what operators want of an availability zone.
+// ZoneState is the state that operators set for an availability zone.
 type ZoneState string
 
 // States of an availability zone.
 const (
 	ZoneIn   ZoneState = "in"
 	ZoneLeft ZoneState = "left"
-	// ZoneReturning is set by a return: work grows in steps and loads of
-	// models are staggered; agents and entries treat it as in otherwise.
+	// ZoneReturning is the state after a return. Work grows in steps, and
+	// endpoints load models one after another. Otherwise it is like ZoneIn.
 	ZoneReturning ZoneState = "returning"
 )
 
-// Zone is the operators' decision on one availability zone.
+// Zone is the state of an availability zone, with the operator who set it.
 type Zone struct {
 	Name      string    `json:"name"`
 	State     ZoneState `json:"state"`
 	ChangedBy string    `json:"changedBy,omitempty"`
 	Reason    string    `json:"reason,omitempty"`
-	// Release that made this decision.
+	// Release is the release that set this state.
 	Release uint64 `json:"release,omitempty"`
 }
 
-// Endpoint is an endpoint that an operator took out.
+// Endpoint is an endpoint that an operator took out of use.
 type Endpoint struct {
 	Pool      string `json:"pool"`
 	Endpoint  string `json:"endpoint"`
@@ -71,14 +71,14 @@
 	Reason    string `json:"reason,omitempty"`
 }
 
-// Ref names one section by its content.
+// Ref refers to a section by its name and the digest of its content.
 type Ref struct {
 	Name   string `json:"name"`
 	Digest Digest `json:"digest"`
 }
 
-// Digest is the xxhash of a section. Who writes a section compares its bytes
-// when an object of that name exists already, so a collision is found there.
+// Digest is the xxhash of a section. Hash collisions are detected on writing: if
+// the object already exists, its bytes are compared.
 type Digest uint64
 
 // DigestOf returns the digest of a section's bytes.
@@ -100,36 +100,39 @@
 // Object returns the name of the section's object.
 func (r Ref) Object() string { return sectionPrefix + r.Name + "/" + r.Digest.String() }
 
-// Head is the head object. Release orders all configurations; a rollback is a
-// new release with old sections.
+// Head is the content of the head object. Configurations are ordered by Release.
+// A rollback is a new release with old sections.
 type Head struct {
 	Release uint64 `json:"release"`
-	// Nonce is drawn for each write. A writer that got no answer reads back
-	// and compares it, to learn whether the write took effect.
+	// Nonce identifies the action that wrote this release. A writer that got no
+	// answer reads the head and compares the nonce, to find out whether its
+	// write took effect.
 	Nonce     string `json:"nonce"`
 	ChangedBy string `json:"changedBy"`
-	// ChangedAt is the writer's wall clock in RFC 3339, for people only.
+	// ChangedAt is the writer's wall clock time in RFC 3339. It is only displayed.
 	ChangedAt string `json:"changedAt,omitempty"`
 	Action    Action `json:"action"`
-	// Subject is the availability zone, endpoint or release acted upon.
+	// Subject is the availability zone, endpoint or release that was changed or
+	// rolled back to.
 	Subject string `json:"subject,omitempty"`
 	Reason  string `json:"reason,omitempty"`
-	// ManifestRelease is the release that last changed the manifest. A change
-	// of zones alone leaves it, so that it doesn't collide with an apply.
+	// ManifestRelease is the release that last changed the manifest. A change of
+	// zones doesn't set it, so it doesn't conflict with an apply.
 	ManifestRelease uint64 `json:"manifestRelease"`
 	// Sections of the manifest.
 	Sections []Ref `json:"sections"`
-	// Zones holds the zones that are not simply in.
+	// Zones holds the zones whose state is not ZoneIn.
 	Zones []Zone `json:"zones,omitempty"`
-	// LeftEndpoints are taken out by operators, besides those in the manifest.
+	// LeftEndpoints are the endpoints that operators took out of use by a
+	// command. The pools of the manifest list further ones.
 	LeftEndpoints []Endpoint `json:"leftEndpoints,omitempty"`
 }
 
 // Encode returns the head as JSON.
 func (h *Head) Encode() ([]byte, error) { return json.Marshal(h) }
 
-// Decode reads a head. A document that could never have been written by an
-// operator's client is refused here and so never takes effect.
+// Decode parses and checks a head. It returns a DocumentError for a document that
+// an operator's client would not write, so that it never takes effect.
 func Decode(raw []byte) (*Head, error) {
 	h := new(Head)
 	if err := json.Unmarshal(raw, h); err != nil {
@@ -148,8 +151,8 @@
 	return h, nil
 }
 
-// ReleaseOf returns the release number of a head document, however strange the
-// rest of it is to this version of the program; 0 when it is no head at all.
+// ReleaseOf returns the release number of a head document, even if this version
+// of the program can't use the rest of it, or 0 if it is no head.
 func ReleaseOf(raw []byte) uint64 {
 	var number struct {
 		Release uint64 `json:"release"`
@@ -160,7 +163,7 @@
 	return number.Release
 }
 
-// DocumentError says that an object of the configuration can't be used.
+// DocumentError is returned if an object of the configuration is invalid.
 type DocumentError struct {
 	Name  string
 	Cause string
@@ -171,11 +174,11 @@
 	return fmt.Sprintf("object %q is not usable: %s", e.Name, e.Cause)
 }
 
-// HistoryObject returns the name of the object that keeps a release's head.
+// HistoryObject returns the name of the object with the head of a release.
 func HistoryObject(release uint64) string { return fmt.Sprintf("%s%020d", HistoryPrefix, release) }
 
-// HistoryRelease returns the release that a history object keeps; false when
-// the name is of another kind.
+// HistoryRelease returns the release of the history object with that name, or
+// false if it is another object.
 func HistoryRelease(name string) (uint64, bool) {
 	digits, found := strings.CutPrefix(name, HistoryPrefix)
 	if !found {
@@ -185,7 +188,7 @@
 	return release, err == nil
 }
 
-// ZoneState returns the operators' decision on a zone.
+// ZoneState returns the state of a zone.
 func (h *Head) ZoneState(name string) ZoneState {
 	for i := range h.Zones {
 		if h.Zones[i].Name == name {
@@ -195,7 +198,7 @@
 	return ZoneIn
 }
 
-// SetZone replaces the decision on a zone.
+// SetZone replaces the state of a zone.
 func (h *Head) SetZone(zone Zone) {
 	kept := slices.DeleteFunc(slices.Clone(h.Zones), func(z Zone) bool { return z.Name == zone.Name })
 	if zone.State != ZoneIn {
@@ -204,19 +207,19 @@
 	h.Zones = kept
 }
 
-// EndpointDisabled reports whether an operator took the endpoint out.
+// EndpointDisabled reports whether an operator took the endpoint out of use.
 func (h *Head) EndpointDisabled(pool, endpoint string) bool {
 	return slices.ContainsFunc(h.LeftEndpoints, func(e Endpoint) bool {
 		return e.Pool == pool && e.Endpoint == endpoint
 	})
 }
 
-// SetEndpoint records whether an endpoint is taken out.
-func (h *Head) SetEndpoint(endpoint Endpoint, left bool) {
+// SetEndpoint records whether an endpoint is out of use.
+func (h *Head) SetEndpoint(endpoint Endpoint, disabled bool) {
 	kept := slices.DeleteFunc(slices.Clone(h.LeftEndpoints), func(e Endpoint) bool {
 		return e.Pool == endpoint.Pool && e.Endpoint == endpoint.Endpoint
 	})
-	if left {
+	if disabled {
 		kept = append(kept, endpoint)
 	}
 	h.LeftEndpoints = kept
--- a/internal/share/head/section.go
+++ b/internal/share/head/section.go
@@ -19,22 +19,23 @@
 	sectionOrganisations = "organisations"
 )
 
-// A change of one organisation moves one shard and the head, which names every
-// shard: more shards make the one smaller and the other larger. With some 250
-// bytes an organisation and 55 a reference, the sum is least near 16
-// organisations a shard at two thousand organisations.
+// A change of one organisation writes one shard and the head, which refers to
+// every shard. More shards make the shard smaller and the head larger. With some
+// 250 bytes per organisation and 55 per reference, the sum is smallest near 16
+// organisations per shard at two thousand organisations.
 const (
 	organisationsPerShard = 16
 	maxShards             = 64
 )
 
-// Section is one part of the manifest with its reference.
+// Section is one encoded section of the manifest and its reference.
 type Section struct {
 	Ref Ref
 	Raw []byte
 }
 
-// Split cuts a manifest into sections, in a fixed order.
+// Split returns the sections of a manifest in a fixed order. It fails if one is
+// too large for an object.
 func Split(manifest *manif.Manifest) ([]Section, error) {
 	parts := []manif.Manifest{
 		{Pools: manifest.Pools},
@@ -69,12 +70,12 @@
 	for count < maxShards && count*organisationsPerShard < len(organisations) {
 		count *= 2
 	}
-	out := make([][]manif.Organisation, count)
+	result := make([][]manif.Organisation, count)
 	for _, organisation := range organisations {
 		shard := xxhash.Sum64String(organisation.Name) % uint64(count)
-		out[shard] = append(out[shard], organisation)
+		result[shard] = append(result[shard], organisation)
 	}
-	return out
+	return result
 }
 
 func encodePart(name string, part *manif.Manifest) ([]byte, error) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// Join puts the sections of a head together again. The sections are given in
-// the order of the head's references; each is checked against its digest.
+// Join returns the manifest with the given sections, which must be in the order
+// of their references. It checks each one against its digest.
 func Join(refs []Ref, raws [][]byte) (*manif.Manifest, error) {
 	manifest := new(manif.Manifest)
 	for i, ref := range refs {
@@ -123,8 +124,8 @@
 		err = json.Unmarshal(raw, &shard)
 		manifest.Organisations = append(manifest.Organisations, shard...)
 	default:
-		// A newer client may add a section; refusing it would keep this
-		// process from hearing that a zone was taken out.
+		// Unknown sections are ignored: a newer client may add one. With an
+		// error, this process would miss later releases that evacuate a zone.
 	}
 	if err != nil {
 		return &DocumentError{Name: ref.Object(), Cause: err.Error()}
