--- a/internal/share/avail/avail_test.go
+++ b/internal/share/avail/avail_test.go
@@ -21,34 +21,34 @@
 	return spread.New(1, manifest, states, spread.WithLeftEndpoints([]head.Endpoint{{Pool: "p", Endpoint: "left"}}))
 }
 
-// A zone is cut off by a broken switch, and the operators take it out. The
-// processes inside never hear of it: those that hear from nobody outside must
-// stop by themselves, and those that only lost the platform must not.
+// A broken switch separates a zone from the others, and the operators evacuate
+// it. The processes inside don't get that change. Those without contact outside
+// the zone must refuse new work, and those that lost only the platform must not.
 func TestIsolation(t *testing.T) {
 	cases := []struct {
 		name     string
 		zones    int
-		hear     func(*avail.Contact, clock.Millis)
+		record   func(*avail.Contact, clock.Millis)
 		isolated bool
 	}{
-		{"nothing is heard", 3, func(*avail.Contact, clock.Millis) {}, true},
-		{"only peers of the own zone are heard", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPeer("za", now) }, true},
-		{"a peer outside is heard, the platform is down", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPeer("zb", now) }, false},
-		{"the platform is heard, no peer is", 3, func(r *avail.Contact, now clock.Millis) { r.RecordPlatform(now) }, false},
-		{"a peer of the own zone hears from outside", 3, func(r *avail.Contact, _ clock.Millis) { r.RecordIndirect(100) }, false},
-		{"a peer of the own zone heard from outside long ago", 3, func(r *avail.Contact, _ clock.Millis) { r.RecordIndirect(5000) }, true},
-		{"there is only one zone", 1, func(*avail.Contact, clock.Millis) {}, false},
+		{"no contact at all", 3, func(*avail.Contact, clock.Millis) {}, true},
+		{"messages only from peers in the same zone", 3, func(c *avail.Contact, now clock.Millis) { c.RecordPeer("za", now) }, true},
+		{"message from a peer in another zone, platform down", 3, func(c *avail.Contact, now clock.Millis) { c.RecordPeer("zb", now) }, false},
+		{"only the platform answers", 3, func(c *avail.Contact, now clock.Millis) { c.RecordPlatform(now) }, false},
+		{"a peer in the same zone has recent contact outside", 3, func(c *avail.Contact, _ clock.Millis) { c.RecordIndirect(100) }, false},
+		{"a peer in the same zone had contact outside long ago", 3, func(c *avail.Contact, _ clock.Millis) { c.RecordIndirect(5000) }, true},
+		{"deployment with one zone", 1, func(*avail.Contact, clock.Millis) {}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			fake := clock.NewFake(1)
-			reach := avail.NewContact(fake.Clock(), "za")
+			contact := avail.NewContact(fake.Clock(), "za")
 			for range 60 {
 				fake.Advance(100)
-				c.hear(reach, fake.Clock().Now())
+				c.record(contact, fake.Clock().Now())
 			}
-			assert.Equal(t, reach.Isolated(c.zones), c.isolated)
-			reason, refuses := avail.Place{AvailabilityZone: "za"}.RefusalReason(release(c.zones), reach)
+			assert.Equal(t, contact.Isolated(c.zones), c.isolated)
+			reason, refuses := avail.Place{AvailabilityZone: "za"}.RefusalReason(release(c.zones), contact)
 			assert.Equal(t, refuses, c.isolated)
 			if refuses {
 				assert.Equal(t, reason, fault.Isolated)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestPlaceRefuses(t *testing.T) {
+func TestRefusalReason(t *testing.T) {
 	cases := []struct {
 		name    string
 		place   avail.Place
--- a/internal/share/avail/place.go
+++ b/internal/share/avail/place.go
@@ -5,16 +5,16 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Place is where a process stands. Pool and Endpoint are empty for an entry.
+// Place is the location of a process. Pool and Endpoint are empty for an entry.
 type Place struct {
 	AvailabilityZone string
 	Pool             string
 	Endpoint         string
 }
 
-// RefusalReason returns the reason why a process at this place takes no new work
-// now; false when it takes work. Running work is never touched by it.
-func (p Place) RefusalReason(release *spread.Release, reach *Contact) (fault.Reason, bool) {
+// RefusalReason returns the reason why a process at this place accepts no new
+// work now, or false if it accepts work. Running work is not affected.
+func (p Place) RefusalReason(release *spread.Release, contact *Contact) (fault.Reason, bool) {
 	if release == nil {
 		return fault.NotReady, true
 	}
@@ -24,7 +24,7 @@
 	if p.Endpoint != "" && release.EndpointDisabled(p.Pool, p.Endpoint) {
 		return fault.Leaving, true
 	}
-	if reach != nil && reach.Isolated(len(release.Manifest.AvailabilityZones)) {
+	if contact != nil && contact.Isolated(len(release.Manifest.AvailabilityZones)) {
 		return fault.Isolated, true
 	}
 	return "", false
--- a/internal/share/avail/reach.go
+++ b/internal/share/avail/reach.go
@@ -1,6 +1,6 @@
-// Package avail decides what a process does about availability zones: whether
-// it is cut off and must stop taking new work, and whether its own zone or
-// endpoint was taken out.
+// Package avail decides whether a process accepts new work. It refuses work if it
+// is isolated in its availability zone, or if operators took its zone or endpoint
+// out of use.
 package avail
 
 import (
@@ -9,64 +9,68 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Spans of the reach. An isolated process stops after isolateAfter, which
-// with the operators' seconds keeps new work out of a zone that was taken out
-// while it was cut off.
+// Timeouts of a Contact. A process without contact accepts no new work after
+// isolateAfter. Together with the seconds that operators need to evacuate a zone,
+// this keeps new work out of an evacuated zone that is unreachable.
 const (
 	probeAfter   = 1 * clock.Second
 	isolateAfter = 3 * clock.Second
-	// CheckEvery is how often the owner looks.
+	// CheckEvery is the interval at which the state must be checked.
 	CheckEvery = 250 * clock.Millis(1)
 )
 
-// Contact knows when this process last heard from anywhere outside its own
-// availability zone. A process that hears from nowhere can't know that its
-// zone was taken out, so it takes no new work; one that merely lost the
-// platform still hears from peers in other zones and goes on.
+// Contact records when this process last had contact with the platform or with a
+// process outside its availability zone. A process without any contact can't
+// find out that its zone was evacuated, so it must accept no new work. One that
+// lost only the platform still has contact with peers in other zones and goes on.
 type Contact struct {
-	clock *clock.Clock
-	zone  string
-	last  atomic.Int64
+	clock       *clock.Clock
+	zone        string
+	lastContact atomic.Int64
 }
 
-// NewContact returns the reach of a process in a zone. It counts as reached at
-// its start: it isn't ready before it has a configuration anyway.
+// NewContact returns the contact state of a process in a zone. The time without
+// contact begins now: the process isn't ready before it has a configuration
+// anyway.
 func NewContact(c *clock.Clock, zone string) *Contact {
-	r := &Contact{clock: c, zone: zone}
-	r.last.Store(int64(c.Now()))
-	return r
+	contact := &Contact{clock: c, zone: zone}
+	contact.lastContact.Store(int64(c.Now()))
+	return contact
 }
 
-// RecordPeer notes a message that a process in a zone sent, as of an instant.
-func (r *Contact) RecordPeer(zone string, at clock.Millis) {
-	if zone != "" && zone != r.zone {
-		r.advance(at)
+// RecordPeer records that a message from a process in a zone arrived at a time.
+// It has no effect for a process in the same zone.
+func (c *Contact) RecordPeer(zone string, at clock.Millis) {
+	if zone != "" && zone != c.zone {
+		c.advance(at)
 	}
 }
 
-// RecordPlatform notes an answer of the platform as of an instant.
-func (r *Contact) RecordPlatform(at clock.Millis) { r.advance(at) }
+// RecordPlatform records that the platform answered at a time.
+func (c *Contact) RecordPlatform(at clock.Millis) { c.advance(at) }
 
-// RecordIndirect notes that a peer heard from outside this long before. A peer in the
-// same zone that still reaches other zones would also hear that the zone was
-// taken out, and pass it on.
-func (r *Contact) RecordIndirect(age clock.Millis) { r.advance(r.clock.Now() - age) }
+// RecordIndirect records that a peer in the same zone last had contact outside it
+// at the given age. Such a peer would learn that the zone was evacuated and pass
+// it on.
+func (c *Contact) RecordIndirect(age clock.Millis) { c.advance(c.clock.Now() - age) }
 
-func (r *Contact) advance(at clock.Millis) {
+func (c *Contact) advance(at clock.Millis) {
 	for {
-		last := r.last.Load()
-		if int64(at) <= last || r.last.CompareAndSwap(last, int64(at)) {
+		last := c.lastContact.Load()
+		if int64(at) <= last || c.lastContact.CompareAndSwap(last, int64(at)) {
 			return
 		}
 	}
 }
 
-// Age returns how long nothing was heard from outside the zone.
-func (r *Contact) Age() clock.Millis { return max(0, r.clock.Since(clock.Millis(r.last.Load()))) }
+// Age returns the time since the last contact outside the zone.
+func (c *Contact) Age() clock.Millis {
+	return max(0, c.clock.Since(clock.Millis(c.lastContact.Load())))
+}
 
-// ProbeDue reports that it is time to ask peers outside and the platform.
-func (r *Contact) ProbeDue() bool { return r.Age() >= probeAfter }
+// ProbeDue reports whether it is time to probe peers and the platform.
+func (c *Contact) ProbeDue() bool { return c.Age() >= probeAfter }
 
-// Isolated reports that new work must be refused. In a deployment of one zone
-// there is no outside, and nothing to hear about.
-func (r *Contact) Isolated(zones int) bool { return zones > 1 && r.Age() >= isolateAfter }
+// Isolated reports whether new work must be refused for lack of contact outside
+// the zone. A deployment with one zone is never isolated.
+func (c *Contact) Isolated(zones int) bool { return zones > 1 && c.Age() >= isolateAfter }
--- a/internal/share/peer/catch.go
+++ b/internal/share/peer/catch.go
@@ -11,55 +11,58 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Spans of catching up with a peer.
+// Timeouts and pauses of a Syncer.
 const (
-	askLimit = 2 * clock.Second
-	askAgain = 100 * clock.Millis(1)
+	fetchTimeout = 2 * clock.Second
+	retryPause   = 100 * clock.Millis(1)
 )
 
-// Syncer catches up with peers that showed a newer release, one at a time: a
-// burst of frames with a new number leads to one request, not to one a frame.
+// Syncer fetches newer releases from peers, from one peer at a time. A burst of
+// frames with a new release number leads to one request, not to one per frame.
 type Syncer struct {
 	clock *clock.Clock
-	// number returns the release known here.
+	// number returns the newest release known here.
 	number func() uint64
-	// askFunc asks one peer and takes its answer in.
-	askFunc func(ctx context.Context, s *sess.Session) error
-	// stuckFunc is told that no peer could give a newer release that was shown.
-	stuckFunc func()
+	// fetchFunc fetches the configuration from one peer and applies it.
+	fetchFunc func(ctx context.Context, s *sess.Session) error
+	// failedFunc is called if no peer could send a newer release that one of them
+	// has.
+	failedFunc func()
 
 	mu    sync.Mutex
 	ahead map[*sess.Session]uint64
-	kick  chan struct{}
+	wake  chan struct{}
 }
 
-// NewSyncer returns a syncer that asks with ask; stuck may be nil.
-func NewSyncer(c *clock.Clock, number func() uint64, ask func(context.Context, *sess.Session) error, stuck func()) *Syncer {
-	if stuck == nil {
-		stuck = func() {}
+// NewSyncer returns a syncer. The function fetch fetches the configuration from
+// one peer. The function failed is called if no peer could send a newer release;
+// it may be nil.
+func NewSyncer(c *clock.Clock, number func() uint64, fetch func(context.Context, *sess.Session) error, failed func()) *Syncer {
+	if failed == nil {
+		failed = func() {}
 	}
 	return &Syncer{
-		clock: c, number: number, askFunc: ask, stuckFunc: stuck,
-		ahead: make(map[*sess.Session]uint64), kick: make(chan struct{}, 1),
+		clock: c, number: number, fetchFunc: fetch, failedFunc: failed,
+		ahead: make(map[*sess.Session]uint64), wake: make(chan struct{}, 1),
 	}
 }
 
-// NewerRelease notes that a peer has a newer release. It doesn't block.
+// NewerRelease records that a peer has a newer release. It doesn't block.
 func (c *Syncer) NewerRelease(s *sess.Session, release uint64) {
 	c.mu.Lock()
 	c.ahead[s] = max(release, c.ahead[s])
 	c.mu.Unlock()
 	select {
-	case c.kick <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run catches up until the context ends.
+// Run fetches newer releases until the context ends.
 func (c *Syncer) Run(ctx context.Context) {
 	for {
 		select {
-		case <-c.kick:
+		case <-c.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -68,35 +71,35 @@
 			if s == nil {
 				break
 			}
-			if err := c.ask(ctx, s); err != nil && c.next() == nil && ctx.Err() == nil {
-				c.stuckFunc()
-				_ = c.clock.Sleep(ctx, askAgain)
+			if err := c.fetch(ctx, s); err != nil && c.next() == nil && ctx.Err() == nil {
+				c.failedFunc()
+				_ = c.clock.Sleep(ctx, retryPause)
 			}
 		}
 	}
 }
 
-func (c *Syncer) ask(ctx context.Context, s *sess.Session) error {
-	ctx, cancel := context.WithTimeout(ctx, askLimit.Duration())
+func (c *Syncer) fetch(ctx context.Context, s *sess.Session) error {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
-	return c.askFunc(ctx, s)
+	return c.fetchFunc(ctx, s)
 }
 
-// next takes a peer that is ahead out of the list, or returns nil.
+// next removes a peer with a newer release from the list and returns it, or nil.
 func (c *Syncer) next() *sess.Session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.number()
+	current := c.number()
 	for s, release := range c.ahead {
 		delete(c.ahead, s)
-		if release > now {
+		if release > current {
 			return s
 		}
 	}
 	return nil
 }
 
-// NotServedError says that a peer could not give a document.
+// NotServedError is returned if a peer doesn't have a requested document.
 type NotServedError struct {
 	Process string
 	Name    string
@@ -104,11 +107,11 @@
 
 // Error implements error.
 func (e *NotServedError) Error() string {
-	return e.Process + " can't give " + e.Name
+	return e.Process + " doesn't have " + e.Name
 }
 
-// FetchConfig asks a peer for its whole configuration and offers it to the
-// learner: the head first, then the sections that are missing here.
+// FetchConfig fetches the configuration of a peer and offers it to the learner. It
+// fetches the head first, then the sections that are missing here.
 func (p *Set) FetchConfig(ctx context.Context, s *sess.Session, learner *spread.Learner) error {
 	answer, err := p.Fetch(ctx, s, wire.Fetch{Name: spread.HeadName})
 	if err != nil {
@@ -130,7 +133,7 @@
 	return err
 }
 
-// FetchPart asks a peer for an agent's part of the configuration.
+// FetchPart fetches an agent's part of the configuration from a peer.
 func (p *Set) FetchPart(ctx context.Context, s *sess.Session, pool string, part *spread.PartHolder) error {
 	answer, err := p.Fetch(ctx, s, part.Request(pool))
 	if err != nil {
--- a/internal/share/peer/peer.go
+++ b/internal/share/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer exchanges configuration documents over the sessions that a
-// process has anyway: who is behind finds out from the release number on each
-// frame and asks the peer that showed it.
+// Package peer exchanges configuration documents over the sessions between
+// processes. Each frame carries the release number of its sender. A process that
+// receives a higher number than its own fetches the configuration from that peer.
 package peer
 
 import (
@@ -12,46 +12,48 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Set is the open sessions of one process, as far as the configuration and
-// the reach to other availability zones are concerned.
+// Set is the set of open sessions of one process. It handles the frames that
+// concern the configuration and the contact to other availability zones.
 type Set struct {
-	number func() uint64
-	serve  func(*wire.Fetch) *wire.Section
-	behind func(*sess.Session, uint64)
-	beat   func(*sess.Session, *wire.Beat)
+	number       func() uint64
+	serve        func(*wire.Fetch) *wire.Section
+	newerRelease func(*sess.Session, uint64)
+	beat         func(*sess.Session, *wire.Beat)
 
 	mu       sync.Mutex
 	sessions map[*sess.Session]*pending
 }
 
-// pending is the requests that wait for an answer on one session.
+// pending holds the requests on one session that wait for an answer, by the name
+// of the document.
 type pending struct {
 	waiting map[string][]chan *wire.Section
 }
 
-// Option changes a Set while it is built.
+// Option configures a Set.
 type Option func(*Set)
 
-// WithServe sets who answers peers that ask for a document.
+// WithServe sets the function that answers requests for documents.
 func WithServe(serve func(*wire.Fetch) *wire.Section) Option { return func(p *Set) { p.serve = serve } }
 
-// WithNewerRelease sets who is told that a peer has a newer release. It is called
-// on the session's reader and must not block.
+// WithNewerRelease sets a function that is called if a peer has a newer release.
+// It runs in the session's reader and must not block.
 func WithNewerRelease(behind func(*sess.Session, uint64)) Option {
-	return func(p *Set) { p.behind = behind }
+	return func(p *Set) { p.newerRelease = behind }
 }
 
-// WithBeat sets who is told of heartbeats. It must not block.
+// WithBeat sets a function that is called for each heartbeat. It must not block.
 func WithBeat(beat func(*sess.Session, *wire.Beat)) Option { return func(p *Set) { p.beat = beat } }
 
-// New returns an empty set. The function number returns the release in force here.
+// New returns an empty set. The function number returns the release in force in
+// this process.
 func New(number func() uint64, opts ...Option) *Set {
 	p := &Set{
-		number:   number,
-		serve:    func(fetch *wire.Fetch) *wire.Section { return &wire.Section{Name: fetch.Name} },
-		behind:   func(*sess.Session, uint64) {},
-		beat:     func(*sess.Session, *wire.Beat) {},
-		sessions: make(map[*sess.Session]*pending),
+		number:       number,
+		serve:        func(fetch *wire.Fetch) *wire.Section { return &wire.Section{Name: fetch.Name} },
+		newerRelease: func(*sess.Session, uint64) {},
+		beat:         func(*sess.Session, *wire.Beat) {},
+		sessions:     make(map[*sess.Session]*pending),
 	}
 	for _, opt := range opts {
 		opt(p)
@@ -59,7 +61,7 @@
 	return p
 }
 
-// Add takes in a session and shows the peer the release in force here.
+// Add adds a session and sends the release in force to the peer.
 func (p *Set) Add(s *sess.Session) {
 	p.mu.Lock()
 	p.sessions[s] = &pending{waiting: make(map[string][]chan *wire.Section)}
@@ -67,7 +69,7 @@
 	SendRelease(s)
 }
 
-// Remove forgets a session. Requests on it end with the session.
+// Remove removes a session. Requests on it fail when the session ends.
 func (p *Set) Remove(s *sess.Session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,17 +87,18 @@
 	return open
 }
 
-// SendRelease shows a peer the release in force here: a heartbeat that asks for none
-// back, since each frame carries the number.
+// SendRelease sends the number of the release in force to a peer. It sends a
+// heartbeat, as each frame carries the number, and marks it as a reply, so that
+// the peer doesn't answer it.
 func SendRelease(s *sess.Session) {
 	_ = s.Send(&wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Reply: true}})
 }
 
-// HandleFrame looks at each frame that arrives. It returns true when the frame
-// concerned documents alone.
+// HandleFrame must be called for each frame that arrives. It returns true if the
+// frame concerns only documents and needs no other handling.
 func (p *Set) HandleFrame(s *sess.Session, frame *wire.Frame) bool {
 	if frame.Release > p.number() {
-		p.behind(s, frame.Release)
+		p.newerRelease(s, frame.Release)
 	}
 	switch frame.Kind {
 	case wire.KindBeat:
@@ -105,32 +108,32 @@
 		_ = s.Send(&wire.Frame{Kind: wire.KindSection, Section: p.serve(frame.Fetch)})
 		return true
 	case wire.KindSection:
-		p.answer(s, frame.Section)
+		p.deliver(s, frame.Section)
 		return true
 	default:
 		return false
 	}
 }
 
-func (p *Set) answer(s *sess.Session, section *wire.Section) {
+func (p *Set) deliver(s *sess.Session, section *wire.Section) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	open := p.sessions[s]
 	if open == nil || len(open.waiting[section.Name]) == 0 {
-		return // the asker gave up
+		return // nothing waits for it any more
 	}
 	open.waiting[section.Name][0] <- section
-	p.drop(open, section.Name)
+	p.removeWaiting(open, section.Name)
 }
 
-func (p *Set) drop(open *pending, name string) {
+func (p *Set) removeWaiting(open *pending, name string) {
 	open.waiting[name] = open.waiting[name][1:]
 	if len(open.waiting[name]) == 0 {
 		delete(open.waiting, name)
 	}
 }
 
-// ClosedError says that a peer can't be asked because its session has ended.
+// ClosedError is returned for a request on a session that has ended.
 type ClosedError struct {
 	Process string
 }
@@ -138,11 +141,11 @@
 // Error implements error.
 func (e *ClosedError) Error() string { return fmt.Sprintf("session with %s has ended", e.Process) }
 
-// Fetch asks a peer for a document and waits for the answer. Answers of one name
-// come back in the order of the requests, since a session keeps the order.
+// Fetch requests a document from a peer and waits for the answer. Answers for one
+// name arrive in the order of the requests, since a session keeps the order.
 func (p *Set) Fetch(ctx context.Context, s *sess.Session, fetch wire.Fetch) (*wire.Section, error) {
 	answered := make(chan *wire.Section, 1)
-	if err := p.request(s, &fetch, answered); err != nil {
+	if err := p.sendRequest(s, &fetch, answered); err != nil {
 		return nil, err
 	}
 	select {
@@ -151,13 +154,13 @@
 	case <-s.Done():
 		return nil, &ClosedError{Process: s.Peer().Process}
 	case <-ctx.Done():
-		// The place in the queue stays, so that a late answer goes there and
-		// not to the next request.
+		// The channel stays in the queue, so that a late answer is not taken for
+		// that of the next request.
 		return nil, ctx.Err()
 	}
 }
 
-func (p *Set) request(s *sess.Session, fetch *wire.Fetch, answered chan *wire.Section) error {
+func (p *Set) sendRequest(s *sess.Session, fetch *wire.Fetch, answered chan *wire.Section) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	open := p.sessions[s]
