--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -261,9 +261,9 @@
 		return
 	}
 	a.log.Debug("session open", "peer", s.Peer().Process)
-	a.node.Opened(s)
+	a.node.SessionOpened(s)
 	<-s.Done()
-	a.node.Closed(s)
+	a.node.SessionClosed(s)
 }
 
 // sessionRefusal returns why a new session is refused, or an empty string if it is
@@ -362,7 +362,7 @@
 }
 
 func (a *Agent) handleFrame(s *sess.Session, frame *wire.Frame) {
-	if a.node.Take(s, frame) {
+	if a.node.HandleFrame(s, frame) {
 		return
 	}
 	a.mu.Lock()
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -66,7 +66,7 @@
 // applyShared applies a new release, and the reasons for refusing new work that come
 // from the release or from isolation. The caller holds the lock.
 func (a *Agent) applyShared(now clock.Millis) {
-	reason, _ := a.node.Refuses()
+	reason, _ := a.node.RefusalReason()
 	switch {
 	case reason == fault.Isolated:
 		a.isolatedAt = now
--- a/internal/share/avail/place.go
+++ b/internal/share/avail/place.go
@@ -5,26 +5,26 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Place is where a process stands. Pool and Endpoint are empty for an entry.
+// Place is the location of a process. Pool and Endpoint are empty for an entry.
 type Place struct {
 	AvailabilityZone string
 	Pool             string
 	Endpoint         string
 }
 
-// Refuses returns the reason why a process at this place takes no new work
-// now; false when it takes work. Running work is never touched by it.
-func (p Place) Refuses(release *spread.Release, reach *Reach) (fault.Reason, bool) {
+// RefusalReason returns the reason why a process at this place accepts no new
+// work now, or false if it accepts work. Running work is not affected.
+func (p Place) RefusalReason(release *spread.Release, contact *Contact) (fault.Reason, bool) {
 	if release == nil {
 		return fault.NotReady, true
 	}
-	if release.ZoneHasLeft(p.AvailabilityZone) {
+	if release.ZoneEvacuated(p.AvailabilityZone) {
 		return fault.ZoneLeft, true
 	}
-	if p.Endpoint != "" && release.EndpointHasLeft(p.Pool, p.Endpoint) {
+	if p.Endpoint != "" && release.EndpointDisabled(p.Pool, p.Endpoint) {
 		return fault.Leaving, true
 	}
-	if reach != nil && reach.Isolated(len(release.Manifest.AvailabilityZones)) {
+	if contact != nil && contact.Isolated(len(release.Manifest.AvailabilityZones)) {
 		return fault.Isolated, true
 	}
 	return "", false
