--- a/internal/bench/soak/keeper.go
+++ b/internal/bench/soak/keeper.go
@@ -73,7 +73,7 @@
 		k.kept.Add(1)
 		sent := time.Now()
 		got := k.client.Receive(replies, s)
-		if got.Status == 0 || got.Cut {
+		if got.Status == 0 || got.Truncated {
 			k.checkUnanswered(&unanswered{id: s.ID, process: k.process, life: current, began: began, sent: sent, ended: time.Now(), got: got})
 		}
 		if got.Closing {
@@ -83,7 +83,7 @@
 }
 
 // send writes a request, some of them in two parts.
-func (k *keeper) send(c net.Conn, s *stand.Sent) error {
+func (k *keeper) send(c net.Conn, s *stand.Request) error {
 	raw, err := k.client.Encode(s)
 	if err != nil {
 		return err
--- a/internal/bench/soak/late_test.go
+++ b/internal/bench/soak/late_test.go
@@ -35,12 +35,12 @@
 	r.deployment.Config.Routes[0].TimeoutMs = 20_000
 	r.deployment.Publish()
 	for _, e := range r.deployment.Engines("orders") {
-		e.SetFault(stand.Fault{Every: 1, Mute: true})
+		e.SetFault(stand.Fault{Every: 1, Hang: true})
 	}
 	time.Sleep(500 * time.Millisecond) // until the configuration is in force
 	s := requests[0]()
 	s.DeadlineMs = 20_000
-	got := make(chan stand.Got, 1)
+	got := make(chan stand.Outcome, 1)
 	go func() { got <- r.client.Do(context.Background(), p.ports.callers, s) }()
 	time.Sleep(300 * time.Millisecond) // until it waits for its engine
 
--- a/internal/bench/soak/order.go
+++ b/internal/bench/soak/order.go
@@ -52,7 +52,7 @@
 		kind, version := random.IntN(len(engines(zones[0]))), versions[random.IntN(len(versions))]
 		order := &stand.Rollout{
 			Service: engines(zones[0])[kind].Service, Version: version.name, Duration: orderTime, Bad: version.bad,
-			Share: rolloutShare, Spare: rolloutSpare, Rollback: rolloutWithin,
+			Share: rolloutShare, BaseAllowance: rolloutSpare, RollbackTime: rolloutWithin,
 		}
 		if inForce[order.Service] == version.name {
 			continue
@@ -86,7 +86,7 @@
 	}
 	added = r.enginesOf(order.Service)[len(before):]
 	r.deployment.Order(order)
-	state := r.deployment.Await(order, decideAfter)
+	state := r.deployment.AwaitDecision(order, decideAfter)
 	if state == "" {
 		r.breach("%s to %s was not decided", order.Service, order.Version)
 		return ""
@@ -122,7 +122,7 @@
 
 // checkStray notes requests that reached the version that nobody ordered.
 func (r *run) checkStray() {
-	if count := r.deployment.Ledger.Arrived(engines(zones[0])[0].Service, stray, r.began); count > 0 {
+	if count := r.deployment.Ledger.CountArrivals(engines(zones[0])[0].Service, stray, r.began); count > 0 {
 		r.breach("%d requests reached a version that no order names", count)
 	}
 }
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	started.Seen = proxy.Address()
+	started.AdvertisedAddress = proxy.Address()
 	r.deployment.Register(started, true, 0)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,7 +251,7 @@
 
 // request sends one request, as callers do: a refused one comes back once, to
 // another process.
-func (r *run) request(number int, s *stand.Sent, leaves bool) {
+func (r *run) request(number int, s *stand.Request, leaves bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.DeadlineMs)*time.Millisecond+tardy)
 	defer cancel()
 	if leaves {
@@ -271,7 +271,7 @@
 		r.calmSent.Add(1)
 	}
 	switch {
-	case got.Whole:
+	case got.Complete:
 		r.served.Add(1)
 		if calm && !leaves {
 			r.calmServed.Add(1)
@@ -301,7 +301,7 @@
 	if float64(report.SettledServed) < leastServed*float64(report.SettledSent) {
 		r.breach("only %d of %d requests were served after the troubles had ended", report.SettledServed, report.SettledSent)
 	}
-	report.Breaches = append(r.deployment.Ledger.Breaches(), r.breaches...)
+	report.Breaches = append(r.deployment.Ledger.Violations(), r.breaches...)
 	return report
 }
 
--- a/internal/bench/soak/stops.go
+++ b/internal/bench/soak/stops.go
@@ -30,7 +30,7 @@
 	life    *life
 	// sent is when its last byte was written, ended when the connection was.
 	began, sent, ended time.Time
-	got                stand.Got
+	got                stand.Outcome
 }
 
 // checkUnanswered judges a request that got no answer although planned work was all
@@ -43,7 +43,7 @@
 	case terminated.IsZero() || terminated.After(u.ended):
 	case errors.As(u.got.Err, &late) && late.Timeout(): // open until its deadline
 	case r.faults.between(u.began.Add(-stable), u.ended, u.process):
-	case u.got.Cut && r.faults.engineEnded(u.began): // its engine broke off
+	case u.got.Truncated && r.faults.engineEnded(u.began): // its engine broke off
 	case u.got.Status == 0 && u.ended.Sub(u.sent) <= crossing:
 		r.crossed.Add(1)
 	default:
--- a/internal/bench/soak/stops_test.go
+++ b/internal/bench/soak/stops_test.go
@@ -19,7 +19,7 @@
 func at(after time.Duration) time.Time { return sigterm.Add(after) }
 
 // request is one that is sent 1.2 s after SIGTERM and ends that much later.
-func request(took time.Duration, got stand.Got) unanswered {
+func request(took time.Duration, got stand.Outcome) unanswered {
 	sent := at(1200 * time.Millisecond)
 	return unanswered{
 		id: "1", process: &process{name: "gateway-0"}, life: &life{terminated: sigterm}, began: sent, sent: sent, ended: sent.Add(took), got: got,
@@ -36,7 +36,7 @@
 
 // Guards against requests that a planned stop loses and nobody notices.
 func TestUnansweredRequestsAreJudged(t *testing.T) {
-	none, cut := stand.Got{Err: io.EOF}, stand.Got{Status: 200, Cut: true}
+	none, cut := stand.Outcome{Err: io.EOF}, stand.Outcome{Status: 200, Truncated: true}
 	unasked := request(time.Second, none)
 	unasked.life = &life{}
 	cases := map[string]struct {
@@ -50,13 +50,13 @@
 		"answer broken off":                       {&run{}, request(0, cut), 1, false},
 		"answer broken off with its engine":       {replaced(), request(time.Second, cut), 0, false},
 		"no answer, an engine ended":              {replaced(), request(time.Second, none), 1, false},
-		"still open at its deadline":              {&run{}, request(time.Second, stand.Got{Err: os.ErrDeadlineExceeded}), 0, false},
+		"still open at its deadline":              {&run{}, request(time.Second, stand.Outcome{Err: os.ErrDeadlineExceeded}), 0, false},
 		"no planned stop":                         {&run{}, unasked, 0, false},
 		"a fault that ended 3.1 s before":         {faulty(StoreDown, -5*time.Second, -1900*time.Millisecond), request(time.Second, none), 1, false},
 		"a fault that ended 2.9 s before":         {faulty(StoreDown, -5*time.Second, -1700*time.Millisecond), request(time.Second, none), 0, false},
 		"a fault that began before its end":       {faulty(StoreDown, 2100*time.Millisecond, 3*time.Second), request(time.Second, none), 0, false},
 		"a fault that began after its end":        {faulty(StoreDown, 2300*time.Millisecond, 3*time.Second), request(time.Second, none), 1, false},
-		"connection reset long after its request": {&run{}, request(time.Second, stand.Got{Err: errors.New("reset")}), 1, false},
+		"connection reset long after its request": {&run{}, request(time.Second, stand.Outcome{Err: errors.New("reset")}), 1, false},
 		"a kill long before":                      {faulty(Kill, -10*time.Second, -10*time.Second), request(time.Second, none), 1, false},
 	}
 	for name, tt := range cases {
--- a/internal/bench/soak/strike.go
+++ b/internal/bench/soak/strike.go
@@ -83,21 +83,21 @@
 	store := r.deployment.Store
 	switch t.Kind {
 	case StoreForgets:
-		store.SetTrouble(stand.Trouble{Deaf: true})
+		store.SetFault(stand.StoreFault{HideChanges: true})
 		r.deployment.Publish()
 		pause(ctx, min(t.For, time.Second))
-		store.Forget()
+		store.DropHistory()
 	case StoreDown:
-		store.SetTrouble(stand.Trouble{Status: http.StatusServiceUnavailable})
+		store.SetFault(stand.StoreFault{Status: http.StatusServiceUnavailable})
 		pause(ctx, t.For)
 	case StoreSilent:
-		store.SetTrouble(stand.Trouble{Silent: true})
+		store.SetFault(stand.StoreFault{Hang: true})
 		pause(ctx, t.For)
 	default:
-		store.SetTrouble(stand.Trouble{LoseAnswers: true, Slow: 50 * time.Millisecond})
+		store.SetFault(stand.StoreFault{LoseAnswers: true, Delay: 50 * time.Millisecond})
 		pause(ctx, t.For)
 	}
-	store.SetTrouble(stand.Trouble{})
+	store.SetFault(stand.StoreFault{})
 }
 
 func (r *run) strikePlatform(ctx context.Context, t Trouble) {
@@ -125,9 +125,9 @@
 		}
 	case EmptyZone:
 		zone := zones[t.Subject%len(zones)]
-		r.deployment.Empty(zone)
+		r.deployment.Evacuate(zone)
 		pause(ctx, t.For)
-		r.deployment.Refill(zone)
+		r.deployment.EndEvacuation(zone)
 	default:
 		r.deployment.Publish()
 	}
--- a/internal/bench/soak/world.go
+++ b/internal/bench/soak/world.go
@@ -42,42 +42,42 @@
 // engines are those of one zone.
 func engines(zone string) []*stand.Engine {
 	return []*stand.Engine{
-		{Service: "orders", Kind: stand.Plain, Zone: zone, Work: 10 * time.Millisecond},
-		{Service: "models", Kind: stand.Model, Zone: zone, Work: 20 * time.Millisecond, Pause: 15 * time.Millisecond, Events: streamEvents},
-		{Service: "encode", Kind: stand.Stage, Zone: zone, Work: 30 * time.Millisecond},
-		{Service: "rerank", Kind: stand.Stage, Zone: zone, Work: 30 * time.Millisecond},
+		{Service: "orders", Kind: stand.Plain, Zone: zone, WorkTime: 10 * time.Millisecond},
+		{Service: "models", Kind: stand.Model, Zone: zone, WorkTime: 20 * time.Millisecond, EventInterval: 15 * time.Millisecond, Events: streamEvents},
+		{Service: "encode", Kind: stand.Stage, Zone: zone, WorkTime: 30 * time.Millisecond},
+		{Service: "rerank", Kind: stand.Stage, Zone: zone, WorkTime: 30 * time.Millisecond},
 	}
 }
 
 // faults are those that an engine is given.
 var faults = []stand.Fault{
-	{Every: 3, Reset: true}, {Every: 3, Break: true}, {Every: 2, Refuse: true}, {Every: 3, Fail: true}, {Every: 4, Twice: true}, {Every: 5, Mute: true},
+	{Every: 3, Reset: true}, {Every: 3, Truncate: true}, {Every: 2, Refuse: true}, {Every: 3, Fail: true}, {Every: 4, Duplicate: true}, {Every: 5, Hang: true},
 }
 
 // requests are the kinds that callers send.
-var requests = []func() *stand.Sent{
-	func() *stand.Sent {
-		return &stand.Sent{
+var requests = []func() *stand.Request{
+	func() *stand.Request {
+		return &stand.Request{
 			ID: stand.NewID(), Method: http.MethodPost, Host: "orders.example", Path: "/book/reel?n=3", Service: "orders", Key: key, Tenant: organisation,
-			Body: strings.Repeat("kraft ", 30), DeadlineMs: 2500, Once: true,
+			Body: strings.Repeat("kraft ", 30), DeadlineMs: 2500, AtMostOnce: true,
 		}
 	},
-	func() *stand.Sent {
-		return &stand.Sent{
+	func() *stand.Request {
+		return &stand.Request{
 			ID: stand.NewID(), Method: http.MethodGet, Host: "orders.example", Path: "/look/stock", Service: "orders", Key: key, Tenant: organisation, DeadlineMs: 2500,
 		}
 	},
-	func() *stand.Sent {
-		return &stand.Sent{
+	func() *stand.Request {
+		return &stand.Request{
 			ID: stand.NewID(), Method: http.MethodPost, Host: "models.example", Path: "/draft/sheet", Service: "models", Key: key, Tenant: organisation,
-			Body: strings.Repeat("glue and fold ", 800), DeadlineMs: 6000, Stream: streamEvents,
-			Pieces: []int{2, 1, 3}, After: [][]int{nil, nil, {1}}, PieceKey: "sheet", Prompt: 900, Prefix: "aa:500,bb:300,cc:100",
+			Body: strings.Repeat("glue and fold ", 800), DeadlineMs: 6000, Events: streamEvents,
+			Pieces: []int{2, 1, 3}, After: [][]int{nil, nil, {1}}, PieceKey: "sheet", PromptTokens: 900, PromptPrefix: "aa:500,bb:300,cc:100",
 		}
 	},
-	func() *stand.Sent {
-		return &stand.Sent{
+	func() *stand.Request {
+		return &stand.Request{
 			ID: stand.NewID(), Method: http.MethodPost, Host: "models.example", Path: "/sum/log", Service: "models", Key: key, Tenant: organisation,
-			Body: "shift log", DeadlineMs: 6000, Stream: streamEvents, Once: true, Prompt: 200, Prefix: "aa:100,dd:100",
+			Body: "shift log", DeadlineMs: 6000, Events: streamEvents, AtMostOnce: true, PromptTokens: 200, PromptPrefix: "aa:100,dd:100",
 		}
 	},
 }
--- a/internal/serve/router/fault_test.go
+++ b/internal/serve/router/fault_test.go
@@ -19,7 +19,7 @@
 // these. After the faults, requests succeed again.
 func TestEngineFaultsKeepGuarantees(t *testing.T) {
 	for name, fault := range map[string]stand.Fault{
-		"reset": {Reset: true}, "break": {Break: true}, "refuse": {Refuse: true}, "fail": {Fail: true}, "twice": {Twice: true},
+		"reset": {Reset: true}, "break": {Truncate: true}, "refuse": {Refuse: true}, "fail": {Fail: true}, "twice": {Duplicate: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := start(t, 2)
@@ -32,7 +32,7 @@
 				group.Add(1)
 				go func() {
 					defer group.Done()
-					request := []func() *stand.Sent{booking, lookup, draft, summary}[i%4]
+					request := []func() *stand.Request{booking, lookup, draft, summary}[i%4]
 					b.send(b.gateways[i%2], request())
 				}()
 				time.Sleep(5 * time.Millisecond)
@@ -41,7 +41,7 @@
 			for _, e := range b.Engines("") {
 				e.SetFault(stand.Fault{})
 			}
-			got := b.sendUntil(b.gateways[0], draft, func(got stand.Got) bool { return got.Whole })
+			got := b.sendUntil(b.gateways[0], draft, func(got stand.Outcome) bool { return got.Complete })
 			assert.Equal(t, got.Status, http.StatusOK)
 		})
 	}
@@ -52,17 +52,17 @@
 func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	b := start(t, 1)
 	first := draft()
-	assert.Assert(t, b.send(b.gateways[0], first).Whole)
+	assert.Assert(t, b.send(b.gateways[0], first).Complete)
 	// Prompts with the same prefix go to the same engine.
 	preferred := b.Ledger.Runs(first.ID)[0]
 	for _, e := range b.Engines(models) {
 		if e.ID == preferred {
-			e.SetFault(stand.Fault{Every: 1, Break: true})
+			e.SetFault(stand.Fault{Every: 1, Truncate: true})
 		}
 	}
 	s := draft()
 	got := b.send(b.gateways[0], s)
-	assert.Assert(t, got.Whole, "%+v", got)
+	assert.Assert(t, got.Complete, "%+v", got)
 	assert.Equal(t, len(b.Ledger.Runs(s.ID)), 2)
 }
 
@@ -71,15 +71,15 @@
 func TestFailedResumeCutsTheStream(t *testing.T) {
 	b := start(t, 1)
 	first := draft()
-	assert.Assert(t, b.send(b.gateways[0], first).Whole)
+	assert.Assert(t, b.send(b.gateways[0], first).Complete)
 	preferred := b.Ledger.Runs(first.ID)[0]
 	for _, e := range b.Engines(models) {
-		e.SetFault(stand.Fault{Every: 1, Break: e.ID == preferred, Fail: e.ID != preferred})
+		e.SetFault(stand.Fault{Every: 1, Truncate: e.ID == preferred, Fail: e.ID != preferred})
 	}
 	s := draft()
 	got := b.send(b.gateways[0], s)
 	assert.Equal(t, len(b.Ledger.Runs(s.ID)), 2)
-	assert.Assert(t, got.Cut && !got.Whole, "%+v", got)
+	assert.Assert(t, got.Truncated && !got.Complete, "%+v", got)
 }
 
 // Guards against a second run of a stream that is not repeatable, and against a partial
@@ -87,11 +87,11 @@
 func TestBrokenStreamThatMayNotRepeatIsCut(t *testing.T) {
 	b := start(t, 1)
 	for _, e := range b.Engines(models) {
-		e.SetFault(stand.Fault{Every: 1, Break: true})
+		e.SetFault(stand.Fault{Every: 1, Truncate: true})
 	}
 	s := summary()
 	got := b.send(b.gateways[0], s)
-	assert.Assert(t, got.Cut && !got.Whole, "%+v", got)
+	assert.Assert(t, got.Truncated && !got.Complete, "%+v", got)
 	assert.Equal(t, len(b.Ledger.Runs(s.ID)), 1)
 }
 
@@ -101,19 +101,19 @@
 	leaving, stays := b.Engines(orders)[0], b.Engines(orders)[1]
 	b.Drain(leaving)
 	expectAllAt := func(from, to *stand.Engine) {
-		b.sendUntil(b.gateways[0], func() *stand.Sent { time.Sleep(600 * time.Millisecond); return lookup() }, func(got stand.Got) bool { return got.Whole })
+		b.sendUntil(b.gateways[0], func() *stand.Request { time.Sleep(600 * time.Millisecond); return lookup() }, func(got stand.Outcome) bool { return got.Complete })
 		for range 10 {
 			s := lookup()
-			assert.Assert(t, b.send(b.gateways[0], s).Whole)
+			assert.Assert(t, b.send(b.gateways[0], s).Complete)
 			assert.DeepEqual(t, b.Ledger.Runs(s.ID), []string{to.ID})
 		}
 		assert.Assert(t, from != to)
 	}
 	expectAllAt(leaving, stays)
 	b.Register(leaving, true, 0)
-	b.Empty(stays.Zone)
+	b.Evacuate(stays.Zone)
 	expectAllAt(stays, leaving)
-	b.Refill(stays.Zone)
+	b.EndEvacuation(stays.Zone)
 }
 
 // Guards against requests that run at another service which was started at the address
@@ -140,7 +140,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if got := b.send(b.gateways[i%2], draft()); !got.Whole && got.Status != http.StatusServiceUnavailable {
+			if got := b.send(b.gateways[i%2], draft()); !got.Complete && got.Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -151,8 +151,8 @@
 	}
 	group.Wait()
 	b.awaitPeers(b.gateways[0], 2)
-	got := b.sendUntil(b.gateways[0], draft, func(got stand.Got) bool { return got.Whole })
-	assert.Assert(t, got.Whole)
+	got := b.sendUntil(b.gateways[0], draft, func(got stand.Outcome) bool { return got.Complete })
+	assert.Assert(t, got.Complete)
 }
 
 // Guards against failed requests when the owner of the stage engines is drained with
@@ -165,7 +165,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if got := b.send(b.gateways[i%3], draft()); !got.Whole {
+			if got := b.send(b.gateways[i%3], draft()); !got.Complete {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -196,7 +196,7 @@
 		}
 		return poll.Continue("the draining process can reach %v", draining.Alive())
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
-	assert.Assert(t, b.send(draining, draft()).Whole)
+	assert.Assert(t, b.send(draining, draft()).Complete)
 }
 
 // Guards against requests that are held until their deadline when no engine of their
@@ -206,7 +206,7 @@
 	for _, e := range b.Engines(models) {
 		b.Remove(e)
 	}
-	got := b.sendUntil(b.gateways[0], summary, func(got stand.Got) bool {
+	got := b.sendUntil(b.gateways[0], summary, func(got stand.Outcome) bool {
 		return got.Status == http.StatusServiceUnavailable && got.Took < 500*time.Millisecond
 	})
 	assert.Assert(t, got.RetryAfter > 0, "%+v", got)
@@ -250,7 +250,7 @@
 	for _, e := range b.Engines(models) {
 		b.Remove(e)
 	}
-	first := b.sendUntil(b.gateways[0], draft, func(got stand.Got) bool {
+	first := b.sendUntil(b.gateways[0], draft, func(got stand.Outcome) bool {
 		return got.Status == http.StatusServiceUnavailable && got.RetryAfter > 0
 	})
 	<-time.After(first.RetryAfter + time.Second) // Retry-After and a little more
@@ -262,15 +262,15 @@
 func TestRequestsAfterRefuseNewAreRefused(t *testing.T) {
 	b := start(t, 2)
 	draining := b.gateways[0]
-	b.sendUntil(draining, booking, func(got stand.Got) bool { return got.Whole })
+	b.sendUntil(draining, booking, func(got stand.Outcome) bool { return got.Complete })
 	draining.StartDrain()
-	assert.Assert(t, b.send(draining, booking()).Whole, "requests are served until the load balancer has detected the drain")
+	assert.Assert(t, b.send(draining, booking()).Complete, "requests are served until the load balancer has detected the drain")
 	draining.RefuseNew()
-	for _, request := range []func() *stand.Sent{booking, lookup, draft, summary} {
+	for _, request := range []func() *stand.Request{booking, lookup, draft, summary} {
 		s := request()
 		got := b.send(draining, s)
 		assert.Equal(t, got.Status, http.StatusServiceUnavailable, "%+v", got)
 		assert.Assert(t, got.RetryAfter > 0 && len(b.Ledger.Runs(s.ID)) == 0)
-		assert.Assert(t, b.send(b.gateways[1], request()).Whole)
+		assert.Assert(t, b.send(b.gateways[1], request()).Complete)
 	}
 }
--- a/internal/serve/router/fleet_test.go
+++ b/internal/serve/router/fleet_test.go
@@ -41,7 +41,7 @@
 	b.Publish()
 	changed := time.Now()
 	for _, g := range b.gateways {
-		b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+		b.sendUntil(g, booking, func(got stand.Outcome) bool { return got.Status == http.StatusUnauthorized })
 	}
 	assert.Assert(t, time.Since(changed) < 4*time.Second, "%v", time.Since(changed))
 }
@@ -57,7 +57,7 @@
 	b.Publish()
 	changed := time.Now()
 	for _, g := range b.gateways {
-		b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+		b.sendUntil(g, booking, func(got stand.Outcome) bool { return got.Status == http.StatusUnauthorized })
 	}
 	assert.Assert(t, time.Since(changed) < 6*time.Second, "%v", time.Since(changed))
 }
@@ -76,11 +76,11 @@
 		b.Config.Tenants[0].Keys = []string{fresh}
 		b.Publish()
 		changed := time.Now()
-		b.sendUntil(watcher, func() *stand.Sent {
+		b.sendUntil(watcher, func() *stand.Request {
 			s := lookup()
 			s.Key = fresh
 			return s
-		}, func(got stand.Got) bool { return got.Status != http.StatusUnauthorized })
+		}, func(got stand.Outcome) bool { return got.Status != http.StatusUnauthorized })
 		took := time.Since(changed)
 		assert.Check(t, took < time.Second, "change %d in force after %v", round, took)
 		time.Sleep(300 * time.Millisecond)
@@ -98,8 +98,8 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			request := []func() *stand.Sent{booking, lookup, booking, lookup, draft}[i%5]
-			if got := b.send(first[i%2], request()); !got.Whole {
+			request := []func() *stand.Request{booking, lookup, booking, lookup, draft}[i%5]
+			if got := b.send(first[i%2], request()); !got.Complete {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -111,7 +111,7 @@
 	group.Wait()
 	for _, g := range b.gateways {
 		b.awaitPeers(g, 5)
-		b.sendUntil(g, draft, func(got stand.Got) bool { return got.Whole })
+		b.sendUntil(g, draft, func(got stand.Outcome) bool { return got.Complete })
 	}
 }
 
@@ -121,7 +121,7 @@
 	for range 6 {
 		for _, zone := range []string{zoneA, zoneB} {
 			for _, service := range []string{encode, retrieval} {
-				_, err := b.Add(&stand.Engine{Service: service, Kind: stand.Stage, Work: 20 * time.Millisecond, Zone: zone})
+				_, err := b.Add(&stand.Engine{Service: service, Kind: stand.Stage, WorkTime: 20 * time.Millisecond, Zone: zone})
 				assert.NilError(b.t, err)
 			}
 		}
@@ -140,7 +140,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				if got := b.send(from[i%len(from)], draft()); !got.Whole && got.Status != http.StatusServiceUnavailable {
+				if got := b.send(from[i%len(from)], draft()); !got.Complete && got.Status != http.StatusServiceUnavailable {
 					t.Errorf("%+v", got)
 				}
 			}()
@@ -151,12 +151,12 @@
 		}
 		group.Wait()
 		for _, g := range from {
-			b.sendUntil(g, draft, func(got stand.Got) bool { return got.Whole })
+			b.sendUntil(g, draft, func(got stand.Outcome) bool { return got.Complete })
 		}
 	}
 	sendDuring(b.gateways, func() {})
-	sendDuring(b.gateways, func() { b.Empty(zoneA) })
-	sendDuring(b.gateways, func() { b.Refill(zoneA) })
+	sendDuring(b.gateways, func() { b.Evacuate(zoneA) })
+	sendDuring(b.gateways, func() { b.EndEvacuation(zoneA) })
 	sendDuring(b.gateways[:2], b.gateways[3].stop)
 }
 
--- a/internal/serve/router/harness_test.go
+++ b/internal/serve/router/harness_test.go
@@ -118,10 +118,10 @@
 func (b *bench) addEngines() {
 	for _, zone := range []string{zoneA, zoneB} {
 		for _, e := range []*stand.Engine{
-			{Service: orders, Kind: stand.Plain, Work: 5 * time.Millisecond},
-			{Service: models, Kind: stand.Model, Work: 5 * time.Millisecond, Pause: 5 * time.Millisecond, Events: 8},
-			{Service: encode, Kind: stand.Stage, Work: 20 * time.Millisecond},
-			{Service: retrieval, Kind: stand.Stage, Work: 20 * time.Millisecond},
+			{Service: orders, Kind: stand.Plain, WorkTime: 5 * time.Millisecond},
+			{Service: models, Kind: stand.Model, WorkTime: 5 * time.Millisecond, EventInterval: 5 * time.Millisecond, Events: 8},
+			{Service: encode, Kind: stand.Stage, WorkTime: 20 * time.Millisecond},
+			{Service: retrieval, Kind: stand.Stage, WorkTime: 20 * time.Millisecond},
 		} {
 			e.Zone = zone
 			_, err := b.Add(e)
@@ -153,7 +153,7 @@
 			g.logRollouts(t)
 		}
 		d.Close()
-		for _, breach := range d.Ledger.Breaches() {
+		for _, breach := range d.Ledger.Violations() {
 			t.Errorf("breach: %s", breach)
 		}
 	})
@@ -271,15 +271,15 @@
 }
 
 // send sends a request to a gateway and returns its answer.
-func (b *bench) send(g *gateway, s *stand.Sent) stand.Got {
+func (b *bench) send(g *gateway, s *stand.Request) stand.Outcome {
 	b.t.Helper()
 	return b.client.Do(b.t.Context(), g.address, s)
 }
 
 // sendUntil sends requests until an answer fulfils a condition, and returns that answer.
-func (b *bench) sendUntil(g *gateway, request func() *stand.Sent, done func(stand.Got) bool) stand.Got {
+func (b *bench) sendUntil(g *gateway, request func() *stand.Request, done func(stand.Outcome) bool) stand.Outcome {
 	b.t.Helper()
-	var got stand.Got
+	var got stand.Outcome
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
 		if got = b.send(g, request()); done(got) {
 			return poll.Success()
@@ -289,31 +289,31 @@
 	return got
 }
 
-func booking() *stand.Sent {
-	return &stand.Sent{
+func booking() *stand.Request {
+	return &stand.Request{
 		ID: stand.NewID(), Method: http.MethodPost, Host: "orders.example", Path: "/book/reel?size=4", Service: orders, Key: key, Tenant: org,
-		Body: strings.Repeat("kraft ", 20), DeadlineMs: 2500, Once: true,
+		Body: strings.Repeat("kraft ", 20), DeadlineMs: 2500, AtMostOnce: true,
 	}
 }
 
-func lookup() *stand.Sent {
-	return &stand.Sent{
+func lookup() *stand.Request {
+	return &stand.Request{
 		ID: stand.NewID(), Method: http.MethodGet, Host: "orders.example", Path: "/look/stock", Service: orders, Key: key, Tenant: org, DeadlineMs: 2500,
 	}
 }
 
-func draft() *stand.Sent {
-	return &stand.Sent{
+func draft() *stand.Request {
+	return &stand.Request{
 		ID: stand.NewID(), Method: http.MethodPost, Host: "models.example", Path: "/draft/sheet", Service: models, Key: key, Tenant: org,
-		Body: strings.Repeat("glue and fold ", 900), DeadlineMs: 8000, Stream: 8,
-		Pieces: []int{3, 2}, After: [][]int{nil, {0}}, PieceKey: "sheet-7", Prompt: 900, Prefix: "aa:500,bb:300,cc:100",
+		Body: strings.Repeat("glue and fold ", 900), DeadlineMs: 8000, Events: 8,
+		Pieces: []int{3, 2}, After: [][]int{nil, {0}}, PieceKey: "sheet-7", PromptTokens: 900, PromptPrefix: "aa:500,bb:300,cc:100",
 	}
 }
 
-func summary() *stand.Sent {
-	return &stand.Sent{
+func summary() *stand.Request {
+	return &stand.Request{
 		ID: stand.NewID(), Method: http.MethodPost, Host: "models.example", Path: "/sum/log", Service: models, Key: key, Tenant: org,
-		Body: "shift log", DeadlineMs: 8000, Stream: 8, Once: true, Prompt: 200, Prefix: "aa:100,dd:100",
+		Body: "shift log", DeadlineMs: 8000, Events: 8, AtMostOnce: true, PromptTokens: 200, PromptPrefix: "aa:100,dd:100",
 	}
 }
 
--- a/internal/serve/router/path_test.go
+++ b/internal/serve/router/path_test.go
@@ -21,12 +21,12 @@
 func TestEveryKindOfRequestIsServed(t *testing.T) {
 	b := start(t, 2)
 	for _, g := range b.gateways {
-		for name, request := range map[string]func() *stand.Sent{
+		for name, request := range map[string]func() *stand.Request{
 			"booking": booking, "lookup": lookup, "draft": draft, "summary": summary,
 		} {
 			got := b.send(g, request())
 			assert.Equal(t, got.Status, http.StatusOK, "%s: %+v", name, got)
-			assert.Assert(t, got.Whole, "%s: %+v", name, got)
+			assert.Assert(t, got.Complete, "%s: %+v", name, got)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	s := draft()
 	s.Pieces = []int{0, 0}
 	got := b.send(b.gateways[0], s)
-	assert.Assert(t, got.Whole, "%+v", got)
+	assert.Assert(t, got.Complete, "%+v", got)
 }
 
 // Guards against missing, repeated or foreign pieces when many requests need pieces at
@@ -50,7 +50,7 @@
 			defer group.Done()
 			s := draft()
 			s.Pieces = []int{1 + i%4, 1 + i%3}
-			if got := b.send(b.gateways[i%3], s); !got.Whole && got.Status != http.StatusServiceUnavailable {
+			if got := b.send(b.gateways[i%3], s); !got.Complete && got.Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -62,15 +62,15 @@
 	b := start(t, 1)
 	for _, tt := range []struct {
 		name   string
-		change func(*stand.Sent)
+		change func(*stand.Request)
 		want   int
 	}{
-		{"unknown host", func(s *stand.Sent) { s.Host = "nobody.example" }, http.StatusNotFound},
-		{"unknown path", func(s *stand.Sent) { s.Path = "/other/" }, http.StatusNotFound},
-		{"no key", func(s *stand.Sent) { s.Key = "" }, http.StatusUnauthorized},
-		{"unknown key", func(s *stand.Sent) { s.Key = "guess" }, http.StatusUnauthorized},
-		{"too large", func(s *stand.Sent) { s.Body = strings.Repeat("x", 2<<20) }, http.StatusRequestEntityTooLarge},
-		{"no id", func(s *stand.Sent) { s.ID = "" }, http.StatusBadRequest},
+		{"unknown host", func(s *stand.Request) { s.Host = "nobody.example" }, http.StatusNotFound},
+		{"unknown path", func(s *stand.Request) { s.Path = "/other/" }, http.StatusNotFound},
+		{"no key", func(s *stand.Request) { s.Key = "" }, http.StatusUnauthorized},
+		{"unknown key", func(s *stand.Request) { s.Key = "guess" }, http.StatusUnauthorized},
+		{"too large", func(s *stand.Request) { s.Body = strings.Repeat("x", 2<<20) }, http.StatusRequestEntityTooLarge},
+		{"no id", func(s *stand.Request) { s.ID = "" }, http.StatusBadRequest},
 	} {
 		s := booking()
 		tt.change(s)
@@ -83,7 +83,7 @@
 	assert.Equal(t, b.send(b.gateways[0], s).Status, http.StatusBadRequest)
 	open := lookup()
 	open.Path, open.Key, open.Tenant = "/open/x", "", ""
-	assert.Assert(t, b.send(b.gateways[0], open).Whole)
+	assert.Assert(t, b.send(b.gateways[0], open).Complete)
 }
 
 // raw sends text on a new connection and returns what it receives until the connection
@@ -105,7 +105,7 @@
 func TestSmuggledRequestsDoNotRun(t *testing.T) {
 	b := start(t, 1)
 	head := func(id string) string {
-		return "POST /book/reel HTTP/1.1\r\nHost: orders.example\r\n" + stand.HeadLines(id, key, 2000)
+		return "POST /book/reel HTTP/1.1\r\nHost: orders.example\r\n" + stand.HeaderLines(id, key, 2000)
 	}
 	hidden := head("hidden") + "Content-Length: 0\r\n\r\n"
 	for _, tt := range []struct{ name, text string }{
@@ -120,10 +120,10 @@
 	}
 	// The ledger also reports the outer request, because it was not sent through
 	// the client. The test accepts only that report and removes it.
-	for _, breach := range b.Ledger.Breaches() {
+	for _, breach := range b.Ledger.Violations() {
 		assert.Assert(t, strings.Contains(breach, "outer"), breach)
 	}
-	b.Ledger.Forgive("outer")
+	b.Ledger.DropViolations("outer")
 }
 
 // Guards against an engine that goes on generating for a caller that has cancelled its
@@ -133,7 +133,7 @@
 	for _, e := range b.Engines(models) {
 		b.Remove(e)
 	}
-	slow, err := b.Add(&stand.Engine{Service: models, Kind: stand.Model, Zone: zoneA, Pause: 50 * time.Millisecond, Events: 200})
+	slow, err := b.Add(&stand.Engine{Service: models, Kind: stand.Model, Zone: zoneA, EventInterval: 50 * time.Millisecond, Events: 200})
 	assert.NilError(t, err)
 	time.Sleep(500 * time.Millisecond) // the gateway has read the entry by then
 	ctx, cancel := context.WithCancel(t.Context())
@@ -141,7 +141,7 @@
 	go func() {
 		defer close(done)
 		s := summary()
-		s.Stream = 200
+		s.Events = 200
 		b.client.Do(ctx, b.gateways[0].address, s)
 	}()
 	running := func(want bool) {
@@ -166,7 +166,7 @@
 	s := booking()
 	s.Body = "kraft reel"
 	b.Ledger.Expect(s)
-	text := "POST /book/reel?size=4 HTTP/1.1\r\nHost: orders.example\r\n" + stand.HeadLines(s.ID, key, 2500) +
+	text := "POST /book/reel?size=4 HTTP/1.1\r\nHost: orders.example\r\n" + stand.HeaderLines(s.ID, key, 2500) +
 		"Transfer-Encoding: chunked\r\n\r\n6\r\nkraft \r\n4\r\nreel\r\n0\r\n\r\n"
 	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(b.raw(text))), nil)
 	assert.NilError(t, err)
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -28,7 +28,7 @@
 	group.Wait()
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range engines {
-		_, err := b.Add(&stand.Engine{Kind: e.Kind, Service: e.Service, Zone: e.Zone, Work: e.Work, Pause: e.Pause, Events: e.Events})
+		_, err := b.Add(&stand.Engine{Kind: e.Kind, Service: e.Service, Zone: e.Zone, WorkTime: e.WorkTime, EventInterval: e.EventInterval, Events: e.Events})
 		assert.NilError(b.t, err)
 	}
 }
@@ -39,7 +39,7 @@
 	b := startTwoTenants(t)
 	engines := b.Engines(orders)
 	for _, e := range engines {
-		e.SetFault(stand.Fault{Every: 1, Slow: 1500 * time.Millisecond})
+		e.SetFault(stand.Fault{Every: 1, Delay: 1500 * time.Millisecond})
 	}
 	var group sync.WaitGroup
 	for i := range 36 {
@@ -56,7 +56,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		var refused []int
 		for i, g := range b.gateways { // one of them may let a single request through as a test
-			if !b.send(g, lookup()).Whole {
+			if !b.send(g, lookup()).Complete {
 				refused = append(refused, i+1)
 			}
 		}
@@ -72,7 +72,7 @@
 func TestStreamIsServedAfterPlannedReplacementOfEngines(t *testing.T) {
 	b := startTwoTenants(t)
 	for _, e := range b.Engines(models) {
-		e.SetFault(stand.Fault{Every: 1, Slow: 1500 * time.Millisecond})
+		e.SetFault(stand.Fault{Every: 1, Delay: 1500 * time.Millisecond})
 	}
 	for range 3 {
 		done := make(chan struct{})
@@ -96,9 +96,9 @@
 		e.SetFault(stand.Fault{})
 	}
 	for _, g := range b.gateways {
-		b.sendUntil(g, fromOther(summary), func(got stand.Got) bool { return got.Whole })
+		b.sendUntil(g, fromOther(summary), func(got stand.Outcome) bool { return got.Complete })
 		got := b.send(g, summary())
-		assert.Check(t, got.Whole, "%+v", got)
+		assert.Check(t, got.Complete, "%+v", got)
 	}
 }
 
@@ -158,7 +158,7 @@
 		p.send(p.gateways[i%3], s)
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, len(p.poison.Reached()) <= 3+maxReached, "%d", len(p.poison.Reached()))
+	assert.Assert(t, len(p.poison.Arrivals()) <= 3+maxReached, "%d", len(p.poison.Arrivals()))
 }
 
 // Guards against crashes that are forgotten because all processes are replaced between
@@ -181,7 +181,7 @@
 		p.send(p.gateways[i%3], p.request())
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, len(p.poison.Reached()) <= 2+maxReached, "%d", len(p.poison.Reached()))
+	assert.Assert(t, len(p.poison.Arrivals()) <= 2+maxReached, "%d", len(p.poison.Arrivals()))
 }
 
 // Guards against a poison request that is not recognised because its callers cancel it
@@ -197,7 +197,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := startPoison(t, lookup, false)
-			p.poison.After, p.poison.Fails = tt.after, tt.fails
+			p.poison.CrashDelay, p.poison.FailsFirst = tt.after, tt.fails
 			for i := range 50 {
 				s := p.request()
 				s.DeadlineMs = tt.deadline
@@ -219,7 +219,7 @@
 		time.Sleep(span)
 		return b.Store.Calls() - before
 	}
-	b.Store.SetTrouble(stand.Trouble{Status: http.StatusServiceUnavailable})
+	b.Store.SetFault(stand.StoreFault{Status: http.StatusServiceUnavailable})
 	time.Sleep(time.Second)
 	without := calls()
 	for i := range keys {
@@ -231,7 +231,7 @@
 	time.Sleep(2 * time.Second)
 	with := calls()
 	assert.Assert(t, with <= without+3*keys*3, "%d calls without quarantines, %d with them", without, with)
-	b.Store.SetTrouble(stand.Trouble{})
+	b.Store.SetFault(stand.StoreFault{})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if held := b.Store.Names("quarantines"); len(held) != keys {
 			return poll.Continue("the store holds %s", strings.Join(held, " "))
--- a/internal/serve/router/poison_test.go
+++ b/internal/serve/router/poison_test.go
@@ -36,12 +36,12 @@
 type poisonBench struct {
 	*bench
 	poison  *stand.Poison
-	request func() *stand.Sent
+	request func() *stand.Request
 }
 
 // withBody returns a request constructor that sets another body.
-func withBody(request func() *stand.Sent, body string) func() *stand.Sent {
-	return func() *stand.Sent {
+func withBody(request func() *stand.Request, body string) func() *stand.Request {
+	return func() *stand.Request {
 		s := request()
 		s.Body, s.DeadlineMs = body, callerDeadlineMs
 		return s
@@ -49,8 +49,8 @@
 }
 
 // fromOther returns a request constructor that uses the key of the other organisation.
-func fromOther(request func() *stand.Sent) func() *stand.Sent {
-	return func() *stand.Sent {
+func fromOther(request func() *stand.Request) func() *stand.Request {
+	return func() *stand.Request {
 		s := request()
 		s.Key, s.Tenant = otherKey, otherOrg
 		return s
@@ -68,30 +68,30 @@
 	for i := range 4 {
 		zone := []string{zoneA, zoneB}[i%2]
 		for _, e := range []*stand.Engine{
-			{Service: orders, Kind: stand.Plain, Zone: zone, Work: 5 * time.Millisecond},
-			{Service: models, Kind: stand.Model, Zone: zone, Work: 5 * time.Millisecond, Pause: 5 * time.Millisecond, Events: 8},
+			{Service: orders, Kind: stand.Plain, Zone: zone, WorkTime: 5 * time.Millisecond},
+			{Service: models, Kind: stand.Model, Zone: zone, WorkTime: 5 * time.Millisecond, EventInterval: 5 * time.Millisecond, Events: 8},
 		} {
 			_, err := b.Add(e)
 			assert.NilError(t, err)
 		}
 	}
 	for _, g := range b.gateways {
-		b.sendUntil(g, fromOther(lookup), func(got stand.Got) bool { return got.Whole })
+		b.sendUntil(g, fromOther(lookup), func(got stand.Outcome) bool { return got.Complete })
 	}
 	return b
 }
 
 // startPoison is startTwoTenants with a request that crashes engines. The engines start
 // again with the same ID if sameID is set, otherwise with a new one.
-func startPoison(t *testing.T, request func() *stand.Sent, sameID bool) *poisonBench {
+func startPoison(t *testing.T, request func() *stand.Request, sameID bool) *poisonBench {
 	t.Helper()
 	p := &poisonBench{bench: startTwoTenants(t), request: withBody(request, poisoned), poison: &stand.Poison{
-		Tenant: org, Body: poisoned, Lapse: 450 * time.Millisecond, Away: 700 * time.Millisecond, SameID: sameID,
+		Tenant: org, Body: poisoned, EntryRemovalDelay: 450 * time.Millisecond, RestartDelay: 700 * time.Millisecond, SameID: sameID,
 	}}
 	if sameID {
-		p.poison.Lapse, p.poison.Away = p.poison.Away, p.poison.Lapse // the entry stays in the store during the restart
+		p.poison.EntryRemovalDelay, p.poison.RestartDelay = p.poison.RestartDelay, p.poison.EntryRemovalDelay // the entry stays in the store during the restart
 	}
-	p.Ledger.Poison(p.poison)
+	p.Ledger.AddPoison(p.poison)
 	return p
 }
 
@@ -143,7 +143,7 @@
 // later than recognitionTime after its third crash and outside the allowed intervals.
 func (p *poisonBench) checkReached(allowed ...interval) {
 	p.t.Helper()
-	reached, crashes := p.poison.Reached(), p.poison.Crashes()
+	reached, crashes := p.poison.Arrivals(), p.poison.Crashes()
 	p.t.Logf("reached engines %d times, %d crashed", len(reached), len(crashes))
 	if len(crashes) < 3 {
 		return
@@ -160,7 +160,7 @@
 func TestPoisonRequestReachesFewEngines(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		request func() *stand.Sent
+		request func() *stand.Request
 		sameID  bool
 	}{
 		{"stream", draft, false},
@@ -245,8 +245,8 @@
 	p := startPoison(t, summary, false)
 	stop := p.sendRepeatedly()
 	defer stop()
-	time.Sleep(time.Until(p.awaitThirdCrash().Add(recognitionTime + p.poison.Away + 500*time.Millisecond)))
-	for name, request := range map[string]func() *stand.Sent{
+	time.Sleep(time.Until(p.awaitThirdCrash().Add(recognitionTime + p.poison.RestartDelay + 500*time.Millisecond)))
+	for name, request := range map[string]func() *stand.Request{
 		"another body": withBody(summary, "sound"), "another organisation": fromOther(p.request),
 	} {
 		const sent = 100
@@ -255,12 +255,12 @@
 		for i := range sent {
 			group.Go(func() {
 				got := p.send(p.gateways[i%len(p.gateways)], request())
-				if !got.Whole {
+				if !got.Complete {
 					repeated.Add(1)
 					time.Sleep(max(got.RetryAfter, 50*time.Millisecond))
 					got = p.send(p.gateways[(i+1)%len(p.gateways)], request())
 				}
-				if got.Whole {
+				if got.Complete {
 					served.Add(1)
 				}
 			})
@@ -275,18 +275,18 @@
 // Guards against quarantines of requests whose connections engines reset, or whose
 // answers they broke off, without a crash.
 func TestBrokenAnswersCauseNoQuarantine(t *testing.T) {
-	for name, fault := range map[string]stand.Fault{"reset": {Every: 1, Reset: true}, "break": {Every: 1, Break: true}} {
+	for name, fault := range map[string]stand.Fault{"reset": {Every: 1, Reset: true}, "break": {Every: 1, Truncate: true}} {
 		t.Run(name, func(t *testing.T) {
 			b := startTwoTenants(t)
 			engines := append(b.Engines(orders), b.Engines(models)...)
 			for _, e := range engines {
 				e.SetFault(fault)
 			}
-			requests := []func() *stand.Sent{booking, lookup, draft, summary}
+			requests := []func() *stand.Request{booking, lookup, draft, summary}
 			for _, request := range requests {
 				for round := range 4 {
 					got := b.send(b.gateways[round%3], request())
-					assert.Assert(t, !got.Whole)
+					assert.Assert(t, !got.Complete)
 				}
 			}
 			for _, e := range engines {
@@ -295,9 +295,9 @@
 			for _, request := range requests {
 				for _, g := range b.gateways {
 					// Engines that failed are blocked for a while for all requests.
-					b.sendUntil(g, withBody(request, "sound"), func(got stand.Got) bool { return got.Whole })
+					b.sendUntil(g, withBody(request, "sound"), func(got stand.Outcome) bool { return got.Complete })
 					got := b.send(g, request())
-					assert.Check(t, got.Whole, "%s: %+v", request().Path, got)
+					assert.Check(t, got.Complete, "%s: %+v", request().Path, got)
 				}
 			}
 		})
@@ -307,7 +307,7 @@
 // Guards against a quarantined request that is held until its deadline, or refused as
 // if it might have run.
 func TestPoisonRequestIsRefusedAtOnce(t *testing.T) {
-	for name, request := range map[string]func() *stand.Sent{"stream": draft, "booking": booking} {
+	for name, request := range map[string]func() *stand.Request{"stream": draft, "booking": booking} {
 		t.Run(name, func(t *testing.T) {
 			p := startPoison(t, request, false)
 			stop := p.sendRepeatedly()
@@ -315,7 +315,7 @@
 			p.awaitThirdCrash()
 			stop()
 			p.awaitRecovery()
-			before := len(p.poison.Reached())
+			before := len(p.poison.Arrivals())
 			const sent = 20
 			refused, slowest := 0, time.Duration(0)
 			for i := range sent {
@@ -329,7 +329,7 @@
 				}
 				time.Sleep(60 * time.Millisecond)
 			}
-			reached := len(p.poison.Reached()) - before
+			reached := len(p.poison.Arrivals()) - before
 			t.Logf("%d of %d refused, the slowest in %v; reached engines %d times", refused, sent, slowest, reached)
 			assert.Check(t, reached <= maxReached, "reached engines %d times", reached)
 			assert.Check(t, refused >= sent-maxReached, "%d of %d", refused, sent)
@@ -343,10 +343,10 @@
 func (p *poisonBench) awaitRecovery() {
 	p.t.Helper()
 	if crashes := p.poison.Crashes(); len(crashes) > 0 {
-		time.Sleep(time.Until(crashes[len(crashes)-1].Add(p.poison.Away + 500*time.Millisecond)))
+		time.Sleep(time.Until(crashes[len(crashes)-1].Add(p.poison.RestartDelay + 500*time.Millisecond)))
 	}
 	for _, g := range p.gateways {
-		p.sendUntil(g, fromOther(p.request), func(got stand.Got) bool { return got.Whole })
+		p.sendUntil(g, fromOther(p.request), func(got stand.Outcome) bool { return got.Complete })
 	}
 }
 
@@ -354,7 +354,7 @@
 // same engines as a request that crashes them.
 func TestRequestsAtCrashingEnginesAreNotQuarantined(t *testing.T) {
 	p := startPoison(t, draft, false)
-	others := make([]func() *stand.Sent, 40)
+	others := make([]func() *stand.Request, 40)
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	for i := range others {
@@ -380,7 +380,7 @@
 	assert.Assert(t, len(p.poison.Crashes()) >= 3)
 	p.awaitRecovery()
 	for i, request := range others {
-		p.sendUntil(p.gateways[i%len(p.gateways)], request, func(got stand.Got) bool { return got.Whole })
+		p.sendUntil(p.gateways[i%len(p.gateways)], request, func(got stand.Outcome) bool { return got.Complete })
 	}
 	assert.Equal(t, len(p.quarantinedKeys()), 1)
 }
@@ -402,12 +402,12 @@
 	}, poll.WithTimeout(15*time.Second), poll.WithDelay(10*time.Millisecond))
 	stop()
 	p.awaitRecovery()
-	before := len(p.poison.Reached())
+	before := len(p.poison.Arrivals())
 	p.Store.PutRaw(platform.KindQuarantines, "other", json.RawMessage(`7`)) // an invalid object
 	p.Store.Delete(platform.KindQuarantines, p.quarantinedKeys()[0])
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		p.send(p.gateways[0], p.request())
-		if len(p.poison.Reached()) > before {
+		if len(p.poison.Arrivals()) > before {
 			return poll.Success()
 		}
 		return poll.Continue("still refused")
--- a/internal/serve/router/rollout_test.go
+++ b/internal/serve/router/rollout_test.go
@@ -22,7 +22,7 @@
 type serviceKind struct {
 	service  string
 	engine   func() *stand.Engine
-	requests []func() *stand.Sent
+	requests []func() *stand.Request
 	perS     int
 }
 
@@ -30,22 +30,22 @@
 	return map[string]serviceKind{
 		"plain": {
 			service: orders, engine: func() *stand.Engine {
-				return &stand.Engine{Service: orders, Kind: stand.Plain, Work: 5 * time.Millisecond}
+				return &stand.Engine{Service: orders, Kind: stand.Plain, WorkTime: 5 * time.Millisecond}
 			},
-			requests: []func() *stand.Sent{booking, lookup}, perS: 120,
+			requests: []func() *stand.Request{booking, lookup}, perS: 120,
 		},
 		"model": {
 			service: models,
 			engine: func() *stand.Engine {
-				return &stand.Engine{Service: models, Kind: stand.Model, Work: 5 * time.Millisecond, Pause: 5 * time.Millisecond, Events: 8}
+				return &stand.Engine{Service: models, Kind: stand.Model, WorkTime: 5 * time.Millisecond, EventInterval: 5 * time.Millisecond, Events: 8}
 			},
-			requests: []func() *stand.Sent{draft, summary}, perS: 80,
+			requests: []func() *stand.Request{draft, summary}, perS: 80,
 		},
 		"stage": {
 			service: encode, engine: func() *stand.Engine {
-				return &stand.Engine{Service: encode, Kind: stand.Stage, Work: 20 * time.Millisecond}
+				return &stand.Engine{Service: encode, Kind: stand.Stage, WorkTime: 20 * time.Millisecond}
 			},
-			requests: []func() *stand.Sent{draft}, perS: 60,
+			requests: []func() *stand.Request{draft}, perS: 60,
 		},
 	}
 }
@@ -77,7 +77,7 @@
 			go func() {
 				defer l.group.Done()
 				l.sent.Add(1)
-				if b.client.Do(b.t.Context(), g.address, s).Whole {
+				if b.client.Do(b.t.Context(), g.address, s).Complete {
 					l.whole.Add(1)
 				}
 			}()
@@ -108,7 +108,7 @@
 
 func (b *bench) orderRollout(k serviceKind, duration time.Duration, bad bool) *stand.Rollout {
 	r := &stand.Rollout{
-		Service: k.service, Version: "v2", Duration: duration, Bad: bad, Share: rolloutShare, Spare: rolloutBase, Rollback: 3 * time.Second,
+		Service: k.service, Version: "v2", Duration: duration, Bad: bad, Share: rolloutShare, BaseAllowance: rolloutBase, RollbackTime: 3 * time.Second,
 	}
 	b.Order(r)
 	return r
@@ -152,14 +152,14 @@
 	ordered, loads := b.orderAllRollouts(stand.Fault{}, rolloutTime, false)
 	time.Sleep(rolloutTime / 2)
 	for _, k := range serviceKinds() {
-		half := b.Ledger.Arrived(k.service, "v2", began)
-		sum := half + b.Ledger.Arrived(k.service, "v1", began)
+		half := b.Ledger.CountArrivals(k.service, "v2", began)
+		sum := half + b.Ledger.CountArrivals(k.service, "v1", began)
 		t.Logf("%d of %d at the new version of %s at half time", half, sum, k.service)
 		assert.Assert(t, half > 0 && float64(half) <= rolloutShare*float64(sum)+rolloutBase)
 	}
 	var group sync.WaitGroup
 	for _, r := range ordered {
-		group.Go(func() { b.Await(r, time.Second) })
+		group.Go(func() { b.AwaitDecision(r, time.Second) })
 	}
 	group.Wait()
 	time.Sleep(700 * time.Millisecond)
@@ -171,11 +171,11 @@
 		sent, whole = sent+l.sent.Load(), whole+l.whole.Load()
 	}
 	for name, r := range ordered {
-		for _, breach := range b.Check(r) {
+		for _, breach := range b.CheckRollout(r) {
 			t.Error(breach)
 		}
-		assert.Equal(t, b.Ledger.Arrived(r.Service, "v1", after), 0, name)
-		assert.Assert(t, b.Ledger.Arrived(r.Service, "v2", after) > 20, name)
+		assert.Equal(t, b.Ledger.CountArrivals(r.Service, "v1", after), 0, name)
+		assert.Assert(t, b.Ledger.CountArrivals(r.Service, "v2", after) > 20, name)
 	}
 	assert.Assert(t, whole >= sent-3, "%d of %d answered", whole, sent)
 }
@@ -183,7 +183,7 @@
 // Guards against bad versions that are not rolled back and affect too many requests.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, fault := range map[string]stand.Fault{
-		"fail": {Every: 3, Fail: true}, "reset": {Every: 3, Reset: true}, "slow": {Every: 1, Slow: 250 * time.Millisecond},
+		"fail": {Every: 3, Fail: true}, "reset": {Every: 3, Reset: true}, "slow": {Every: 1, Delay: 250 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -191,7 +191,7 @@
 			ordered, loads := b.orderAllRollouts(fault, rolloutTime+2*time.Second, true)
 			var group sync.WaitGroup
 			for _, r := range ordered {
-				group.Go(func() { b.Await(r, time.Second) })
+				group.Go(func() { b.AwaitDecision(r, time.Second) })
 			}
 			group.Wait()
 			time.Sleep(time.Second)
@@ -201,10 +201,10 @@
 				l.stop()
 			}
 			for name, r := range ordered {
-				for _, breach := range b.Check(r) {
+				for _, breach := range b.CheckRollout(r) {
 					t.Error(breach)
 				}
-				assert.Equal(t, b.Ledger.Arrived(r.Service, "v2", after), 0, name)
+				assert.Equal(t, b.Ledger.CountArrivals(r.Service, "v2", after), 0, name)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 	b.awaitPeers(late, 3)
 	time.Sleep(time.Second)
 	l.stop()
-	assert.Equal(t, b.Ledger.Arrived(orders, "v2", time.Time{}), 0)
+	assert.Equal(t, b.Ledger.CountArrivals(orders, "v2", time.Time{}), 0)
 	assert.Equal(t, l.whole.Load(), l.sent.Load())
 }
 
@@ -264,7 +264,7 @@
 	state, _ := b.RolloutState("nothing")
 	assert.Equal(t, state, "")
 	l.stop()
-	assert.Equal(t, b.Ledger.Arrived(orders, "v2", time.Time{})+b.Ledger.Arrived(orders, stand.NoVersion, time.Time{}), 0)
+	assert.Equal(t, b.Ledger.CountArrivals(orders, "v2", time.Time{})+b.Ledger.CountArrivals(orders, stand.NoVersion, time.Time{}), 0)
 	assert.Equal(t, l.whole.Load(), l.sent.Load())
 }
 
@@ -277,7 +277,7 @@
 	b.addVersion(k, "v2", stand.Fault{})
 	r := b.orderRollout(k, 5*time.Second, false)
 	b.WriteRolloutStatus(orders, `{"state":"splendid","to":7}`)
-	assert.Equal(t, b.Await(r, time.Second), "completed")
+	assert.Equal(t, b.AwaitDecision(r, time.Second), "completed")
 	l.stop()
 }
 
@@ -292,22 +292,22 @@
 	b.addVersion(k, "v3", stand.Fault{})
 	b.orderRollout(k, 20*time.Second, false)
 	time.Sleep(1500 * time.Millisecond)
-	assert.Assert(t, b.Ledger.Arrived(orders, "v2", time.Time{}) > 0)
+	assert.Assert(t, b.Ledger.CountArrivals(orders, "v2", time.Time{}) > 0)
 	b.WithdrawOrder(orders)
 	time.Sleep(500 * time.Millisecond)
 	gone := time.Now()
 	time.Sleep(500 * time.Millisecond)
-	assert.Equal(t, b.Ledger.Arrived(orders, "v2", gone), 0)
+	assert.Equal(t, b.Ledger.CountArrivals(orders, "v2", gone), 0)
 	b.orderRollout(k, 20*time.Second, false)
 	time.Sleep(time.Second)
 	r := &stand.Rollout{Service: orders, Version: "v3", Duration: 6 * time.Second}
 	b.Order(r)
 	time.Sleep(500 * time.Millisecond)
 	replaced := time.Now()
-	assert.Equal(t, b.Await(r, time.Second), "completed")
+	assert.Equal(t, b.AwaitDecision(r, time.Second), "completed")
 	l.stop()
-	assert.Equal(t, b.Ledger.Arrived(orders, "v2", replaced), 0)
-	assert.Assert(t, b.Ledger.Arrived(orders, "v3", replaced) > 0)
+	assert.Equal(t, b.Ledger.CountArrivals(orders, "v2", replaced), 0)
+	assert.Assert(t, b.Ledger.CountArrivals(orders, "v3", replaced) > 0)
 
 	object, _ := b.Store.Get(platform.KindRollouts, orders)
 	_, status, err := platform.DecodeRollout(orders, object.Spec, object.Status)
@@ -350,12 +350,12 @@
 		{"owner ends in the middle", 0.5, stopOwner},
 		{"owner ends before the deadline", 0.88, stopOwner},
 		{"answers of the store are lost", 0, func(b *bench) {
-			b.Store.SetTrouble(stand.Trouble{LoseAnswers: true})
-			time.AfterFunc(2*time.Second, func() { b.Store.SetTrouble(stand.Trouble{}) })
+			b.Store.SetFault(stand.StoreFault{LoseAnswers: true})
+			time.AfterFunc(2*time.Second, func() { b.Store.SetFault(stand.StoreFault{}) })
 		}},
 		{"store is down in the middle", 0.3, func(b *bench) {
-			b.Store.SetTrouble(stand.Trouble{Status: 503})
-			time.AfterFunc(2*time.Second, func() { b.Store.SetTrouble(stand.Trouble{}) })
+			b.Store.SetFault(stand.StoreFault{Status: 503})
+			time.AfterFunc(2*time.Second, func() { b.Store.SetFault(stand.StoreFault{}) })
 		}},
 		{"a process starts", 0.3, func(b *bench) { b.startUnreadyGateway() }},
 		{"all processes are killed", 0.4, func(b *bench) {
@@ -393,9 +393,9 @@
 					defer lock.Unlock()
 					d.do(b)
 				})
-				b.Await(r, time.Second)
+				b.AwaitDecision(r, time.Second)
 				l.stop()
-				for _, breach := range b.Check(r) {
+				for _, breach := range b.CheckRollout(r) {
 					t.Error(breach)
 				}
 			})
@@ -413,10 +413,10 @@
 	b.addVersion(k, "v2", stand.Fault{})
 	r := b.orderRollout(k, 5*time.Second, false)
 	time.Sleep(4200 * time.Millisecond)
-	b.Store.SetTrouble(stand.Trouble{Status: 503})
+	b.Store.SetFault(stand.StoreFault{Status: 503})
 	time.Sleep(3 * time.Second)
-	b.Store.SetTrouble(stand.Trouble{})
-	assert.Equal(t, b.Await(r, 6*time.Second), "completed")
+	b.Store.SetFault(stand.StoreFault{})
+	assert.Equal(t, b.AwaitDecision(r, 6*time.Second), "completed")
 	l.stop()
 }
 
--- a/internal/serve/router/store_test.go
+++ b/internal/serve/router/store_test.go
@@ -14,23 +14,23 @@
 // meanwhile that are not in force soon after. Gateways use the last state that they
 // read.
 func TestRequestsAreServedDuringStoreFaults(t *testing.T) {
-	for name, trouble := range map[string]stand.Trouble{
+	for name, trouble := range map[string]stand.StoreFault{
 		"busy": {Status: http.StatusServiceUnavailable}, "limited": {Status: http.StatusTooManyRequests},
-		"silent": {Silent: true}, "slow": {Slow: 200 * time.Millisecond}, "deaf": {Deaf: true}, "lost answers": {LoseAnswers: true},
+		"silent": {Hang: true}, "slow": {Delay: 200 * time.Millisecond}, "deaf": {HideChanges: true}, "lost answers": {LoseAnswers: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := start(t, 2)
-			b.Store.SetTrouble(trouble)
+			b.Store.SetFault(trouble)
 			time.Sleep(500 * time.Millisecond)
 			for _, g := range b.gateways {
-				assert.Assert(t, b.send(g, booking()).Whole)
+				assert.Assert(t, b.send(g, booking()).Complete)
 				assert.Assert(t, b.isReady(g))
 			}
 			b.Config.Tenants[0].Keys = []string{"new-key"}
 			b.Publish()
-			b.Store.SetTrouble(stand.Trouble{})
+			b.Store.SetFault(stand.StoreFault{})
 			for _, g := range b.gateways {
-				got := b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+				got := b.sendUntil(g, booking, func(got stand.Outcome) bool { return got.Status == http.StatusUnauthorized })
 				assert.Equal(t, got.Status, http.StatusUnauthorized)
 			}
 		})
@@ -41,14 +41,14 @@
 // get no notification of the change and the store drops its change history.
 func TestLostWatchHistoryHidesNoChange(t *testing.T) {
 	b := start(t, 2)
-	b.Store.SetTrouble(stand.Trouble{Deaf: true})
+	b.Store.SetFault(stand.StoreFault{HideChanges: true})
 	b.Config.Tenants[0].Keys = nil
 	b.Publish()
-	b.Store.Forget()
+	b.Store.DropHistory()
 	changed := time.Now()
-	b.Store.SetTrouble(stand.Trouble{})
+	b.Store.SetFault(stand.StoreFault{})
 	for _, g := range b.gateways {
-		b.sendUntil(g, booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
+		b.sendUntil(g, booking, func(got stand.Outcome) bool { return got.Status == http.StatusUnauthorized })
 	}
 	assert.Assert(t, time.Since(changed) < 4*time.Second, "%v", time.Since(changed))
 }
@@ -66,7 +66,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 10 {
-		assert.Assert(t, b.send(b.gateways[0], booking()).Whole)
+		assert.Assert(t, b.send(b.gateways[0], booking()).Complete)
 	}
 }
 
@@ -74,13 +74,13 @@
 // route or a key is unknown. It must not be ready and must answer 503.
 func TestStartWithoutTheStoreAnswersUnavailable(t *testing.T) {
 	b := start(t, 1)
-	b.Store.SetTrouble(stand.Trouble{Status: http.StatusServiceUnavailable})
+	b.Store.SetFault(stand.StoreFault{Status: http.StatusServiceUnavailable})
 	g := b.startUnreadyGateway()
 	assert.Assert(t, !b.isReady(g))
 	got := b.send(g, booking())
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
-	b.Store.SetTrouble(stand.Trouble{})
-	b.sendUntil(g, booking, func(got stand.Got) bool { return got.Whole })
+	b.Store.SetFault(stand.StoreFault{})
+	b.sendUntil(g, booking, func(got stand.Outcome) bool { return got.Complete })
 }
 
 // Guards against refused requests at a process that was killed and starts again on a
@@ -88,12 +88,12 @@
 // would retry too late.
 func TestRequestWaitsForStartingProcess(t *testing.T) {
 	b := start(t, 1)
-	b.Store.SetTrouble(stand.Trouble{Slow: 150 * time.Millisecond})
+	b.Store.SetFault(stand.StoreFault{Delay: 150 * time.Millisecond})
 	g := b.startUnreadyGateway()
 	assert.Assert(t, !b.isReady(g))
 	got := b.send(g, booking())
-	assert.Assert(t, got.Whole, "%+v", got)
-	b.Store.SetTrouble(stand.Trouble{})
+	assert.Assert(t, got.Complete, "%+v", got)
+	b.Store.SetFault(stand.StoreFault{})
 }
 
 // Guards against an older configuration that arrives late and replaces the newer one.
@@ -102,8 +102,8 @@
 	old := b.Config
 	b.Config.Tenants = []stand.Tenant{{Name: org, Keys: []string{"newer"}}}
 	b.Publish()
-	b.sendUntil(b.gateways[0], booking, func(got stand.Got) bool { return got.Status == http.StatusUnauthorized })
-	b.Write(&old)
+	b.sendUntil(b.gateways[0], booking, func(got stand.Outcome) bool { return got.Status == http.StatusUnauthorized })
+	b.WriteConfig(&old)
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, b.send(b.gateways[0], booking()).Status, http.StatusUnauthorized)
 }
@@ -112,8 +112,8 @@
 // member list was removed. It must register again.
 func TestRemovedMemberRegistersAgain(t *testing.T) {
 	b := start(t, 2)
-	b.Unlist("gateway-1")
-	b.sendUntil(b.gateways[0], booking, func(stand.Got) bool { return len(b.Listed()) == 2 })
+	b.RemoveMember("gateway-1")
+	b.sendUntil(b.gateways[0], booking, func(stand.Outcome) bool { return len(b.Members()) == 2 })
 }
 
 // Guards against refused requests at the start of a planned stop. The process is not
@@ -125,7 +125,7 @@
 	g.StartDrain()
 	assert.Assert(t, !b.isReady(g))
 	b.awaitPeers(b.gateways[1], 1)
-	assert.Assert(t, b.send(g, booking()).Whole)
-	assert.Assert(t, b.send(g, draft()).Whole)
+	assert.Assert(t, b.send(g, booking()).Complete)
+	assert.Assert(t, b.send(g, draft()).Complete)
 	assert.Equal(t, g.Wait(t.Context()), int64(0))
 }
