--- a/internal/serve/entry/entry.go
+++ b/internal/serve/entry/entry.go
@@ -43,9 +43,9 @@
 	MaxBodyBytes int64
 	// MaxOpen bounds the open requests of all callers; 10,000 by default.
 	MaxOpen int
-	// MaxOpenEach bounds the open requests of an organisation whose manifest
+	// MaxOpenPerOrganisation bounds the open requests of an organisation whose manifest
 	// names no bound; a quarter of MaxOpen by default.
-	MaxOpenEach int
+	MaxOpenPerOrganisation int
 	// BalancerLag is how long the balancer may send new work after Leave, in
 	// milliseconds.
 	BalancerLag clock.Millis
@@ -64,8 +64,8 @@
 	if s.MaxOpen == 0 {
 		s.MaxOpen = defaultMaxOpen
 	}
-	if s.MaxOpenEach == 0 {
-		s.MaxOpenEach = max(s.MaxOpen/defaultEachPart, 1)
+	if s.MaxOpenPerOrganisation == 0 {
+		s.MaxOpenPerOrganisation = max(s.MaxOpen/defaultEachPart, 1)
 	}
 	return s
 }
@@ -187,9 +187,9 @@
 		}()
 	}
 	e.front = front.New(front.Config{
-		Clock: e.clock, Log: e.log, Holder: e.holder, Meter: e.meter, Trace: e.trace, Runs: e.runs, Book: e.book,
+		Clock: e.clock, Log: e.log, Holder: e.holder, Meter: e.meter, Trace: e.trace, Runs: e.runs, Claims: e.book,
 		Gate: e.gate, Leaving: e.Leaving, Ready: e.serveReady, Base: e.base,
-		MaxBodyBytes: e.settings.MaxBodyBytes, MaxOpen: e.settings.MaxOpen, MaxOpenEach: e.settings.MaxOpenEach,
+		MaxBodyBytes: e.settings.MaxBodyBytes, MaxOpen: e.settings.MaxOpen, MaxOpenPerOrganisation: e.settings.MaxOpenPerOrganisation,
 	})
 	e.begin(e.base)
 	return e
--- a/internal/serve/entry/leave.go
+++ b/internal/serve/entry/leave.go
@@ -55,7 +55,7 @@
 		return
 	}
 	e.log.Info("leaving", "reason", reason, "open", e.Open())
-	e.peers.Tell(func() *wire.Frame {
+	e.peers.Broadcast(func() *wire.Frame {
 		return &wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{Reason: reason}}
 	})
 }
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -69,8 +69,8 @@
 	e.sharing.held = make(map[string]string)
 	e.gate = e.refuseIsolated
 	return []peers.Option{
-		peers.WithOpened(n.Opened), peers.WithClosed(n.Closed), peers.WithNewer(n.Newer),
-		peers.WithOther(n.Other), peers.WithSession(sess.WithOutside(n.Outside)),
+		peers.WithOpened(n.Opened), peers.WithClosed(n.Closed), peers.WithNewerRelease(n.Newer),
+		peers.WithOtherFrames(n.Other), peers.WithSession(sess.WithOutside(n.Outside)),
 	}
 }
 
@@ -113,13 +113,13 @@
 // retire gives an endpoint no new work and ends the session to it when the
 // calls that are there can't run any more.
 func (e *Entry) retire(name, address string) {
-	e.peers.Bar(name, address, pool.ExcludeLeaving, true)
+	e.peers.SetExclusion(name, address, pool.ExcludeLeaving, true)
 	e.sharing.group.Go(func() {
 		_ = e.clock.Sleep(e.base, retireAfter)
 		e.sharing.mu.Lock()
 		defer e.sharing.mu.Unlock()
 		if _, again := e.sharing.held[address]; again {
-			e.peers.Bar(name, address, pool.ExcludeLeaving, false)
+			e.peers.SetExclusion(name, address, pool.ExcludeLeaving, false)
 			return
 		}
 		e.peers.Disconnect([]string{address})
--- a/internal/serve/front/front.go
+++ b/internal/serve/front/front.go
@@ -27,9 +27,9 @@
 	Trace  *trace.Trace
 	// Runs carries requests through their stages.
 	Runs *runs.Runs
-	// Book claims idempotency keys; without it calls that carry one and may
+	// Claims claims idempotency keys; without it calls that carry one and may
 	// not be repeated are refused.
-	Book *claim.Registry
+	Claims *claim.Registry
 	// Gate may refuse all new work.
 	Gate func() *fault.RefusalError
 	// Leaving reports whether a planned stop has begun.
@@ -42,9 +42,9 @@
 	MaxBodyBytes int64
 	// MaxOpen bounds the open requests of all callers.
 	MaxOpen int
-	// MaxOpenEach bounds the open requests of an organisation whose manifest
+	// MaxOpenPerOrganisation bounds the open requests of an organisation whose manifest
 	// names no bound.
-	MaxOpenEach int
+	MaxOpenPerOrganisation int
 }
 
 // Front serves callers.
--- a/internal/serve/front/http_test.go
+++ b/internal/serve/front/http_test.go
@@ -91,7 +91,7 @@
 		{"key without a platform", "POST", bookings, `{}`, with(headerKey, "k"), fault.KeyUnavailable, fault.MayHaveRun},
 		{"key of a call that may be repeated", "POST", sheets, `{"input":1}`, with(headerKey, "k"), fault.NoEndpoint, fault.NotRun},
 	}
-	f := newTestFront(t, Config{MaxBodyBytes: 64, MaxOpen: 100, MaxOpenEach: 100})
+	f := newTestFront(t, Config{MaxBodyBytes: 64, MaxOpen: 100, MaxOpenPerOrganisation: 100})
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			request := httptest.NewRequest(test.method, test.path, strings.NewReader(test.body))
@@ -112,7 +112,7 @@
 // One organisation opens requests without end. It must not take the places of
 // the others, nor all callers together the entry's memory.
 func TestOpenRequestsAreBounded(t *testing.T) {
-	config := Config{MaxOpen: 3, MaxOpenEach: 2}
+	config := Config{MaxOpen: 3, MaxOpenPerOrganisation: 2}
 	small, large := &manif.Organisation{Name: "small"}, &manif.Organisation{Name: "large"}
 	var open openRequests
 	assert.Assert(t, open.begin("1", large, &config) == nil)
@@ -128,7 +128,7 @@
 // A refusal before the key's claim is held says nothing of an earlier request
 // under the same key, which may have run.
 func TestKeyedRefusalBeforeItsClaimIsNotCalledNotRun(t *testing.T) {
-	f := newTestFront(t, Config{MaxOpen: 1, MaxOpenEach: 1})
+	f := newTestFront(t, Config{MaxOpen: 1, MaxOpenPerOrganisation: 1})
 	assert.Assert(t, f.open.begin("other", &manif.Organisation{Name: "x"}, &f.config) == nil)
 	request := httptest.NewRequest(http.MethodPost, "/v1/services/orders/call/bookings", strings.NewReader(`{}`))
 	request.Header.Set("Authorization", "Bearer "+testToken)
--- a/internal/serve/front/open.go
+++ b/internal/serve/front/open.go
@@ -18,7 +18,7 @@
 
 // begin counts a request, or refuses it.
 func (o *openRequests) begin(id string, organisation *manif.Organisation, config *Config) *fault.RefusalError {
-	each := config.MaxOpenEach
+	each := config.MaxOpenPerOrganisation
 	if organisation.MaxOpen > 0 {
 		each = organisation.MaxOpen
 	}
--- a/internal/serve/front/reply.go
+++ b/internal/serve/front/reply.go
@@ -196,7 +196,7 @@
 	if !x.mayRepeat {
 		return run()
 	}
-	if f.config.Book == nil {
+	if f.config.Claims == nil {
 		return nil, fault.Refuse(fault.KeyUnavailable, "this entry has no platform to keep keys in")
 	}
 	hold, kept, err := f.claim(ctx, x)
@@ -212,7 +212,7 @@
 	// The claim is held: nobody ran under this key, so "not run" can be said.
 	x.mayRepeat = false
 	got, err := run()
-	f.config.Book.FinishAsync(ctx, hold, outcomeOf(got, err), func(failed error) {
+	f.config.Claims.FinishAsync(ctx, hold, outcomeOf(got, err), func(failed error) {
 		f.config.Meter.Claims.WithLabelValues(meter.ClaimUnkept).Inc()
 		f.config.Log.Warn("outcome of a key not kept", "request", x.id, "error", failed)
 	})
@@ -229,7 +229,7 @@
 		_, _ = digest.WriteString(part)
 		_, _ = digest.Write([]byte{0})
 	}
-	return f.config.Book.Claim(ctx, claim.Call{
+	return f.config.Claims.Claim(ctx, claim.Call{
 		Organisation: call.Organisation, Service: x.service.Name, Key: x.key,
 		Fingerprint: digest.Sum64(), Request: x.id, TimeLeft: left,
 	})
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -101,7 +101,7 @@
 		expected = float64(minGenerationTime) + chosen.delay
 		l.prefill = chosen.unread
 		l.memory = req.PromptTokens + req.expectedOutput()
-		g.prefixes.Sent(t, req.partKeys)
+		g.prefixes.RecordSent(t, req.partKeys)
 	}
 	l.rolloutAttempt = g.Deploy.Begin(t.Endpoint, req.route.Name, 1, expected)
 	t.Load.Running.Add(1)
@@ -243,7 +243,7 @@
 		t.Block(now + fullBackoff)
 		return attemptResult{outcome: unsent, err: fault.Refuse(fault.QueueFull, err.Error())}
 	}
-	t.Failed(now)
+	t.RecordFailure(now)
 	var sent *conn.SentError
 	g.Log.Info("endpoint failed", "request", req.Request, "endpoint", t.ID, "sent", errors.As(err, &sent), logs.KeyError, err)
 	if !errors.As(err, &sent) {
@@ -272,7 +272,7 @@
 		return g.handleRefusal(req, t, reply, marks)
 	case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices && !marks.Sealed:
 		req.mayHaveRun = true
-		t.Failed(g.Clock.Now())
+		t.RecordFailure(g.Clock.Now())
 		l.rolloutAttempt.Broke()
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the answer has no seal")}
 	}
@@ -292,7 +292,7 @@
 		"running", marks.Running, "waiting", marks.Waiting, "slots", marks.Slots)
 	switch reply.Status {
 	case http.StatusMisdirectedRequest:
-		t.Replaced(now)
+		t.BlockReplaced(now)
 		return attemptResult{outcome: notRun, err: temporaryRefusal(fault.WrongEndpoint, retryAfterFull)}
 	case http.StatusConflict:
 		return attemptResult{outcome: inputsGone, err: temporaryRefusal(fault.InputGone, retryAfterFull)}
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -56,13 +56,13 @@
 	targets := make([]*target.Target, len(endpoints))
 	var wait clock.Millis
 	for i, e := range endpoints {
-		t := g.targets.Of(e)
+		t := g.targets.Get(e)
 		targets[i] = t
 		if e.Unavailable() || slices.Contains(req.tried, e) || (!useBlocked && e.Blocked(now)) {
 			excluded[i] = true
 			continue
 		}
-		if delay := t.WaitFor(g.startLimit(req, e, now), now); delay > 0 {
+		if delay := t.StartDelay(g.startLimit(req, e, now), now); delay > 0 {
 			excluded[i] = true
 			if wait == 0 || delay < wait {
 				wait = delay
@@ -101,7 +101,7 @@
 		if inSubset {
 			chosen = chosen[1:]
 		}
-		if inSubset || (grouped && g.targets.Of(e).Holds(group, now)) || (e.Cold(now) && g.mesh.Owns(e.ID)) {
+		if inSubset || (grouped && g.targets.Get(e).HasCached(group, now)) || (e.Cold(now) && g.mesh.Owns(e.ID)) {
 			preferred = append(preferred, e)
 			usable = usable || (!e.Blocked(now) && !e.Unavailable() && !slices.Contains(req.tried, e))
 		}
@@ -167,7 +167,7 @@
 
 func (g *Gate) chooseEngine(req *request, targets []*target.Target, excluded []bool, wait, now clock.Millis) choice {
 	engines := make([]place.Engine, len(targets))
-	hot := g.prefixes.Hot(req.partKeys, now)
+	hot := g.prefixes.RecentlyUsed(req.partKeys, now)
 	rate := g.readRates.get(req.pool.Name).TokensPerMs()
 	for i, t := range targets {
 		engines[i] = place.Engine{ID: t.ID, Zone: t.Zone, Excluded: excluded[i], Capacity: req.pool.Generation.Tokens}
@@ -179,7 +179,7 @@
 		engines[i].Planned = req.plannedByOthers(t)
 		engines[i].Memory = t.Load.Memory.Load() + t.Load.PeerMemory.Load()
 		engines[i].Slots = int64(req.pool.Generation.Slots)
-		engines[i].Cached, engines[i].CachedHot = t.Cached(req.Parts, req.partKeys, hot, now)
+		engines[i].Cached, engines[i].CachedHot = t.CachedTokens(req.Parts, req.partKeys, hot, now)
 	}
 	index, delay := place.ChooseEngine(req.prompt(hot, rate, now), engines)
 	if index == place.NoEngine {
@@ -253,7 +253,7 @@
 			continue
 		}
 		running := max(t.Load.Running.Load()+t.Load.PeerRunning.Load(), 0)
-		servers[i] = place.Server{SameZone: t.Zone == g.Zone, Running: running, Slots: int64(t.Slots), Latency: t.Speed()}
+		servers[i] = place.Server{SameZone: t.Zone == g.Zone, Running: running, Slots: int64(t.Slots), Latency: t.Latency()}
 	}
 	if len(servers) == 0 {
 		return choice{wait: wait}
--- a/internal/serve/gate/crash.go
+++ b/internal/serve/gate/crash.go
@@ -155,7 +155,7 @@
 // unfinished attempts.
 func (g *Gate) CheckRemovedEndpoint(e *view.Endpoint) {
 	if g.detector.has(e) {
-		g.queueProbe(unfinishedAttempt{target: g.targets.Of(e), at: g.Clock.Now()})
+		g.queueProbe(unfinishedAttempt{target: g.targets.Get(e), at: g.Clock.Now()})
 	}
 }
 
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -129,7 +129,7 @@
 func (g *Gate) SubsetEndpoints() []string { return g.subsets.endpointIDs(g.View(), g.Table()) }
 
 // Conns returns the group of connections to an endpoint.
-func (g *Gate) Conns(e *view.Endpoint) *conn.Group { return g.targets.Of(e).Conns }
+func (g *Gate) Conns(e *view.Endpoint) *conn.Group { return g.targets.Get(e).Conns }
 
 func (g *Gate) budgetBounds() extra.Bounds {
 	bounds := g.bounds.Load()
@@ -142,13 +142,13 @@
 func (g *Gate) PieceRetryBudget() *extra.Budget { return g.pieceRetryBudget }
 
 // UnsentPrefixes returns the prompt prefixes used here that peers have not been sent yet.
-func (g *Gate) UnsentPrefixes() []wire.PrefixUse { return g.prefixes.Untold() }
+func (g *Gate) UnsentPrefixes() []wire.PrefixUse { return g.prefixes.TakeUnsent() }
 
 // PendingArrivals returns the pieces that open requests will send to stage engines.
 func (g *Gate) PendingArrivals() []inflow.Load { return g.arrivals.Loads(g.Clock.Now()) }
 
 // AddPeerPrefixes records the prompt prefixes that a peer reported.
-func (g *Gate) AddPeerPrefixes(uses []wire.PrefixUse) { g.prefixes.Take(uses, g.View().Find) }
+func (g *Gate) AddPeerPrefixes(uses []wire.PrefixUse) { g.prefixes.Apply(uses, g.View().Find) }
 
 // maxConns returns this process's share of the connections that an endpoint of the pool
 // accepts in total. An eighth is reserved for processes that are just starting.
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -37,13 +37,13 @@
 func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, marks spell.Marks, began clock.Millis) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlainBytes+1))
 	if err != nil {
-		t.Failed(g.Clock.Now())
+		t.RecordFailure(g.Clock.Now())
 		l.rolloutAttempt.Broke()
 		g.Log.Info("answer broke off", "request", req.Request, "endpoint", t.ID, "bytes", len(body), logs.KeyError, err)
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, err.Error())}
 	}
 	serverError := reply.Status >= http.StatusInternalServerError
-	t.Answered(g.Clock.Since(began), serverError)
+	t.RecordAnswer(g.Clock.Since(began), serverError)
 	l.rolloutAttempt.Answered(serverError || (!marks.Sealed && len(body) <= maxPlainBytes))
 	if req.headSent {
 		return g.resumeFailure(req, t, reply.Status)
@@ -173,7 +173,7 @@
 // handleStreamEnd returns the result of a stream that has ended or broken off.
 func (g *Gate) handleStreamEnd(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, err error) attemptResult {
 	if errors.Is(err, io.EOF) && reply.Whole() {
-		t.Answered(0, false)
+		t.RecordAnswer(0, false)
 		l.rolloutAttempt.Answered(false)
 		if !req.headSent {
 			copyHeaders(w, reply)
@@ -182,7 +182,7 @@
 		}
 		return attemptResult{outcome: answered}
 	}
-	t.Failed(g.Clock.Now())
+	t.RecordFailure(g.Clock.Now())
 	l.rolloutAttempt.Broke()
 	g.Log.Info("stream broke off", "request", req.Request, "endpoint", t.ID, "events", req.eventCount,
 		"lastEvent", req.LastEvent, logs.KeyError, err)
--- a/internal/serve/gate/run.go
+++ b/internal/serve/gate/run.go
@@ -157,7 +157,7 @@
 		chosen := g.choose(req)
 		if chosen.target != nil {
 			now := g.Clock.Now()
-			wait := chosen.target.Start(g.startLimit(req, chosen.target.Endpoint, now), now)
+			wait := chosen.target.TryStart(g.startLimit(req, chosen.target.Endpoint, now), now)
 			if wait == 0 {
 				return chosen, nil
 			}
--- a/internal/serve/peers/box.go
+++ b/internal/serve/peers/box.go
@@ -13,41 +13,41 @@
 const (
 	// EventFrame: a frame of the attempt came.
 	EventFrame EventKind = iota
-	// EventLost: the attempt's session has ended or gone silent.
-	EventLost
-	// EventBack: there is a new session to the attempt's endpoint.
-	EventBack
-	// EventDied: nothing listens at the address of the attempt's agent any more.
-	EventDied
+	// EventSessionLost: the attempt's session has ended or gone silent.
+	EventSessionLost
+	// EventSessionRestored: there is a new session to the attempt's endpoint.
+	EventSessionRestored
+	// EventAgentGone: nothing listens at the address of the attempt's agent any more.
+	EventAgentGone
 )
 
 // Event is something that happened to an attempt.
 type Event struct {
 	Kind    EventKind
-	Try     int
+	Attempt int
 	Session uint64
 	Frame   *wire.Frame
 }
 
-// Box takes the events of one stage from the readers of several sessions to
+// EventQueue takes the events of one stage from the readers of several sessions to
 // the one goroutine that runs the stage. Readers never wait: a slow request
 // must not hold up others on the same session. What waits here is bounded by
 // the size of an answer, which the stage checks.
-type Box struct {
+type EventQueue struct {
 	bell chan struct{}
 
 	mu     sync.Mutex
 	events []Event
 }
 
-// NewBox returns an empty box.
-func NewBox() *Box { return &Box{bell: make(chan struct{}, 1)} }
+// NewEventQueue returns an empty box.
+func NewEventQueue() *EventQueue { return &EventQueue{bell: make(chan struct{}, 1)} }
 
-// Bell gets a value when events wait.
-func (b *Box) Bell() <-chan struct{} { return b.bell }
+// Ready gets a value when events wait.
+func (b *EventQueue) Ready() <-chan struct{} { return b.bell }
 
-// Take returns the waiting events and keeps the given slice for new ones.
-func (b *Box) Take(empty []Event) []Event {
+// Swap returns the waiting events and keeps the given slice for new ones.
+func (b *EventQueue) Swap(empty []Event) []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	events := b.events
@@ -55,7 +55,7 @@
 	return events
 }
 
-func (b *Box) put(event Event) {
+func (b *EventQueue) put(event Event) {
 	b.mu.Lock()
 	b.events = append(b.events, event)
 	b.mu.Unlock()
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -28,7 +28,7 @@
 
 // flight is an attempt that is at the endpoint.
 type flight struct {
-	box         *Box
+	box         *EventQueue
 	try         int
 	incarnation token.Incarnation
 }
@@ -120,7 +120,7 @@
 	l.withdrawAgain(s)
 	s.Busy(int64(len(l.flights)))
 	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventBack, Try: f.try, Session: s.Number()})
+		f.box.put(Event{Kind: EventSessionRestored, Attempt: f.try, Session: s.Number()})
 	}
 	l.mu.Unlock()
 	l.report(peer.Load)
@@ -137,7 +137,7 @@
 	l.mu.Lock()
 	l.session = nil
 	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventLost, Try: f.try})
+		f.box.put(Event{Kind: EventSessionLost, Attempt: f.try})
 	}
 	endpoint, member := l.endpoint, l.member
 	l.mu.Unlock()
@@ -164,7 +164,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventDied, Try: f.try})
+		f.box.put(Event{Kind: EventAgentGone, Attempt: f.try})
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // Call sends an attempt and lets its events go to the box. It returns the
 // number of the session. After an error nothing was sent.
-func (l *Link) Call(call *wire.Call, box *Box, try int) (uint64, error) {
+func (l *Link) Call(call *wire.Call, box *EventQueue, try int) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.session
@@ -322,7 +322,7 @@
 	}
 	l.mu.Unlock()
 	if known {
-		f.box.put(Event{Kind: EventFrame, Try: f.try, Session: s.Number(), Frame: frame})
+		f.box.put(Event{Kind: EventFrame, Attempt: f.try, Session: s.Number(), Frame: frame})
 		return
 	}
 	l.peers.meter.Drop(stage.DropLate)
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -104,13 +104,13 @@
 	return func(p *Peers) { p.closedFunc = closed }
 }
 
-// WithNewer sets who is told that a peer has a newer release. It must not block.
-func WithNewer(newer func(*sess.Session, uint64)) Option {
+// WithNewerRelease sets who is told that a peer has a newer release. It must not block.
+func WithNewerRelease(newer func(*sess.Session, uint64)) Option {
 	return func(p *Peers) { p.newerFunc = newer }
 }
 
-// WithOther sets who takes frames that belong to no request, heartbeats among them.
-func WithOther(other func(*sess.Session, *wire.Frame)) Option {
+// WithOtherFrames sets who takes frames that belong to no request, heartbeats among them.
+func WithOtherFrames(other func(*sess.Session, *wire.Frame)) Option {
 	return func(p *Peers) { p.otherFunc = other }
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// Bar sets or lifts a reason against new work for the endpoint at an address.
-func (p *Peers) Bar(name, address string, bar pool.Exclusion, set bool) {
+// SetExclusion sets or lifts a reason against new work for the endpoint at an address.
+func (p *Peers) SetExclusion(name, address string, bar pool.Exclusion, set bool) {
 	p.mu.Lock()
 	l := p.address[address]
 	p.mu.Unlock()
@@ -196,8 +196,8 @@
 	p.group.Wait()
 }
 
-// Tell sends a frame to every agent.
-func (p *Peers) Tell(frame func() *wire.Frame) {
+// Broadcast sends a frame to every agent.
+func (p *Peers) Broadcast(frame func() *wire.Frame) {
 	for _, s := range p.Sessions() {
 		_ = s.Send(frame())
 	}
--- a/internal/serve/runs/runs_test.go
+++ b/internal/serve/runs/runs_test.go
@@ -161,7 +161,7 @@
 	assert.Assert(t, heard.Load())
 	assert.Equal(t, late.Load(), int64(0))
 	// An attempt that chose the endpoint just before it left is turned away.
-	_, err := link.Call(&wire.Call{}, peers.NewBox(), 0)
+	_, err := link.Call(&wire.Call{}, peers.NewEventQueue(), 0)
 	assert.Equal(t, refusalOf(t, err).Reason, fault.Leaving)
 }
 
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -51,7 +51,7 @@
 	*Runs
 	job     *job
 	machine *stage.Machine
-	box     *peers.Box
+	box     *peers.EventQueue
 	member  *peers.Pool
 	flights []flight
 	avoid   pick.Avoid
@@ -79,7 +79,7 @@
 		config.Times = budget.Times{}
 	}
 	x := &stageRun{
-		Runs: r, job: j, machine: stage.New(config), box: peers.NewBox(), member: member,
+		Runs: r, job: j, machine: stage.New(config), box: peers.NewEventQueue(), member: member,
 		beganAt: r.clock.Now(), stopDue: func() {},
 	}
 	defer x.settle()
@@ -102,8 +102,8 @@
 		x.due, x.stopDue = x.clock.After(at - x.clock.Now())
 	}
 	select {
-	case <-x.box.Bell():
-		x.events = x.box.Take(x.events)
+	case <-x.box.Ready():
+		x.events = x.box.Swap(x.events)
 		for i := range x.events {
 			x.event(&x.events[i])
 			x.act()
@@ -122,17 +122,17 @@
 	case peers.EventFrame:
 		if event.Frame.Kind == wire.KindRefuse {
 			x.refused = true
-			x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
-			x.close(event.Try, trace.Refused, event.Frame.Refuse.Reason)
+			x.faulty = x.flights[event.Attempt].endpoint.AvailabilityZone
+			x.close(event.Attempt, trace.Refused, event.Frame.Refuse.Reason)
 		}
-		x.machine.HandleFrame(now, event.Session, event.Try, event.Frame)
-	case peers.EventLost:
-		x.faulty = x.flights[event.Try].endpoint.AvailabilityZone
-		x.machine.SessionLost(now, event.Try)
-	case peers.EventBack:
-		x.machine.SessionRestored(event.Try, event.Session)
-	case peers.EventDied:
-		x.machine.AgentGone(now, event.Try)
+		x.machine.HandleFrame(now, event.Session, event.Attempt, event.Frame)
+	case peers.EventSessionLost:
+		x.faulty = x.flights[event.Attempt].endpoint.AvailabilityZone
+		x.machine.SessionLost(now, event.Attempt)
+	case peers.EventSessionRestored:
+		x.machine.SessionRestored(event.Attempt, event.Session)
+	case peers.EventAgentGone:
+		x.machine.AgentGone(now, event.Attempt)
 	}
 }
 
--- a/internal/serve/target/prefix.go
+++ b/internal/serve/target/prefix.go
@@ -46,8 +46,8 @@
 	tell []wire.PrefixUse
 }
 
-// Hot tells for each part whether it was read somewhere a moment ago.
-func (p *Prefixes) Hot(keys []Key, now clock.Millis) []bool {
+// RecentlyUsed tells for each part whether it was read somewhere a moment ago.
+func (p *Prefixes) RecentlyUsed(keys []Key, now clock.Millis) []bool {
 	hot := make([]bool, len(keys))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,15 +77,15 @@
 	}
 }
 
-// Sent remembers that this process sent a prompt with shared parts; the last
+// RecordSent remembers that this process sent a prompt with shared parts; the last
 // part belongs to the request alone.
-func (p *Prefixes) Sent(t *Target, keys []Key) {
+func (p *Prefixes) RecordSent(t *Target, keys []Key) {
 	if len(keys) < 2 {
 		return
 	}
 	shared := keys[:len(keys)-1]
 	now := p.set.clock.Now()
-	t.Use(shared, now)
+	t.MarkUsed(shared, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.note(shared, now)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Untold returns what peers have not been told yet.
-func (p *Prefixes) Untold() []wire.PrefixUse {
+// TakeUnsent returns what peers have not been told yet.
+func (p *Prefixes) TakeUnsent() []wire.PrefixUse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	tell := p.tell
@@ -103,12 +103,12 @@
 	return tell
 }
 
-// Take remembers what a peer sent. Find returns an endpoint by its id.
-func (p *Prefixes) Take(uses []wire.PrefixUse, find func(id string) *view.Endpoint) {
+// Apply remembers what a peer sent. Find returns an endpoint by its id.
+func (p *Prefixes) Apply(uses []wire.PrefixUse, find func(id string) *view.Endpoint) {
 	now := p.set.clock.Now()
 	for _, use := range uses {
 		if e := find(use.Endpoint); e != nil {
-			p.set.Of(e).Use(use.Parts, now)
+			p.set.Get(e).MarkUsed(use.Parts, now)
 		}
 		p.mu.Lock()
 		p.note(use.Parts, now)
--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -59,8 +59,8 @@
 	return &Set{clock: c, most: most, dialed: dialed}
 }
 
-// Of returns the target of an endpoint.
-func (s *Set) Of(e *view.Endpoint) *Target {
+// Get returns the target of an endpoint.
+func (s *Set) Get(e *view.Endpoint) *Target {
 	if known, found := s.byID.Load(e); found {
 		return known.(*Target)
 	}
@@ -93,9 +93,9 @@
 	})
 }
 
-// Cached returns how many tokens of a prompt are believed to be in memory, and
+// CachedTokens returns how many tokens of a prompt are believed to be in memory, and
 // how many of those are hot: a part counts only if all before it do.
-func (t *Target) Cached(parts []spell.Part, keys []Key, hot []bool, now clock.Millis) (tokens, hotTokens int64) {
+func (t *Target) CachedTokens(parts []spell.Part, keys []Key, hot []bool, now clock.Millis) (tokens, hotTokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, part := range parts {
@@ -110,16 +110,16 @@
 	return tokens, hotTokens
 }
 
-// Holds reports whether a part of a prompt is believed to be in memory.
-func (t *Target) Holds(part Key, now clock.Millis) bool {
+// HasCached reports whether a part of a prompt is believed to be in memory.
+func (t *Target) HasCached(part Key, now clock.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	used, found := t.parts[part]
 	return found && now-used <= keepParts
 }
 
-// Use remembers that the parts of a prompt were sent.
-func (t *Target) Use(keys []Key, now clock.Millis) {
+// MarkUsed remembers that the parts of a prompt were sent.
+func (t *Target) MarkUsed(keys []Key, now clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.parts) > maxParts {
@@ -134,9 +134,9 @@
 	}
 }
 
-// Start counts a request against the endpoint's pace, if no more than bound
+// TryStart counts a request against the endpoint's pace, if no more than bound
 // were started within its window; otherwise it returns how long to wait.
-func (t *Target) Start(bound int, now clock.Millis) clock.Millis {
+func (t *Target) TryStart(bound int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if wait := t.pace.Delay(bound, now); wait > 0 {
@@ -146,16 +146,16 @@
 	return 0
 }
 
-// WaitFor returns how long it takes until one more may be started.
-func (t *Target) WaitFor(bound int, now clock.Millis) clock.Millis {
+// StartDelay returns how long it takes until one more may be started.
+func (t *Target) StartDelay(bound int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pace.Delay(bound, now)
 }
 
-// Answered remembers a whole answer: how long it took and whether it was a
+// RecordAnswer remembers a whole answer: how long it took and whether it was a
 // failure of the endpoint.
-func (t *Target) Answered(took clock.Millis, wrong bool) {
+func (t *Target) RecordAnswer(took clock.Millis, wrong bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failures = 0
@@ -168,19 +168,19 @@
 	t.wrong += answerWeight * (share - t.wrong)
 }
 
-// Speed returns the usual time to an answer, longer the more often answers were
+// Latency returns the usual time to an answer, longer the more often answers were
 // failures: whoever fails fast must not draw the requests.
-func (t *Target) Speed() clock.Millis {
+func (t *Target) Latency() clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return clock.Millis(t.recent * (1 + 4*t.wrong))
 }
 
-// Replaced keeps requests away because another endpoint has the address now.
-func (t *Target) Replaced(now clock.Millis) { t.Block(now + maxBar) }
+// BlockReplaced keeps requests away because another endpoint has the address now.
+func (t *Target) BlockReplaced(now clock.Millis) { t.Block(now + maxBar) }
 
-// Failed keeps requests away from the endpoint, longer with each failure in a row.
-func (t *Target) Failed(now clock.Millis) {
+// RecordFailure keeps requests away from the endpoint, longer with each failure in a row.
+func (t *Target) RecordFailure(now clock.Millis) {
 	t.mu.Lock()
 	bar := min(firstBar<<min(t.failures, 8), maxBar)
 	t.failures++
