--- a/internal/serve/front/front.go
+++ b/internal/serve/front/front.go
@@ -1,6 +1,6 @@
-// Package front serves the callers of an entry over HTTP: who may call what,
-// under which bounds and deadline, whole or streamed answers, and the one shape
-// of every refusal.
+// Package front serves an entry's callers over HTTP. It authenticates them,
+// checks which services they may call, enforces limits and deadlines, sends
+// complete or streamed answers, and writes all refusals in one JSON format.
 package front
 
 import (
@@ -18,46 +18,46 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Config is what a Front works with. All fields but Book must be set.
+// Config configures a Front. All fields but Claims must be set.
 type Config struct {
 	Clock  *clock.Clock
 	Log    *log.Logger
 	Holder *spread.Holder
 	Meter  *meter.Entry
 	Trace  *trace.Trace
-	// Runs carries requests through their stages.
+	// Runs executes the stages of requests.
 	Runs *runs.Runs
-	// Claims claims idempotency keys; without it calls that carry one and may
-	// not be repeated are refused.
+	// Claims stores the claims of idempotency keys. Without it, calls that have
+	// a key and may not be repeated are refused.
 	Claims *claim.Registry
-	// Gate may refuse all new work.
+	// Gate returns a refusal while all new requests must be refused, else nil.
 	Gate func() *fault.RefusalError
-	// Leaving reports whether a planned stop has begun.
+	// Leaving reports whether the process is draining.
 	Leaving func() bool
-	// Ready answers the balancer.
+	// Ready answers the load balancer's readiness checks.
 	Ready http.HandlerFunc
-	// Base ends all requests when it ends.
+	// Base cancels all requests when it is cancelled.
 	Base context.Context
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes is the largest request body, in bytes.
 	MaxBodyBytes int64
-	// MaxOpen bounds the open requests of all callers.
+	// MaxOpen is the largest number of open requests of all callers.
 	MaxOpen int
-	// MaxOpenPerOrganisation bounds the open requests of an organisation whose manifest
-	// names no bound.
+	// MaxOpenPerOrganisation is the largest number of open requests of an
+	// organisation for which the manifest sets no limit.
 	MaxOpenPerOrganisation int
 }
 
-// Front serves callers.
+// Front is the HTTP interface for callers.
 type Front struct {
 	config Config
 	open   openRequests
 }
 
-// New returns a front.
+// New returns a Front.
 func New(config Config) *Front { return &Front{config: config} }
 
-// Open returns the number of requests that are not finished.
+// Open returns the number of open requests.
 func (f *Front) Open() int { return f.open.count() }
 
-// OpenRequests returns the ids of the requests that are not finished.
+// OpenRequests returns the IDs of the open requests.
 func (f *Front) OpenRequests() []string { return f.open.list() }
--- a/internal/serve/front/http.go
+++ b/internal/serve/front/http.go
@@ -25,28 +25,28 @@
 )
 
 const (
-	defaultDeadline = 3 * clock.Second
-	// bodyTime bounds how long a caller may take to send its body.
-	bodyTime = 10 * time.Second
-	// writeGrace is added to the deadline before a caller that does not read
-	// its answer is given up.
+	defaultTimeout = 3 * clock.Second
+	// bodyTimeout limits the time that a caller may take to send its body.
+	bodyTimeout = 10 * time.Second
+	// writeGrace is the time after the deadline until the connection of a caller
+	// that does not read its answer is closed.
 	writeGrace = 5 * time.Second
 
 	pathReady = "/readyz"
 )
 
-// Handler returns the callers' interface.
+// Handler returns the HTTP handler for callers.
 func (f *Front) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(pathReady, f.config.Ready)
 	router.Post("/v1/services/{service}", f.serve(f.runPipeline))
 	router.HandleFunc("/v1/services/{service}/call/*", f.serve(f.callPlain))
-	router.NotFound(f.unknown(fault.UnknownService, "no such path"))
-	router.MethodNotAllowed(f.unknown(fault.BadRequest, "the path does not take this method"))
+	router.NotFound(f.refuseUnknown(fault.UnknownService, "no such path"))
+	router.MethodNotAllowed(f.refuseUnknown(fault.BadRequest, "the path does not support this method"))
 	return router
 }
 
-func (f *Front) unknown(reason fault.Reason, detail string) http.HandlerFunc {
+func (f *Front) refuseUnknown(reason fault.Reason, detail string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := token.NewRequestID()
 		w.Header().Set(headerRequestID, id)
@@ -54,29 +54,31 @@
 	}
 }
 
-// exchange is one caller's request on its way.
+// exchange is one caller's request while it is served.
 type exchange struct {
-	w       http.ResponseWriter
-	r       *http.Request
-	id      string
-	release *spread.Release
-	service *manif.Service
-	who     *manif.Organisation
-	body    []byte
-	key     string
-	// mayRepeat tells that an earlier request under the same key may have run.
-	mayRepeat bool
-	request   runs.Request
-	record    *trace.Record
+	w            http.ResponseWriter
+	r            *http.Request
+	id           string
+	release      *spread.Release
+	service      *manif.Service
+	organisation *manif.Organisation
+	body         []byte
+	key          string
+	// earlierMayHaveRun is true while an earlier request with the same
+	// idempotency key may have run.
+	earlierMayHaveRun bool
+	request           runs.Request
+	record            *trace.Record
 }
 
-// serve does what all callers' requests have in common.
+// serve wraps run with the steps common to all requests: request ID, admission,
+// deadline and refusal.
 func (f *Front) serve(run func(context.Context, *exchange) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		x := &exchange{w: w, r: r, id: token.NewRequestID()}
 		w.Header().Set(headerRequestID, x.id)
 		if f.config.Leaving() {
-			// The balancer must open its next connection elsewhere.
+			// Makes the load balancer open its next connection to another entry.
 			w.Header().Set("Connection", "close")
 		}
 		if err := f.admit(x); err != nil {
@@ -86,42 +88,43 @@
 		defer f.open.end(x.id)
 		f.config.Meter.Open.Inc()
 		defer f.config.Meter.Open.Dec()
-		if err := f.carry(x, run); err != nil {
+		if err := f.runAdmitted(x, run); err != nil {
 			f.refuse(w, x, err)
 		}
 	}
 }
 
-// admit decides who calls what, before anything is read or kept.
+// admit authenticates the caller and checks that it may call the service and
+// open another request. The body is read only afterwards.
 func (f *Front) admit(x *exchange) error {
 	var refused *fault.RefusalError
-	if x.key, refused = keyOf(x.r.Header); refused != nil {
+	if x.key, refused = idempotencyKey(x.r.Header); refused != nil {
 		return refused
 	}
-	x.mayRepeat = x.key != ""
+	x.earlierMayHaveRun = x.key != ""
 	if x.release = f.config.Holder.Current(); x.release == nil {
 		return fault.Refuse(fault.NotReady, "no configuration in force yet")
 	}
 	if refused := f.config.Gate(); refused != nil {
 		return refused
 	}
-	if x.who = organisation(x.release, x.r); x.who == nil {
+	if x.organisation = authenticate(x.release, x.r); x.organisation == nil {
 		return fault.Refuse(fault.Unauthorized, "no organisation has this bearer token")
 	}
 	name := chi.URLParam(x.r, "service")
 	if x.service = x.release.Service(name); x.service == nil {
 		return fault.Refuse(fault.UnknownService, "no service "+strconv.Quote(name))
 	}
-	if len(x.who.Services) > 0 && !slices.Contains(x.who.Services, name) {
-		return fault.Refuse(fault.Forbidden, "organisation "+x.who.Name+" may not call "+strconv.Quote(name))
+	if len(x.organisation.Services) > 0 && !slices.Contains(x.organisation.Services, name) {
+		return fault.Refuse(fault.Forbidden, "organisation "+x.organisation.Name+" may not call "+strconv.Quote(name))
 	}
-	if refused := f.open.begin(x.id, x.who, &f.config); refused != nil {
+	if refused := f.open.begin(x.id, x.organisation, &f.config); refused != nil {
 		return refused
 	}
 	return nil
 }
 
-func organisation(release *spread.Release, r *http.Request) *manif.Organisation {
+func authenticate(release *spread.Release, r *http.Request) *manif.Organisation {
 	bearer, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
 		return nil
@@ -130,24 +133,25 @@
 	return release.ByTokenHash(hex.EncodeToString(sum[:]))
 }
 
-// carry runs an admitted request under its deadline.
-func (f *Front) carry(x *exchange, run func(context.Context, *exchange) error) error {
-	began := f.config.Clock.Now()
-	span, refused := deadlineOf(x.r.Header, f.bound(x))
+// runAdmitted reads the body of an admitted request and runs the request until
+// its deadline.
+func (f *Front) runAdmitted(x *exchange, run func(context.Context, *exchange) error) error {
+	startedAt := f.config.Clock.Now()
+	timeout, refused := timeoutOf(x.r.Header, f.maxTimeout(x))
 	if refused != nil {
 		return refused
 	}
 	if err := f.readBody(x); err != nil {
 		return err
 	}
-	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(span.Duration() + writeGrace))
+	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(timeout.Duration() + writeGrace))
 	x.record = f.config.Trace.Begin(trace.Request{
-		ID: x.id, Organisation: x.who.Name, Service: x.service.Name, Release: x.release.Number, BeganAt: began,
+		ID: x.id, Organisation: x.organisation.Name, Service: x.service.Name, Release: x.release.Number, BeganAt: startedAt,
 	})
 	x.request = runs.Request{
-		Deadline: began + span, Record: x.record,
+		Deadline: startedAt + timeout, Record: x.record,
 		Call: wire.Call{
-			ID: token.Attempt{Request: x.id}, Organisation: x.who.Name, Priority: x.who.Priority, Key: x.key, Cost: 1,
+			ID: token.Attempt{Request: x.id}, Organisation: x.organisation.Name, Priority: x.organisation.Priority, Key: x.key, Cost: 1,
 		},
 	}
 	ctx, cancel := context.WithCancel(x.r.Context())
@@ -161,21 +165,22 @@
 	return err
 }
 
-func (f *Front) bound(x *exchange) clock.Millis {
+func (f *Front) maxTimeout(x *exchange) clock.Millis {
 	if p := x.release.Pipeline(x.service.Pipeline); p != nil && p.DeadlineMs > 0 {
 		return p.DeadlineMs
 	}
 	if x.service.DeadlineMs > 0 {
 		return x.service.DeadlineMs
 	}
-	return defaultDeadline
+	return defaultTimeout
 }
 
 func (f *Front) readBody(x *exchange) error {
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, f.config.MaxBodyBytes))
-	// Lifted again: the server reads on to notice that the caller goes away.
+	// No read deadline from here on: the server keeps reading so that it detects
+	// when the caller closes the connection.
 	_ = control.SetReadDeadline(time.Time{})
 	x.body = body
 	var tooLarge *http.MaxBytesError
@@ -189,19 +194,20 @@
 	}
 }
 
-// refuse answers with a refusal and counts it.
+// refuse records a refusal and sends it to the caller.
 func (f *Front) refuse(w http.ResponseWriter, x *exchange, err error) {
-	body := f.refusal(x, err)
+	body := f.recordRefusal(x, err)
 	writeRefusal(w, body)
 }
 
-// refusal makes the one JSON shape, and counts, notes and logs it.
-func (f *Front) refusal(x *exchange, err error) refusal {
-	body := refusalOf(x.id, err)
-	if x.mayRepeat && body.Ran == fault.NotRun && !saysNothingOfKey(body.Reason) {
-		// This request has not run, but nobody asked whether an earlier one
-		// under the same key has; a caller that read "not run" might take a
-		// new key and book twice.
+// recordRefusal returns the refusal for an error and adds it to the metrics, the
+// request's trace and the log.
+func (f *Front) recordRefusal(x *exchange, err error) refusal {
+	body := newRefusal(x.id, err)
+	if x.earlierMayHaveRun && body.Ran == fault.NotRun && !independentOfKey(body.Reason) {
+		// This request has not run, but an earlier one with the same key may
+		// have: the claim of the key was not checked. After "not run" a caller
+		// might use a new key and execute the call twice.
 		body.Ran = fault.MayHaveRun
 	}
 	f.config.Meter.Refused.WithLabelValues(string(body.Reason), string(body.Ran)).Inc()
@@ -210,9 +216,9 @@
 	return body
 }
 
-// saysNothingOfKey tells reasons that speak of the request's form or sender
-// alone: every request under the key would have got them.
-func saysNothingOfKey(reason fault.Reason) bool {
+// independentOfKey reports whether a refusal depends only on the request's form
+// or sender, so that every request with the same key would have been refused.
+func independentOfKey(reason fault.Reason) bool {
 	switch reason {
 	case fault.Unauthorized, fault.Forbidden, fault.UnknownService, fault.BodyTooLarge:
 		return true
--- a/internal/serve/front/http_test.go
+++ b/internal/serve/front/http_test.go
@@ -50,22 +50,22 @@
 	config.Holder.Accept(spread.New(1, testManifest(), nil))
 	config.Clock, config.Log, config.Base = clock.New(), log.New(io.Discard), t.Context()
 	config.Meter, config.Trace = meter.New(prometheus.NewRegistry()), trace.New(trace.Capacity)
-	known := peers.New("za", config.Holder, config.Meter)
-	t.Cleanup(known.Close)
-	config.Runs = runs.New(known, config.Meter)
+	agents := peers.New("za", config.Holder, config.Meter)
+	t.Cleanup(agents.Close)
+	config.Runs = runs.New(agents, config.Meter)
 	config.Gate = func() *fault.RefusalError { return nil }
 	config.Leaving = func() bool { return false }
 	config.Ready = func(http.ResponseWriter, *http.Request) {}
 	return New(config)
 }
 
-// Every refusal has the one shape, its status from the one table, a request id
-// that operators can look for, and an "ran" that is true.
-func TestRefusalsOfTheFrontItself(t *testing.T) {
+// Each refusal has the common JSON format, the status of its reason, a request
+// ID that operators can look up, and the correct value of "ran".
+func TestRefusalReasonsAndFormat(t *testing.T) {
 	const sheets, bookings = "/v1/services/sheets", "/v1/services/orders/call/bookings"
-	good := http.Header{"Authorization": {"Bearer " + testToken}}
+	authorized := http.Header{"Authorization": {"Bearer " + testToken}}
 	with := func(name, value string) http.Header {
-		header := good.Clone()
+		header := authorized.Clone()
 		header.Set(name, value)
 		return header
 	}
@@ -77,19 +77,19 @@
 	}{
 		{"no token", "POST", sheets, `{"input":1}`, http.Header{}, fault.Unauthorized, fault.NotRun},
 		{"wrong token", "POST", sheets, `{"input":1}`, http.Header{"Authorization": {"Bearer x"}}, fault.Unauthorized, fault.NotRun},
-		{"unknown service", "POST", "/v1/services/none", `{}`, good, fault.UnknownService, fault.NotRun},
-		{"service of others", "POST", "/v1/services/other", `{}`, good, fault.Forbidden, fault.NotRun},
-		{"no such path", "POST", "/v2/services", `{}`, good, fault.UnknownService, fault.NotRun},
-		{"wrong method", "GET", sheets, ``, good, fault.BadRequest, fault.NotRun},
-		{"bad body", "POST", sheets, `[`, good, fault.BadRequest, fault.NotRun},
-		{"body too large", "POST", sheets, strings.Repeat("x", 65), good, fault.BodyTooLarge, fault.NotRun},
+		{"unknown service", "POST", "/v1/services/none", `{}`, authorized, fault.UnknownService, fault.NotRun},
+		{"service the organisation may not call", "POST", "/v1/services/other", `{}`, authorized, fault.Forbidden, fault.NotRun},
+		{"no such path", "POST", "/v2/services", `{}`, authorized, fault.UnknownService, fault.NotRun},
+		{"wrong method", "GET", sheets, ``, authorized, fault.BadRequest, fault.NotRun},
+		{"bad body", "POST", sheets, `[`, authorized, fault.BadRequest, fault.NotRun},
+		{"body too large", "POST", sheets, strings.Repeat("x", 65), authorized, fault.BodyTooLarge, fault.NotRun},
 		{"bad deadline", "POST", sheets, `{"input":1}`, with(headerDeadline, "soon"), fault.BadRequest, fault.NotRun},
 		{"bad key", "POST", bookings, `{}`, with(headerKey, "a b"), fault.BadRequest, fault.NotRun},
-		{"undeclared call", "POST", "/v1/services/orders/call/none", `{}`, good, fault.UnknownService, fault.NotRun},
-		{"no endpoint", "POST", sheets, `{"input":1}`, good, fault.NoEndpoint, fault.NotRun},
-		{"no endpoint for a call", "POST", bookings, `{}`, good, fault.NoEndpoint, fault.NotRun},
+		{"undeclared call", "POST", "/v1/services/orders/call/none", `{}`, authorized, fault.UnknownService, fault.NotRun},
+		{"no endpoint", "POST", sheets, `{"input":1}`, authorized, fault.NoEndpoint, fault.NotRun},
+		{"no endpoint for a call", "POST", bookings, `{}`, authorized, fault.NoEndpoint, fault.NotRun},
 		{"key without a platform", "POST", bookings, `{}`, with(headerKey, "k"), fault.KeyUnavailable, fault.MayHaveRun},
-		{"key of a call that may be repeated", "POST", sheets, `{"input":1}`, with(headerKey, "k"), fault.NoEndpoint, fault.NotRun},
+		{"key for a call that may be repeated", "POST", sheets, `{"input":1}`, with(headerKey, "k"), fault.NoEndpoint, fault.NotRun},
 	}
 	f := newTestFront(t, Config{MaxBodyBytes: 64, MaxOpen: 100, MaxOpenPerOrganisation: 100})
 	for _, test := range tests {
@@ -109,8 +109,9 @@
 	assert.Equal(t, f.Open(), 0)
 }
 
-// One organisation opens requests without end. It must not take the places of
-// the others, nor all callers together the entry's memory.
+// One organisation opens requests without limit. It must not use up the open
+// requests of the others, and all callers together must not exhaust the entry's
+// memory.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	config := Config{MaxOpen: 3, MaxOpenPerOrganisation: 2}
 	small, large := &manif.Organisation{Name: "small"}, &manif.Organisation{Name: "large"}
@@ -125,9 +126,9 @@
 	assert.Equal(t, open.count(), 3)
 }
 
-// A refusal before the key's claim is held says nothing of an earlier request
-// under the same key, which may have run.
-func TestKeyedRefusalBeforeItsClaimIsNotCalledNotRun(t *testing.T) {
+// A request with a key is refused before it holds the claim. An earlier request
+// with the same key may have run, so the refusal must not report "not run".
+func TestKeyedRefusalBeforeClaimReportsMayHaveRun(t *testing.T) {
 	f := newTestFront(t, Config{MaxOpen: 1, MaxOpenPerOrganisation: 1})
 	assert.Assert(t, f.open.begin("other", &manif.Organisation{Name: "x"}, &f.config) == nil)
 	request := httptest.NewRequest(http.MethodPost, "/v1/services/orders/call/bookings", strings.NewReader(`{}`))
--- a/internal/serve/front/input.go
+++ b/internal/serve/front/input.go
@@ -21,7 +21,7 @@
 	maxKey          = 255
 )
 
-// runBody is what a caller sends to a pipeline.
+// runBody is the body of a request to a pipeline.
 type runBody struct {
 	Input  json.RawMessage `json:"input"`
 	Stream bool            `json:"stream"`
@@ -36,7 +36,7 @@
 	return fault.Refuse(fault.BadRequest, problem.Error())
 }
 
-// decodeRun reads the body of a pipeline's request.
+// decodeRun decodes and checks the body of a request to a pipeline.
 func decodeRun(raw []byte) (runBody, *fault.RefusalError) {
 	var body runBody
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -53,21 +53,22 @@
 	return body, nil
 }
 
-// deadlineOf returns the span a caller allows, at most the bound.
-func deadlineOf(header http.Header, bound clock.Millis) (clock.Millis, *fault.RefusalError) {
+// timeoutOf returns the time until the deadline that the caller requested, at
+// most limit. Without the header it returns limit.
+func timeoutOf(header http.Header, limit clock.Millis) (clock.Millis, *fault.RefusalError) {
 	text := header.Get(headerDeadline)
 	if text == "" {
-		return bound, nil
+		return limit, nil
 	}
-	asked, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || asked <= 0 {
+	requested, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || requested <= 0 {
 		return 0, invalid(headerDeadline, text, "a whole number of milliseconds from 1 on")
 	}
-	return min(bound, clock.Millis(asked)), nil
+	return min(limit, clock.Millis(requested)), nil
 }
 
-// keyOf returns the caller's idempotency key, empty if there is none.
-func keyOf(header http.Header) (string, *fault.RefusalError) {
+// idempotencyKey returns the caller's idempotency key, or "" if there is none.
+func idempotencyKey(header http.Header) (string, *fault.RefusalError) {
 	values := header.Values(headerKey)
 	if len(values) == 0 {
 		return "", nil
--- a/internal/serve/front/input_test.go
+++ b/internal/serve/front/input_test.go
@@ -15,12 +15,12 @@
 	tests := []struct {
 		name, body, detail string
 	}{
-		{"whole", `{"input": {"a": 1}, "stream": true}`, ""},
+		{"valid", `{"input": {"a": 1}, "stream": true}`, ""},
 		{"no input", `{}`, `body.input: "" is not allowed; allowed: any JSON value but null`},
 		{"null input", `{"input": null}`, `body.input: "" is not allowed; allowed: any JSON value but null`},
 		{"unknown field", `{"input": 1, "steam": true}`, `unknown field`},
 		{"two values", `{"input": 1} {}`, `more than one JSON value`},
-		{"cut", `{"input": `, `unexpected EOF`},
+		{"truncated", `{"input": `, `unexpected EOF`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -43,10 +43,10 @@
 	}{
 		{"default", "", 3000, false},
 		{"shorter", "200", 200, false},
-		{"at most the pipeline's", "99999999", 3000, false},
+		{"longer than the limit", "99999999", 3000, false},
 		{"zero", "0", 0, true},
 		{"negative", "-5", 0, true},
-		{"no number", "1s", 0, true},
+		{"not a number", "1s", 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,22 +54,22 @@
 			if test.value != "" {
 				header.Set(headerDeadline, test.value)
 			}
-			got, refused := deadlineOf(header, 3000)
+			got, refused := timeoutOf(header, 3000)
 			assert.Equal(t, refused != nil, test.bad)
 			assert.Equal(t, got, test.want)
 		})
 	}
 }
 
-func TestStreamHoldsBackCutCharacters(t *testing.T) {
+func TestStreamSendsNoPartialCharacter(t *testing.T) {
 	text := []byte("aŽ€😀")
 	for cut := range len(text) {
-		whole := wholeRunes(text[:cut])
-		assert.Assert(t, whole <= cut && cut-whole < 4)
-		assert.Assert(t, strings.ToValidUTF8(string(text[:whole]), "?") == string(text[:whole]))
+		complete := completeRunesLen(text[:cut])
+		assert.Assert(t, complete <= cut && cut-complete < 4)
+		assert.Assert(t, strings.ToValidUTF8(string(text[:complete]), "?") == string(text[:complete]))
 	}
-	assert.Equal(t, wholeRunes(text), len(text))
-	assert.Equal(t, wholeRunes([]byte{0xff, 0xff}), 2)
+	assert.Equal(t, completeRunesLen(text), len(text))
+	assert.Equal(t, completeRunesLen([]byte{0xff, 0xff}), 2)
 }
 
 func FuzzCallerInput(f *testing.F) {
@@ -82,13 +82,13 @@
 			t.Fatal("accepted without input")
 		}
 		header := http.Header{headerDeadline: {deadline}, headerKey: {key}}
-		span, refused := deadlineOf(header, 3000)
-		if refused == nil && (span <= 0 || span > 3000) {
-			t.Fatalf("deadline %d", span)
+		timeout, refused := timeoutOf(header, 3000)
+		if refused == nil && (timeout <= 0 || timeout > 3000) {
+			t.Fatalf("timeout %d is not in 1 to 3000", timeout)
 		}
-		got, refused := keyOf(header)
+		got, refused := idempotencyKey(header)
 		if refused == nil && (got == "" || len(got) > maxKey) {
-			t.Fatalf("key %q", got)
+			t.Fatalf("accepted the key %q", got)
 		}
 	})
 }
--- a/internal/serve/front/open.go
+++ b/internal/serve/front/open.go
@@ -7,34 +7,33 @@
 	"github.com/jujubescale/jujubescale/internal/conf/manif"
 )
 
-// openRequests counts the requests that are not finished, in all and by
-// organisation, so that neither a crowd nor one organisation can exhaust the
-// entry's memory.
+// openRequests counts open requests, in total and per organisation, so that
+// neither many callers nor one organisation can exhaust the entry's memory.
 type openRequests struct {
-	mu     sync.Mutex
-	ids    map[string]string // request to organisation
-	byName map[string]int
+	mu             sync.Mutex
+	ids            map[string]string // request ID to name of the organisation
+	byOrganisation map[string]int
 }
 
-// begin counts a request, or refuses it.
+// begin adds a request, or refuses it if a limit is reached.
 func (o *openRequests) begin(id string, organisation *manif.Organisation, config *Config) *fault.RefusalError {
-	each := config.MaxOpenPerOrganisation
+	limit := config.MaxOpenPerOrganisation
 	if organisation.MaxOpen > 0 {
-		each = organisation.MaxOpen
+		limit = organisation.MaxOpen
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.ids == nil {
-		o.ids, o.byName = make(map[string]string), make(map[string]int)
+		o.ids, o.byOrganisation = make(map[string]string), make(map[string]int)
 	}
 	if len(o.ids) >= config.MaxOpen {
-		return fault.Refuse(fault.TooManyOpen, "this entry has as many open requests as it bears")
+		return fault.Refuse(fault.TooManyOpen, "this entry has reached its limit of open requests (maxOpen)")
 	}
-	if o.byName[organisation.Name] >= each {
-		return fault.Refuse(fault.TooManyOpen, "the organisation has as many open requests as it may have")
+	if o.byOrganisation[organisation.Name] >= limit {
+		return fault.Refuse(fault.TooManyOpen, "the organisation has reached its limit of open requests")
 	}
 	o.ids[id] = organisation.Name
-	o.byName[organisation.Name]++
+	o.byOrganisation[organisation.Name]++
 	return nil
 }
 
@@ -43,8 +42,8 @@
 	defer o.mu.Unlock()
 	name := o.ids[id]
 	delete(o.ids, id)
-	if o.byName[name]--; o.byName[name] <= 0 {
-		delete(o.byName, name)
+	if o.byOrganisation[name]--; o.byOrganisation[name] <= 0 {
+		delete(o.byOrganisation, name)
 	}
 }
 
--- a/internal/serve/front/refuse.go
+++ b/internal/serve/front/refuse.go
@@ -11,27 +11,27 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// statusClientGone is what servers commonly log when the caller went away
-// before its answer; nobody reads it.
+// statusClientGone is the status that HTTP servers commonly log when the caller
+// closed the connection before the answer. No caller receives it.
 const statusClientGone = 499
 
-// Spans after which it is worth while to come back, by what has to pass first.
+// Delays until a retry can succeed, by what has to happen before it.
 const (
-	afterRoute  = 100 * clock.Millis(1) // another entry or endpoint takes over
-	afterQueue  = 500 * clock.Millis(1) // work in front ends
-	afterChange = clock.Second          // endpoints warm up, a zone returns, the platform answers
+	retryAfterReroute = 100 * clock.Millis(1) // another entry or endpoint takes the request
+	retryAfterQueue   = 500 * clock.Millis(1) // queued work ends
+	retryAfterChange  = clock.Second          // endpoints warm up, a zone or the platform recovers
 )
 
-// rule is what a caller is told for a reason.
+// rule is the status and the retry delay for a reason.
 type rule struct {
 	reason fault.Reason
 	status int
-	// again is when to come back if whoever refused gave no time; 0 where
-	// waiting changes nothing.
-	again clock.Millis
+	// retryAfter is the delay for refusals that set none; 0 if a retry cannot
+	// succeed.
+	retryAfter clock.Millis
 }
 
-// rules is the one table of statuses; docs/CALLERS.md shows it.
+// rules returns the rules for all reasons. docs/CALLERS.md documents them.
 func rules() []rule {
 	return []rule{
 		{fault.BadRequest, http.StatusBadRequest, 0},
@@ -39,38 +39,38 @@
 		{fault.Forbidden, http.StatusForbidden, 0},
 		{fault.UnknownService, http.StatusNotFound, 0},
 		{fault.BodyTooLarge, http.StatusRequestEntityTooLarge, 0},
-		{fault.TooManyOpen, http.StatusTooManyRequests, afterQueue},
-		{fault.NotReady, http.StatusServiceUnavailable, afterChange},
-		{fault.Isolated, http.StatusServiceUnavailable, afterRoute},
-		{fault.Leaving, http.StatusServiceUnavailable, afterRoute},
-		{fault.ZoneLeft, http.StatusServiceUnavailable, afterRoute},
-		{fault.Overloaded, http.StatusServiceUnavailable, afterQueue},
-		{fault.QueueFull, http.StatusServiceUnavailable, afterQueue},
-		{fault.ColdStart, http.StatusServiceUnavailable, afterChange},
-		{fault.WontMakeIt, http.StatusServiceUnavailable, afterQueue},
+		{fault.TooManyOpen, http.StatusTooManyRequests, retryAfterQueue},
+		{fault.NotReady, http.StatusServiceUnavailable, retryAfterChange},
+		{fault.Isolated, http.StatusServiceUnavailable, retryAfterReroute},
+		{fault.Leaving, http.StatusServiceUnavailable, retryAfterReroute},
+		{fault.ZoneLeft, http.StatusServiceUnavailable, retryAfterReroute},
+		{fault.Overloaded, http.StatusServiceUnavailable, retryAfterQueue},
+		{fault.QueueFull, http.StatusServiceUnavailable, retryAfterQueue},
+		{fault.ColdStart, http.StatusServiceUnavailable, retryAfterChange},
+		{fault.WontMakeIt, http.StatusServiceUnavailable, retryAfterQueue},
 		{fault.DeadlinePassed, http.StatusGatewayTimeout, 0},
-		{fault.NoEndpoint, http.StatusServiceUnavailable, afterChange},
+		{fault.NoEndpoint, http.StatusServiceUnavailable, retryAfterChange},
 		{fault.EndpointFailed, http.StatusBadGateway, 0},
 		{fault.AnswerBroken, http.StatusBadGateway, 0},
-		{fault.KeyInUse, http.StatusConflict, afterQueue},
+		{fault.KeyInUse, http.StatusConflict, retryAfterQueue},
 		{fault.KeyDone, http.StatusConflict, 0},
-		{fault.KeyUnavailable, http.StatusServiceUnavailable, afterChange},
+		{fault.KeyUnavailable, http.StatusServiceUnavailable, retryAfterChange},
 		{fault.OutcomeUnknown, http.StatusBadGateway, 0},
 		{fault.Cancelled, statusClientGone, 0},
-		{fault.RetryBudget, http.StatusServiceUnavailable, afterChange},
-		{fault.WrongEndpoint, http.StatusServiceUnavailable, afterRoute},
-		{fault.OldRelease, http.StatusServiceUnavailable, afterQueue},
+		{fault.RetryBudget, http.StatusServiceUnavailable, retryAfterChange},
+		{fault.WrongEndpoint, http.StatusServiceUnavailable, retryAfterReroute},
+		{fault.OldRelease, http.StatusServiceUnavailable, retryAfterQueue},
 		{fault.DoubledFrame, http.StatusBadGateway, 0},
 		{fault.BackendRejected, http.StatusBadGateway, 0},
-		{fault.InputGone, http.StatusServiceUnavailable, afterRoute},
+		{fault.InputGone, http.StatusServiceUnavailable, retryAfterReroute},
 		{fault.UnknownRoute, http.StatusNotFound, 0},
-		{fault.Quarantined, http.StatusServiceUnavailable, afterChange},
+		{fault.Quarantined, http.StatusServiceUnavailable, retryAfterChange},
 	}
 }
 
-var byReason = ruleTable()
+var byReason = rulesByReason()
 
-func ruleTable() map[fault.Reason]rule {
+func rulesByReason() map[fault.Reason]rule {
 	table := make(map[fault.Reason]rule)
 	for _, r := range rules() {
 		table[r.reason] = r
@@ -82,24 +82,25 @@
 	if known, found := byReason[reason]; found {
 		return known
 	}
-	return rule{reason: reason, status: http.StatusBadGateway} // a reason of a newer agent
+	return rule{reason: reason, status: http.StatusBadGateway} // a reason that only newer agents send
 }
 
-// comeBack returns when the caller shall come back, in milliseconds; 0 if
-// waiting changes nothing. Times that nobody measured are spread by a quarter
-// either way: callers refused together would otherwise return together.
-func comeBack(refused *fault.RefusalError) clock.Millis {
+// retryAfter returns the delay in milliseconds after which the caller should
+// retry, or 0 if a retry cannot succeed. Delays from the rules are randomised by
+// up to a quarter either way, so that callers refused at the same time do not
+// retry at the same time.
+func retryAfter(refused *fault.RefusalError) clock.Millis {
 	if refused.RetryAfter > 0 {
 		return refused.RetryAfter
 	}
-	again := ruleOf(refused.Reason).again
-	if again == 0 {
+	delay := ruleOf(refused.Reason).retryAfter
+	if delay == 0 {
 		return 0
 	}
-	return again*3/4 + rand.N(again/2)
+	return delay*3/4 + rand.N(delay/2)
 }
 
-// refusal is the one JSON shape of every refusal.
+// refusal is the JSON format of all refusals.
 type refusal struct {
 	Reason       fault.Reason `json:"reason"`
 	Ran          fault.Ran    `json:"ran"`
@@ -108,21 +109,21 @@
 	Detail       string       `json:"detail,omitempty"`
 }
 
-func refusalOf(id string, err error) refusal {
+func newRefusal(id string, err error) refusal {
 	var refused *fault.RefusalError
 	if !errors.As(err, &refused) {
 		refused = &fault.RefusalError{Reason: fault.EndpointFailed, Ran: fault.MayHaveRun, Detail: err.Error()}
 	}
 	return refusal{
-		Reason: refused.Reason, Ran: refused.Ran, RetryAfterMs: comeBack(refused), RequestID: id, Detail: refused.Detail,
+		Reason: refused.Reason, Ran: refused.Ran, RetryAfterMs: retryAfter(refused), RequestID: id, Detail: refused.Detail,
 	}
 }
 
-// Refuse answers a request that gets no other answer and returns the status.
-// Callers of routed services read fractions of a second in Retry-After, so
-// that none of them waits longer than it must.
+// Refuse answers a request with a refusal and returns the HTTP status.
+// Retry-After has fractions of a second, which callers of routed services
+// parse, so that they do not wait longer than necessary.
 func Refuse(w http.ResponseWriter, refused *fault.RefusalError) int {
-	body := refusalOf(refused.RequestID, refused)
+	body := newRefusal(refused.RequestID, refused)
 	if body.RetryAfterMs > 0 {
 		seconds := float64(body.RetryAfterMs) / float64(clock.Second)
 		w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', -1, 64))
@@ -142,5 +143,5 @@
 func writeBody(w http.ResponseWriter, body refusal) {
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.WriteHeader(ruleOf(body.Reason).status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that is gone reads nothing
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has disconnected
 }
--- a/internal/serve/front/refuse_test.go
+++ b/internal/serve/front/refuse_test.go
@@ -12,8 +12,8 @@
 	"github.com/jujubescale/jujubescale/internal/base/fault"
 )
 
-// A reason without a status, or one that callers can't look up, would leave
-// them guessing whether to repeat.
+// A reason has no status or is not documented, so callers cannot tell whether
+// to retry.
 func TestEveryReasonIsDocumentedWithItsStatus(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/CALLERS.md")
 	assert.NilError(t, err)
@@ -28,18 +28,18 @@
 	}
 }
 
-// A caller that is told to come back but not when comes back at once, and all
-// of them together.
-func TestRefusalsThatPassSayWhenToComeBack(t *testing.T) {
-	passing := map[int]bool{
+// A temporary refusal has no retry delay, so all refused callers retry at once
+// and at the same time.
+func TestTemporaryRefusalsHaveARetryDelay(t *testing.T) {
+	temporary := map[int]bool{
 		http.StatusServiceUnavailable: true, http.StatusTooManyRequests: true, http.StatusConflict: true,
 	}
 	for _, reason := range fault.Reasons() {
 		status := ruleOf(reason).status
-		again := comeBack(fault.Refuse(reason, ""))
-		wants := passing[status] && reason != fault.KeyDone
-		assert.Equal(t, again > 0, wants, "reason %s: %d ms", reason, again)
+		delay := retryAfter(fault.Refuse(reason, ""))
+		wantDelay := temporary[status] && reason != fault.KeyDone
+		assert.Equal(t, delay > 0, wantDelay, "reason %s: %d ms", reason, delay)
 	}
-	told := &fault.RefusalError{Reason: fault.QueueFull, RetryAfter: 42}
-	assert.Equal(t, int(comeBack(told)), 42)
+	withDelay := &fault.RefusalError{Reason: fault.QueueFull, RetryAfter: 42}
+	assert.Equal(t, int(retryAfter(withDelay)), 42)
 }
--- a/internal/serve/front/reply.go
+++ b/internal/serve/front/reply.go
@@ -20,13 +20,13 @@
 
 const wildcardSuffix = "/*"
 
-// runAnswer is the whole answer of a pipeline.
+// runAnswer is the complete answer of a pipeline.
 type runAnswer struct {
 	RequestID string          `json:"requestId"`
 	Output    json.RawMessage `json:"output"`
 }
 
-// reply is what a request is answered with.
+// reply is the answer to a request.
 type reply struct {
 	status      int
 	contentType string
@@ -43,18 +43,18 @@
 	if refused != nil {
 		return refused
 	}
-	x.mayRepeat = x.key != "" && mayNotRepeat(p)
+	x.earlierMayHaveRun = x.key != "" && hasNotIdempotentStage(p)
 	if body.Stream || strings.Contains(x.r.Header.Get("Accept"), eventStream) {
 		return f.streamPipeline(ctx, x, p, body.Input)
 	}
-	got, err := f.once(ctx, x, func() (*reply, error) { return f.pipelineReply(ctx, x, p, body.Input, nil) })
+	got, err := f.runOnce(ctx, x, func() (*reply, error) { return f.pipelineReply(ctx, x, p, body.Input, nil) })
 	if err != nil {
 		return err
 	}
 	return x.write(got)
 }
 
-func mayNotRepeat(p *manif.Pipeline) bool {
+func hasNotIdempotentStage(p *manif.Pipeline) bool {
 	for i := range p.Stages {
 		if p.Stages[i].NotIdempotent {
 			return true
@@ -80,7 +80,7 @@
 		x.w.Header().Set("Content-Type", got.contentType)
 	}
 	x.w.WriteHeader(got.status)
-	_, _ = x.w.Write(got.bytes) // a caller that is gone reads nothing
+	_, _ = x.w.Write(got.bytes) // fails only if the caller has disconnected
 	return nil
 }
 
@@ -93,11 +93,11 @@
 type stream struct {
 	x       *exchange
 	started bool
-	// held are the first bytes of a character whose rest has not come yet.
-	held []byte
+	// partial holds the first bytes of a character that is not yet complete.
+	partial []byte
 }
 
-func (s *stream) event(name string, data []byte) {
+func (s *stream) writeEvent(name string, data []byte) {
 	if !s.started {
 		s.x.w.Header().Set("Content-Type", eventStream)
 		s.x.w.Header().Set("Cache-Control", "no-store")
@@ -107,26 +107,28 @@
 	_ = http.NewResponseController(s.x.w).Flush()
 }
 
-// token passes text on. Bytes come cut anywhere; a character that is cut would
-// be replaced in JSON and the caller's text differ from the answer's.
-func (s *stream) token(fresh []byte) {
-	s.held = append(s.held, fresh...)
-	whole := wholeRunes(s.held)
-	if whole == 0 {
+// writeText sends text as a token event. The text may end within a character,
+// whose bytes are kept for the next event: in JSON they would be replaced, and
+// the streamed text would differ from the answer.
+func (s *stream) writeText(text []byte) {
+	s.partial = append(s.partial, text...)
+	complete := completeRunesLen(s.partial)
+	if complete == 0 {
 		return
 	}
-	data, err := json.Marshal(streamText{Text: string(s.held[:whole])})
+	data, err := json.Marshal(streamText{Text: string(s.partial[:complete])})
 	if err != nil {
-		return // a string always encodes
+		return // encoding a string never fails
 	}
-	s.held = append(s.held[:0], s.held[whole:]...)
-	s.event("token", data)
+	s.partial = append(s.partial[:0], s.partial[complete:]...)
+	s.writeEvent("token", data)
 }
 
-// wholeRunes returns the length without a last character that is not whole.
-func wholeRunes(text []byte) int {
-	for back := 1; back < utf8.UTFMax && back <= len(text); back++ {
-		start := len(text) - back
+// completeRunesLen returns the length of text without an incomplete last
+// character.
+func completeRunesLen(text []byte) int {
+	for fromEnd := 1; fromEnd < utf8.UTFMax && fromEnd <= len(text); fromEnd++ {
+		start := len(text) - fromEnd
 		if utf8.RuneStart(text[start]) {
 			if !utf8.FullRune(text[start:]) {
 				return start
@@ -139,16 +141,16 @@
 
 func (f *Front) streamPipeline(ctx context.Context, x *exchange, p *manif.Pipeline, input json.RawMessage) error {
 	s := &stream{x: x}
-	got, err := f.once(ctx, x, func() (*reply, error) { return f.pipelineReply(ctx, x, p, input, s.token) })
+	got, err := f.runOnce(ctx, x, func() (*reply, error) { return f.pipelineReply(ctx, x, p, input, s.writeText) })
 	if err != nil && !s.started {
 		return err
 	}
 	if err != nil {
-		data, _ := json.Marshal(f.refusal(x, err)) // plain fields always encode
-		s.event("refused", data)
+		data, _ := json.Marshal(f.recordRefusal(x, err)) // encoding plain fields never fails
+		s.writeEvent("refused", data)
 		return nil
 	}
-	s.event("end", got.bytes)
+	s.writeEvent("end", got.bytes)
 	return nil
 }
 
@@ -165,8 +167,8 @@
 	call.Method, call.Path, call.Body = x.r.Method, path, x.body
 	call.Idempotent = !declared.NotIdempotent
 	call.Cost = max(declared.Cost, 1)
-	x.mayRepeat = x.key != "" && declared.NotIdempotent
-	got, err := f.once(ctx, x, func() (*reply, error) {
+	x.earlierMayHaveRun = x.key != "" && declared.NotIdempotent
+	got, err := f.runOnce(ctx, x, func() (*reply, error) {
 		answer, err := f.config.Runs.Plain(ctx, &x.request, x.service.Name, x.service.Pool, declared.Method+" "+declared.Path)
 		if err != nil {
 			return nil, err
@@ -190,38 +192,40 @@
 	return nil
 }
 
-// once runs work that carries an idempotency key and may not be repeated under
-// a claim, and all other work as it is.
-func (f *Front) once(ctx context.Context, x *exchange, run func() (*reply, error)) (*reply, error) {
-	if !x.mayRepeat {
+// runOnce calls run. If the request has an idempotency key and may not be
+// repeated, it first claims the key, and returns the stored answer if an earlier
+// request with that key has one.
+func (f *Front) runOnce(ctx context.Context, x *exchange, run func() (*reply, error)) (*reply, error) {
+	if !x.earlierMayHaveRun {
 		return run()
 	}
 	if f.config.Claims == nil {
-		return nil, fault.Refuse(fault.KeyUnavailable, "this entry has no platform to keep keys in")
+		return nil, fault.Refuse(fault.KeyUnavailable, "this entry has no platform in which it can store keys")
 	}
-	hold, kept, err := f.claim(ctx, x)
+	hold, stored, err := f.claim(ctx, x)
 	if err != nil {
 		f.config.Meter.Claims.WithLabelValues(meter.ClaimRefused).Inc()
 		return nil, err
 	}
-	if kept != nil {
+	if stored != nil {
 		f.config.Meter.Claims.WithLabelValues(meter.ClaimReplayed).Inc()
-		return &reply{status: kept.Status, contentType: kept.ContentType, bytes: kept.Answer, replayed: true}, nil
+		return &reply{status: stored.Status, contentType: stored.ContentType, bytes: stored.Answer, replayed: true}, nil
 	}
 	f.config.Meter.Claims.WithLabelValues(meter.ClaimHeld).Inc()
-	// The claim is held: nobody ran under this key, so "not run" can be said.
-	x.mayRepeat = false
+	// This request holds the claim, so no earlier request with the key has run and
+	// a refusal may report "not run".
+	x.earlierMayHaveRun = false
 	got, err := run()
 	f.config.Claims.FinishAsync(ctx, hold, outcomeOf(got, err), func(failed error) {
 		f.config.Meter.Claims.WithLabelValues(meter.ClaimUnkept).Inc()
-		f.config.Log.Warn("outcome of a key not kept", "request", x.id, "error", failed)
+		f.config.Log.Warn("storing the outcome of an idempotency key failed", "request", x.id, "error", failed)
 	})
 	return got, err
 }
 
 func (f *Front) claim(ctx context.Context, x *exchange) (*claim.Hold, *claim.Record, error) {
-	left := x.request.Deadline - f.config.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, max(left, 0).Duration())
+	timeLeft := x.request.Deadline - f.config.Clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, max(timeLeft, 0).Duration())
 	defer cancel()
 	call := &x.request.Call
 	digest := xxhash.New()
@@ -231,7 +235,7 @@
 	}
 	return f.config.Claims.Claim(ctx, claim.Call{
 		Organisation: call.Organisation, Service: x.service.Name, Key: x.key,
-		Fingerprint: digest.Sum64(), Request: x.id, TimeLeft: left,
+		Fingerprint: digest.Sum64(), Request: x.id, TimeLeft: timeLeft,
 	})
 }
 
