--- a/internal/serve/peers/box.go
+++ b/internal/serve/peers/box.go
@@ -6,18 +6,20 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// EventKind tells what happened to an attempt.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// EventFrame: a frame of the attempt came.
+	// EventFrame means that a frame of the attempt was received.
 	EventFrame EventKind = iota
-	// EventSessionLost: the attempt's session has ended or gone silent.
+	// EventSessionLost means that the attempt's session was closed or timed out.
 	EventSessionLost
-	// EventSessionRestored: there is a new session to the attempt's endpoint.
+	// EventSessionRestored means that a new session to the attempt's endpoint is
+	// open.
 	EventSessionRestored
-	// EventAgentGone: nothing listens at the address of the attempt's agent any more.
+	// EventAgentGone means that the address of the attempt's agent refuses
+	// connections.
 	EventAgentGone
 )
 
@@ -29,38 +31,39 @@
 	Frame   *wire.Frame
 }
 
-// EventQueue takes the events of one stage from the readers of several sessions to
-// the one goroutine that runs the stage. Readers never wait: a slow request
-// must not hold up others on the same session. What waits here is bounded by
-// the size of an answer, which the stage checks.
+// EventQueue passes the events of one stage from the readers of several sessions
+// to the goroutine that runs the stage. Adding an event never blocks, so that a
+// slow request does not delay others on the same session. The length of the
+// queue is limited by the size of an answer, which the stage checks.
 type EventQueue struct {
-	bell chan struct{}
+	ready chan struct{}
 
 	mu     sync.Mutex
 	events []Event
 }
 
-// NewEventQueue returns an empty box.
-func NewEventQueue() *EventQueue { return &EventQueue{bell: make(chan struct{}, 1)} }
+// NewEventQueue returns an empty queue.
+func NewEventQueue() *EventQueue { return &EventQueue{ready: make(chan struct{}, 1)} }
 
-// Ready gets a value when events wait.
-func (b *EventQueue) Ready() <-chan struct{} { return b.bell }
+// Ready returns a channel that receives a value when the queue has events.
+func (q *EventQueue) Ready() <-chan struct{} { return q.ready }
 
-// Swap returns the waiting events and keeps the given slice for new ones.
-func (b *EventQueue) Swap(empty []Event) []Event {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	events := b.events
-	b.events = empty[:0]
+// Swap removes and returns the queued events. The queue reuses the memory of
+// next for new ones.
+func (q *EventQueue) Swap(next []Event) []Event {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	events := q.events
+	q.events = next[:0]
 	return events
 }
 
-func (b *EventQueue) put(event Event) {
-	b.mu.Lock()
-	b.events = append(b.events, event)
-	b.mu.Unlock()
+func (q *EventQueue) add(event Event) {
+	q.mu.Lock()
+	q.events = append(q.events, event)
+	q.mu.Unlock()
 	select {
-	case b.bell <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -18,83 +18,85 @@
 )
 
 const (
-	redialFirst = 50 * clock.Millis(1)
-	redialMost  = 2 * clock.Second
-	// withdrawnMost bounds the withdrawals that wait for the agent's word, and
-	// withdrawnSpan how long they do.
-	withdrawnMost = 1024
-	withdrawnSpan = 30 * clock.Second
+	minRedialDelay = 50 * clock.Millis(1)
+	maxRedialDelay = 2 * clock.Second
+	// maxCancelled is the largest number of cancelled attempts whose end the agent
+	// has not reported, and cancelledRetention how long they are remembered.
+	maxCancelled       = 1024
+	cancelledRetention = 30 * clock.Second
 )
 
-// flight is an attempt that is at the endpoint.
-type flight struct {
-	box         *EventQueue
-	try         int
+// openAttempt is an attempt that was sent to the endpoint and is still tracked.
+type openAttempt struct {
+	events      *EventQueue
+	attempt     int
 	incarnation token.Incarnation
 }
 
-// Link keeps one session to the agent at one address, and knows the attempts
-// that are there. It outlives its sessions: when one is lost, the attempts are
-// told, and told again when there is a new one.
+// Link keeps one session open to the agent at one address and tracks the
+// attempts sent to it. It outlives its sessions: the attempts get an event when
+// a session is lost and another when a new one is open.
 type Link struct {
 	peers   *Peers
 	address string
 	cancel  context.CancelFunc
 	done    chan struct{}
 
-	mu       sync.Mutex
-	session  *sess.Session
-	closing  bool // the agent ends; see wire.Leave
-	endpoint *pool.Endpoint
-	member   *Pool
-	leaving  bool
-	flights  map[token.Attempt]flight
-	// withdrawn attempts whose end the agent has not told, until an instant.
-	withdrawn map[token.Attempt]clock.Millis
+	mu        sync.Mutex
+	session   *sess.Session
+	closing   bool // the agent is about to exit; see wire.Leave
+	endpoint  *pool.Endpoint
+	endpoints *Pool
+	leaving   bool
+	open      map[token.Attempt]openAttempt
+	// cancelled holds the cancelled attempts whose end the agent has not
+	// reported, with the instant at which they are forgotten.
+	cancelled map[token.Attempt]clock.Millis
 }
 
 func newLink(p *Peers, address string) *Link {
 	return &Link{
-		peers: p, address: address, done: make(chan struct{}), flights: make(map[token.Attempt]flight),
-		withdrawn: make(map[token.Attempt]clock.Millis),
+		peers: p, address: address, done: make(chan struct{}), open: make(map[token.Attempt]openAttempt),
+		cancelled: make(map[token.Attempt]clock.Millis),
 	}
 }
 
-// run holds a session to the address until the context ends.
+// run keeps a session to the address open until the context ends.
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
-	pause := redialFirst
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		known := make(chan struct{})
-		s, err := l.dial(ctx, known)
+		registered := make(chan struct{})
+		s, err := l.dial(ctx, registered)
 		if err != nil {
 			l.peers.log.Debug("dial failed", "address", l.address, "error", err)
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				l.died()
+				l.agentGone()
 			}
-			_ = l.peers.clock.Sleep(ctx, pause)
-			pause = min(2*pause, redialMost)
+			_ = l.peers.clock.Sleep(ctx, delay)
+			delay = min(2*delay, maxRedialDelay)
 			continue
 		}
-		pause = redialFirst
-		l.opened(s)
-		close(known)
+		delay = minRedialDelay
+		l.sessionOpened(s)
+		close(registered)
 		<-s.Done()
-		l.lost(ctx, s)
+		l.sessionLost(ctx, s)
 	}
-	l.forgetEndpoint()
+	l.removeEndpoint()
 }
 
-// dial opens a session. Its frames wait until the endpoint behind it is known:
-// an agent that says right after its hello that it takes work again would
-// otherwise be taken for leaving for as long as the session lasts.
-func (l *Link) dial(ctx context.Context, known <-chan struct{}) (*sess.Session, error) {
-	take := func(s *sess.Session, frame *wire.Frame) {
-		<-known
-		l.take(s, frame)
+// dial opens a session. Its frames are handled only after registered is closed:
+// otherwise the frame of an agent that accepts work again right after its hello
+// would have no effect, and its endpoint would count as leaving for as long as
+// the session lasts.
+func (l *Link) dial(ctx context.Context, registered <-chan struct{}) (*sess.Session, error) {
+	handle := func(s *sess.Session, frame *wire.Frame) {
+		<-registered
+		l.handleFrame(s, frame)
 	}
 	opts := append(slices.Clone(l.peers.session),
-		sess.WithClock(l.peers.clock), sess.WithHello(l.peers.hello), sess.WithHandler(take),
+		sess.WithClock(l.peers.clock), sess.WithHello(l.peers.hello), sess.WithHandler(handle),
 		sess.WithRelease(l.peers.holder.Number), sess.WithDial(l.peers.dial),
 		sess.WithDropped(func(string) { l.peers.meter.Drop(stage.DropSession) }),
 	)
@@ -107,41 +109,41 @@
 	return sess.Dial(ctx, l.address, opts...)
 }
 
-// opened makes the endpoint behind a new session known, asks for what was in
-// flight, and pays what is owed.
-func (l *Link) opened(s *sess.Session) {
+// sessionOpened adds the endpoint of a new session to its pool, sends an event to
+// the open attempts and repeats unconfirmed cancellations.
+func (l *Link) sessionOpened(s *sess.Session) {
 	peer := s.Peer()
-	member := l.peers.Pool(peer.Pool)
-	endpoint := member.Add(pool.Identity{
+	endpoints := l.peers.Pool(peer.Pool)
+	endpoint := endpoints.Add(pool.Identity{
 		Pool: peer.Pool, Name: peer.Endpoint, AvailabilityZone: peer.AvailabilityZone, Address: l.address,
 	}, pool.ExcludeUnreachable)
 	l.mu.Lock()
-	l.session, l.closing, l.endpoint, l.member, l.leaving = s, false, endpoint, member, peer.Leaving
-	l.withdrawAgain(s)
-	s.Busy(int64(len(l.flights)))
-	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventSessionRestored, Attempt: f.try, Session: s.Number()})
+	l.session, l.closing, l.endpoint, l.endpoints, l.leaving = s, false, endpoint, endpoints, peer.Leaving
+	l.resendCancels(s)
+	s.Busy(int64(len(l.open)))
+	for _, a := range l.open {
+		a.events.add(Event{Kind: EventSessionRestored, Attempt: a.attempt, Session: s.Number()})
 	}
 	l.mu.Unlock()
-	l.report(peer.Load)
+	l.setLoad(peer.Load)
 	l.peers.links.Store(endpoint, l)
-	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, peer.Leaving)
-	l.peers.bar(member)
-	// Only now may it be chosen.
-	member.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, false)
+	endpoints.SetExclusion(endpoint.Name, pool.ExcludeLeaving, peer.Leaving)
+	l.peers.applyExclusions(endpoints)
+	// Comes last: from here on the endpoint can be chosen.
+	endpoints.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, false)
 	l.peers.meter.Sessions.Inc()
 	l.peers.openedFunc(s, l.address)
 }
 
-func (l *Link) lost(ctx context.Context, s *sess.Session) {
+func (l *Link) sessionLost(ctx context.Context, s *sess.Session) {
 	l.mu.Lock()
 	l.session = nil
-	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventSessionLost, Attempt: f.try})
+	for _, a := range l.open {
+		a.events.add(Event{Kind: EventSessionLost, Attempt: a.attempt})
 	}
-	endpoint, member := l.endpoint, l.member
+	endpoint, endpoints := l.endpoint, l.endpoints
 	l.mu.Unlock()
-	member.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, true)
+	endpoints.SetExclusion(endpoint.Name, pool.ExcludeUnreachable, true)
 	l.peers.meter.Sessions.Dec()
 	l.peers.closedFunc(s, l.address)
 	if ctx.Err() != nil {
@@ -157,34 +159,34 @@
 	l.peers.log.Info("session lost", "endpoint", endpoint.Name, "address", l.address, "cause", cause, "error", s.Err())
 }
 
-// died tells the attempts that the process they are at is gone: its session
-// ended and its port is closed, so nobody is left who could tell what became of
-// them. Without this their callers would learn it only at their deadline.
-func (l *Link) died() {
+// agentGone sends EventAgentGone to all open attempts: the session has ended and
+// the port is closed, so the agent cannot report their outcome any more. Without
+// the event, callers would be answered only at their deadline.
+func (l *Link) agentGone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, f := range l.flights {
-		f.box.put(Event{Kind: EventAgentGone, Attempt: f.try})
+	for _, a := range l.open {
+		a.events.add(Event{Kind: EventAgentGone, Attempt: a.attempt})
 	}
 }
 
-func (l *Link) forgetEndpoint() {
+func (l *Link) removeEndpoint() {
 	l.mu.Lock()
-	endpoint, member := l.endpoint, l.member
+	endpoint, endpoints := l.endpoint, l.endpoints
 	l.mu.Unlock()
 	if endpoint == nil {
 		return
 	}
-	// Another address may serve the endpoint by now.
-	if member.Endpoint(endpoint.Name) == endpoint {
-		member.Remove(endpoint.Name)
+	// The endpoint may have been added again from another address.
+	if endpoints.Endpoint(endpoint.Name) == endpoint {
+		endpoints.Remove(endpoint.Name)
 	}
 	l.peers.links.Delete(endpoint)
 }
 
-// Call sends an attempt and lets its events go to the box. It returns the
-// number of the session. After an error nothing was sent.
-func (l *Link) Call(call *wire.Call, box *EventQueue, try int) (uint64, error) {
+// Call sends an attempt, whose events then go to the given queue, and returns
+// the number of the session. If it returns an error, nothing was sent.
+func (l *Link) Call(call *wire.Call, events *EventQueue, attempt int) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.session
@@ -192,9 +194,10 @@
 		return 0, fault.Refuse(fault.NoEndpoint, "no session to "+l.address)
 	}
 	if l.leaving {
-		// It was chosen just before it said that it leaves. The agent waits for
-		// a heartbeat's answer after its word and then closes: a call behind
-		// that answer would be lost, and a booking's outcome unknown.
+		// The endpoint was chosen just before its leave frame arrived. After that
+		// frame the agent waits for the answer to a heartbeat and then closes the
+		// session: a call sent after that answer would be lost, and if it may not
+		// be repeated, its outcome would be unknown.
 		return 0, fault.Refuse(fault.Leaving, l.address+" is leaving")
 	}
 	incarnation := s.Peer().Incarnation
@@ -202,23 +205,24 @@
 	if err := s.Send(&wire.Frame{Kind: wire.KindCall, Call: call}); err != nil {
 		return 0, err
 	}
-	l.flights[call.ID] = flight{box: box, try: try, incarnation: incarnation}
+	l.open[call.ID] = openAttempt{events: events, attempt: attempt, incarnation: incarnation}
 	s.Busy(1)
 	return s.Number(), nil
 }
 
-// Ask asks for the outcome of an attempt and its bytes from an offset on.
+// Ask requests the outcome of an attempt and the bytes of its answer from an
+// offset on.
 func (l *Link) Ask(id token.Attempt, offset int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f, known := l.flights[id]
+	a, known := l.open[id]
 	if known && l.session != nil {
 		l.peers.meter.Resumed.Inc()
-		_ = l.session.Send(&wire.Frame{Kind: wire.KindAsk, Ask: &wire.Ask{ID: id, Target: f.incarnation, Offset: offset}})
+		_ = l.session.Send(&wire.Frame{Kind: wire.KindAsk, Ask: &wire.Ask{ID: id, Target: a.incarnation, Offset: offset}})
 	}
 }
 
-// Ack tells the agent that it may forget an attempt.
+// Ack confirms the end of an attempt, so that the agent can forget it.
 func (l *Link) Ack(id token.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,20 +231,20 @@
 	}
 }
 
-// Cancel withdraws an attempt. A session that is about to be found dead
-// swallows the frame, and the engine would go on for nobody; so the withdrawal
-// is repeated on the next session unless the agent has told the end.
+// Cancel cancels an attempt. The frame is lost if the connection is already
+// broken, and the engine would go on for no caller. So it is sent again on the
+// next session unless the agent has reported the end of the attempt.
 func (l *Link) Cancel(id token.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.peers.clock.Now()
-	for old, until := range l.withdrawn {
-		if len(l.withdrawn) < withdrawnMost && until > now {
+	for old, until := range l.cancelled {
+		if len(l.cancelled) < maxCancelled && until > now {
 			break
 		}
-		delete(l.withdrawn, old)
+		delete(l.cancelled, old)
 	}
-	l.withdrawn[id] = now + withdrawnSpan
+	l.cancelled[id] = now + cancelledRetention
 	if l.session != nil {
 		_ = l.session.Send(cancelFrame(id))
 	}
@@ -250,79 +254,82 @@
 	return &wire.Frame{Kind: wire.KindCancel, Cancel: &wire.Cancel{ID: id, Reason: string(fault.Cancelled)}}
 }
 
-// withdrawAgain repeats withdrawals on a new session. The lock is held.
-func (l *Link) withdrawAgain(s *sess.Session) {
+// resendCancels repeats unconfirmed cancellations on a new session. The caller
+// holds the lock.
+func (l *Link) resendCancels(s *sess.Session) {
 	now := l.peers.clock.Now()
-	for id, until := range l.withdrawn {
+	for id, until := range l.cancelled {
 		if until <= now {
-			delete(l.withdrawn, id)
+			delete(l.cancelled, id)
 			continue
 		}
 		_ = s.Send(cancelFrame(id))
 	}
 }
 
-// Forget ends the interest in an attempt.
+// Forget stops tracking an attempt. Its later frames are dropped.
 func (l *Link) Forget(id token.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, known := l.flights[id]; !known {
+	if _, known := l.open[id]; !known {
 		return
 	}
-	delete(l.flights, id)
+	delete(l.open, id)
 	if l.session != nil {
 		l.session.Busy(-1)
 	}
-	l.closeIdle()
+	l.closeIfIdle()
 }
 
-// closeIdle ends the session to an agent that ends, once nothing is in flight
-// there. No call can follow: it would need the session under the same lock.
-func (l *Link) closeIdle() {
-	if !l.closing || l.session == nil || len(l.flights) > 0 {
+// closeIfIdle closes the session to an agent that is about to exit once no
+// attempt is open. No call can be sent on it meanwhile: Call needs the same lock,
+// which the caller of closeIfIdle holds.
+func (l *Link) closeIfIdle() {
+	if !l.closing || l.session == nil || len(l.open) > 0 {
 		return
 	}
 	l.session.Close(nil)
 	l.session = nil
 }
 
-// take is the session's handler.
-func (l *Link) take(s *sess.Session, frame *wire.Frame) {
+// handleFrame handles the frames of the link's sessions.
+func (l *Link) handleFrame(s *sess.Session, frame *wire.Frame) {
 	if frame.Release > l.peers.holder.Number() {
-		l.peers.newerFunc(s, frame.Release)
+		l.peers.newerReleaseFunc(s, frame.Release)
 	}
 	switch frame.Kind {
 	case wire.KindPart:
-		l.pass(s, frame.Part.ID, frame)
+		l.deliver(s, frame.Part.ID, frame)
 	case wire.KindEnd:
-		l.report(frame.End.Load)
-		l.pass(s, frame.End.ID, frame)
+		l.setLoad(frame.End.Load)
+		l.deliver(s, frame.End.ID, frame)
 	case wire.KindRefuse:
-		l.report(frame.Refuse.Load)
-		l.pass(s, frame.Refuse.ID, frame)
+		l.setLoad(frame.Refuse.Load)
+		l.deliver(s, frame.Refuse.ID, frame)
 	case wire.KindOutcome:
-		l.pass(s, frame.Outcome.ID, frame)
+		l.deliver(s, frame.Outcome.ID, frame)
 	case wire.KindBeat:
-		l.report(frame.Beat.Load)
-		l.peers.otherFunc(s, frame)
+		l.setLoad(frame.Beat.Load)
+		l.peers.otherFrameFunc(s, frame)
 	case wire.KindLeave:
-		l.leave(frame.Leave)
+		l.handleLeave(frame.Leave)
 	default:
-		l.peers.otherFunc(s, frame)
+		l.peers.otherFrameFunc(s, frame)
 	}
 }
 
-// pass hands a frame to its attempt. The engine time of an attempt that was
-// withdrawn is told late; it counts as wasted.
-func (l *Link) pass(s *sess.Session, id token.Attempt, frame *wire.Frame) {
+// deliver passes a frame to the queue of its attempt. If the attempt is not
+// tracked any more, for instance after its cancellation, its engine time counts
+// as wasted.
+func (l *Link) deliver(s *sess.Session, id token.Attempt, frame *wire.Frame) {
 	l.mu.Lock()
-	f, known := l.flights[id]
+	a, known := l.open[id]
 	if frame.Kind == wire.KindEnd || frame.Kind == wire.KindRefuse {
-		delete(l.withdrawn, id)
+		delete(l.cancelled, id)
 	}
 	l.mu.Unlock()
 	if known {
-		f.box.put(Event{Kind: EventFrame, Attempt: f.try, Session: s.Number(), Frame: frame})
+		a.events.add(Event{Kind: EventFrame, Attempt: a.attempt, Session: s.Number(), Frame: frame})
 		return
 	}
 	l.peers.meter.Drop(stage.DropLate)
@@ -337,7 +344,7 @@
 	}
 }
 
-func (l *Link) report(load *wire.Load) {
+func (l *Link) setLoad(load *wire.Load) {
 	l.mu.Lock()
 	endpoint := l.endpoint
 	l.mu.Unlock()
@@ -350,20 +357,20 @@
 	})
 }
 
-func (l *Link) leave(leave *wire.Leave) {
+func (l *Link) handleLeave(leave *wire.Leave) {
 	l.mu.Lock()
-	endpoint, member := l.endpoint, l.member
+	endpoint, endpoints := l.endpoint, l.endpoints
 	l.leaving = !leave.Back
 	l.mu.Unlock()
 	if endpoint == nil {
 		return
 	}
-	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Back)
+	endpoints.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Back)
 	if leave.Closing {
 		l.mu.Lock()
 		l.closing = true
-		l.closeIdle()
+		l.closeIfIdle()
 		l.mu.Unlock()
 	}
-	l.peers.log.Info("endpoint takes new work or leaves", "endpoint", endpoint.Name, "leaving", !leave.Back, "reason", leave.Reason)
+	l.peers.log.Info("endpoint started or stopped accepting new work", "endpoint", endpoint.Name, "leaving", !leave.Back, "reason", leave.Reason)
 }
--- a/internal/serve/peers/link_test.go
+++ b/internal/serve/peers/link_test.go
@@ -17,10 +17,11 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// An agent that has just started says in its hello that it takes no work yet,
-// and takes that back at once. If its word counted before the hello was noted,
-// the endpoint would get no work for as long as the session lasts.
-func TestWordAfterHelloWaitsUntilHelloIsNoted(t *testing.T) {
+// An agent that has just started sends a hello with Leaving set and right after
+// it a frame that revokes this. If the frame is handled before the endpoint of
+// the hello is registered, the endpoint gets no work for as long as the session
+// lasts.
+func TestFrameAfterHelloWaitsUntilEndpointIsRegistered(t *testing.T) {
 	replied := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s, err := sess.Accept(t.Context(), w, r,
@@ -40,17 +41,17 @@
 	p := New("za", &spread.Holder{}, meter.New(prometheus.NewRegistry()))
 	defer p.Close()
 	l := newLink(p, strings.TrimPrefix(server.URL, "http://"))
-	known := make(chan struct{})
-	s, err := l.dial(t.Context(), known)
+	registered := make(chan struct{})
+	s, err := l.dial(t.Context(), registered)
 	assert.NilError(t, err)
 	defer s.Close(nil)
 	select {
 	case <-replied:
-		t.Fatal("frames were taken before the endpoint was known")
-	case <-time.After(50 * time.Millisecond): // gives wrong code the time to show itself
+		t.Fatal("frames were handled before the endpoint was registered")
+	case <-time.After(50 * time.Millisecond): // long enough for a frame that is handled too early to be detected
 	}
-	l.opened(s)
-	close(known)
+	l.sessionOpened(s)
+	close(registered)
 	<-replied
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, view := p.View("p"); view.Len() == 1 {
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers keeps an entry's sessions to agents, the pools of endpoints
-// that they make known, and the way of each frame to its request.
+// Package peers keeps an entry's sessions to agents and the pools of their
+// endpoints, and passes each received frame to its request.
 package peers
 
 import (
@@ -23,7 +23,8 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Pool is the endpoints of one pool with what the entry keeps for all of them.
+// Pool is a pool of endpoints with its retry and hedge budgets and its prefix
+// table.
 type Pool struct {
 	*pool.Pool
 	Name    string
@@ -32,7 +33,7 @@
 	Prefix  *affin.Table
 }
 
-// Peers is an entry's view of the agents.
+// Peers manages an entry's sessions to agents.
 type Peers struct {
 	clock    *clock.Clock
 	log      *log.Logger
@@ -45,26 +46,26 @@
 	beatIdle clock.Millis
 	beatBusy clock.Millis
 
-	session    []sess.Option
-	openedFunc func(s *sess.Session, address string)
-	closedFunc func(s *sess.Session, address string)
-	newerFunc  func(*sess.Session, uint64)
-	otherFunc  func(*sess.Session, *wire.Frame)
-
-	links   sync.Map // *pool.Endpoint to *Link
-	pools   atomic.Pointer[map[string]*Pool]
-	applied atomic.Uint64
-
-	mu      sync.Mutex
-	base    context.Context
-	stop    context.CancelFunc
-	address map[string]*Link
-	// watched names the zones whose sessions are watched closely just now.
-	watched map[string]bool
-	group   sync.WaitGroup
+	session          []sess.Option
+	openedFunc       func(s *sess.Session, address string)
+	closedFunc       func(s *sess.Session, address string)
+	newerReleaseFunc func(*sess.Session, uint64)
+	otherFrameFunc   func(*sess.Session, *wire.Frame)
+
+	links          sync.Map // *pool.Endpoint to *Link
+	pools          atomic.Pointer[map[string]*Pool]
+	appliedRelease atomic.Uint64
+
+	mu        sync.Mutex
+	base      context.Context
+	stop      context.CancelFunc
+	byAddress map[string]*Link
+	// watchedZones holds the zones with faster heartbeats; see watchZone.
+	watchedZones map[string]bool
+	group        sync.WaitGroup
 }
 
-// Option changes Peers while they are built.
+// Option configures Peers.
 type Option func(*Peers)
 
 // WithClock sets the clock.
@@ -73,18 +74,20 @@
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(p *Peers) { p.log = l } }
 
-// WithHello sets what this process says of itself.
+// WithHello sets the function that returns the hello of this process.
 func WithHello(hello func() wire.Hello) Option { return func(p *Peers) { p.hello = hello } }
 
-// WithDial replaces how connections are made.
+// WithDial sets the function that opens connections.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(p *Peers) { p.dial = dial }
 }
 
-// WithTLS sets the source of the TLS configuration; nil means plain.
+// WithTLS sets the function that returns the TLS configuration. Without TLS it
+// returns nil.
 func WithTLS(config func() *tls.Config) Option { return func(p *Peers) { p.tls = config } }
 
-// WithBeats sets the spans between heartbeats without and with calls in flight.
+// WithBeats sets the intervals between heartbeats, in milliseconds, without and
+// with calls in flight.
 func WithBeats(idle, busy clock.Millis) Option {
 	return func(p *Peers) { p.beatIdle, p.beatBusy = idle, busy }
 }
@@ -94,40 +97,44 @@
 	return func(p *Peers) { p.session = append(p.session, opts...) }
 }
 
-// WithOpened sets who is told of each new session and the address it goes to.
+// WithOpened sets a function that is called with each new session and its remote
+// address.
 func WithOpened(opened func(s *sess.Session, address string)) Option {
 	return func(p *Peers) { p.openedFunc = opened }
 }
 
-// WithClosed sets who is told of the end of each session.
+// WithClosed sets a function that is called with each ended session and its
+// remote address.
 func WithClosed(closed func(s *sess.Session, address string)) Option {
 	return func(p *Peers) { p.closedFunc = closed }
 }
 
-// WithNewerRelease sets who is told that a peer has a newer release. It must not block.
+// WithNewerRelease sets a function that is called when an agent has a newer
+// release of the configuration. It must not block.
 func WithNewerRelease(newer func(*sess.Session, uint64)) Option {
-	return func(p *Peers) { p.newerFunc = newer }
+	return func(p *Peers) { p.newerReleaseFunc = newer }
 }
 
-// WithOtherFrames sets who takes frames that belong to no request, heartbeats among them.
+// WithOtherFrames sets the handler of frames that belong to no request, such as
+// heartbeats.
 func WithOtherFrames(other func(*sess.Session, *wire.Frame)) Option {
-	return func(p *Peers) { p.otherFunc = other }
+	return func(p *Peers) { p.otherFrameFunc = other }
 }
 
-// New returns the view of an entry in an availability zone. Call Close to end
-// its sessions.
+// New returns the Peers of an entry in an availability zone. Call Close to end
+// their sessions.
 func New(zone string, holder *spread.Holder, m *meter.Entry, opts ...Option) *Peers {
 	p := &Peers{
 		clock: clock.New(), log: log.Default(), holder: holder, meter: m, zone: zone,
-		hello:      func() wire.Hello { return wire.Hello{} },
-		dial:       (&net.Dialer{}).DialContext,
-		tls:        func() *tls.Config { return nil },
-		openedFunc: func(*sess.Session, string) {},
-		closedFunc: func(*sess.Session, string) {},
-		newerFunc:  func(*sess.Session, uint64) {},
-		otherFunc:  func(*sess.Session, *wire.Frame) {},
-		address:    make(map[string]*Link),
-		watched:    make(map[string]bool),
+		hello:            func() wire.Hello { return wire.Hello{} },
+		dial:             (&net.Dialer{}).DialContext,
+		tls:              func() *tls.Config { return nil },
+		openedFunc:       func(*sess.Session, string) {},
+		closedFunc:       func(*sess.Session, string) {},
+		newerReleaseFunc: func(*sess.Session, uint64) {},
+		otherFrameFunc:   func(*sess.Session, *wire.Frame) {},
+		byAddress:        make(map[string]*Link),
+		watchedZones:     make(map[string]bool),
 	}
 	for _, opt := range opts {
 		opt(p)
@@ -137,18 +144,19 @@
 	return p
 }
 
-// Connect keeps a session to the agent at each address (host:port).
+// Connect opens a session to the agent at each address (host:port), and opens it
+// again whenever it ends.
 func (p *Peers) Connect(addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range addresses {
-		if p.address[address] != nil || p.base.Err() != nil {
+		if p.byAddress[address] != nil || p.base.Err() != nil {
 			continue
 		}
 		l := newLink(p, address)
 		var ctx context.Context
 		ctx, l.cancel = context.WithCancel(p.base)
-		p.address[address] = l
+		p.byAddress[address] = l
 		go l.run(ctx)
 	}
 }
@@ -158,17 +166,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range addresses {
-		if l := p.address[address]; l != nil {
+		if l := p.byAddress[address]; l != nil {
 			l.cancel()
-			delete(p.address, address)
+			delete(p.byAddress, address)
 		}
 	}
 }
 
-// SetExclusion sets or lifts a reason against new work for the endpoint at an address.
-func (p *Peers) SetExclusion(name, address string, bar pool.Exclusion, set bool) {
+// SetExclusion sets or clears a reason why the endpoint at an address gets no new
+// work. The name is the name of its pool.
+func (p *Peers) SetExclusion(name, address string, exclusion pool.Exclusion, set bool) {
 	p.mu.Lock()
-	l := p.address[address]
+	l := p.byAddress[address]
 	p.mu.Unlock()
 	if l == nil {
 		return
@@ -177,16 +186,16 @@
 	endpoint := l.endpoint
 	l.mu.Unlock()
 	if endpoint != nil {
-		p.Pool(name).SetExclusion(endpoint.Name, bar, set)
+		p.Pool(name).SetExclusion(endpoint.Name, exclusion, set)
 	}
 }
 
-// Close ends all sessions and waits for their end.
+// Close ends all sessions and waits until they have ended.
 func (p *Peers) Close() {
 	p.stop()
 	p.mu.Lock()
-	links := make([]*Link, 0, len(p.address))
-	for _, l := range p.address {
+	links := make([]*Link, 0, len(p.byAddress))
+	for _, l := range p.byAddress {
 		links = append(links, l)
 	}
 	p.mu.Unlock()
@@ -208,7 +217,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var open []*sess.Session
-	for _, l := range p.address {
+	for _, l := range p.byAddress {
 		l.mu.Lock()
 		if l.session != nil {
 			open = append(open, l.session)
@@ -218,7 +227,7 @@
 	return open
 }
 
-// Pool returns the pool of that name and makes it known if it is not.
+// Pool returns the pool with the given name, which it creates if necessary.
 func (p *Peers) Pool(name string) *Pool {
 	if known := (*p.pools.Load())[name]; known != nil {
 		return known
@@ -242,36 +251,37 @@
 	return created
 }
 
-// View returns the endpoints of a pool that may get new work under the
-// release in force now: an endpoint or availability zone that was taken out
-// gets none from the first choice after the release came, also for requests
-// that began before it.
+// View returns a pool and a snapshot of its endpoints that may get new work under
+// the current release of the configuration. An endpoint or availability zone that
+// a release disables gets no new work as soon as the release is in force, also
+// from requests that began before.
 func (p *Peers) View(name string) (*Pool, *pool.View) {
-	if number := p.holder.Number(); number != p.applied.Load() {
-		p.apply(number)
+	if number := p.holder.Number(); number != p.appliedRelease.Load() {
+		p.applyRelease(number)
 	}
-	member := p.Pool(name)
-	return member, member.View()
+	endpoints := p.Pool(name)
+	return endpoints, endpoints.View()
 }
 
-func (p *Peers) apply(number uint64) {
-	for _, member := range *p.pools.Load() {
-		p.bar(member)
+func (p *Peers) applyRelease(number uint64) {
+	for _, endpoints := range *p.pools.Load() {
+		p.applyExclusions(endpoints)
 	}
-	p.applied.Store(number)
+	p.appliedRelease.Store(number)
 }
 
-// bar applies what operators took out to one pool. A release that comes
-// meanwhile is applied as well: a session that opens while an endpoint is
-// brought back would else leave it barred by the release before, for good.
-func (p *Peers) bar(member *Pool) {
+// applyExclusions excludes the endpoints of a pool that operators disabled and
+// those in evacuated zones. If a new release comes into force meanwhile, it
+// applies that one as well: otherwise a session that opens while an endpoint is
+// enabled again could leave it permanently excluded by the previous release.
+func (p *Peers) applyExclusions(endpoints *Pool) {
 	for {
 		release := p.holder.Current()
 		if release == nil {
 			return
 		}
-		member.Apply(pool.ExcludeZone, func(i pool.Identity) bool { return release.ZoneHasLeft(i.AvailabilityZone) })
-		member.Apply(pool.ExcludeDisabled, func(i pool.Identity) bool { return release.EndpointHasLeft(i.Pool, i.Name) })
+		endpoints.Apply(pool.ExcludeZone, func(i pool.Identity) bool { return release.ZoneHasLeft(i.AvailabilityZone) })
+		endpoints.Apply(pool.ExcludeDisabled, func(i pool.Identity) bool { return release.EndpointHasLeft(i.Pool, i.Name) })
 		if p.holder.Current() == release {
 			return
 		}
--- a/internal/serve/peers/watch.go
+++ b/internal/serve/peers/watch.go
@@ -5,42 +5,44 @@
 	"github.com/jujubescale/jujubescale/internal/link/sess"
 )
 
-// watchSpan is how long the sessions into a zone are watched closely after one
-// of them went silent: enough for the fast heartbeats to find the others.
-const watchSpan = 2 * clock.Second
+// watchDuration is how long the heartbeats to a zone stay fast after one of its
+// sessions has timed out: long enough to detect all others that are lost.
+const watchDuration = 2 * clock.Second
 
-// watchZone makes the heartbeats of all sessions into an availability zone fast
-// for a while, because one of them went silent. When a zone is lost without a
-// word, idle sessions into it would each be found out only by a call that is
-// sent there and waits in vain: with many endpoints that goes on for seconds,
-// and callers see their requests slow down one after another.
+// watchZone uses the fast heartbeats of busy sessions for all sessions to an
+// availability zone for a while, because one of them has timed out. When a whole
+// zone becomes unreachable, the loss of each idle session would otherwise be
+// detected only by a call that is sent on it and gets no answer. With many
+// endpoints this would take seconds, in which one request after another is
+// delayed.
 func (p *Peers) watchZone(zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.base.Err() != nil || p.watched[zone] {
+	if p.base.Err() != nil || p.watchedZones[zone] {
 		return
 	}
-	p.watched[zone] = true
+	p.watchedZones[zone] = true
 	var watched []*sess.Session
-	for _, l := range p.address {
-		if s := l.sessionInto(zone); s != nil {
+	for _, l := range p.byAddress {
+		if s := l.sessionInZone(zone); s != nil {
 			s.Busy(1)
 			watched = append(watched, s)
 		}
 	}
 	p.group.Go(func() {
-		_ = p.clock.Sleep(p.base, watchSpan)
+		_ = p.clock.Sleep(p.base, watchDuration)
 		for _, s := range watched {
 			s.Busy(-1)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.watched, zone)
+		delete(p.watchedZones, zone)
 	})
 }
 
-// sessionInto returns the link's session if its endpoint is in the zone, or nil.
-func (l *Link) sessionInto(zone string) *sess.Session {
+// sessionInZone returns the link's session if its endpoint is in the given zone,
+// else nil.
+func (l *Link) sessionInZone(zone string) *sess.Session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.endpoint == nil || l.endpoint.AvailabilityZone != zone {
