--- a/internal/serve/entry/entry.go
+++ b/internal/serve/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process that callers talk to: it takes their requests,
-// decides who may call what, and gives each its whole answer or one clear
-// refusal. The requests themselves are carried out by package runs.
+// Package entry implements the entry process, which serves callers: it accepts
+// their requests, checks which services they may call, and returns a complete
+// answer or a refusal for each. Package runs executes the requests.
 package entry
 
 import (
@@ -28,33 +28,36 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Settings says where the entry stands and what it bears. Zero bounds take
-// their defaults.
+// Settings holds the identity and the limits of an entry. Limits that are zero
+// take their defaults.
 type Settings struct {
 	// Process is the name of this process.
 	Process string
-	// Host it runs on.
+	// Host is the name of the host that the process runs on.
 	Host string
-	// AvailabilityZone of the host.
+	// AvailabilityZone is the zone of the host.
 	AvailabilityZone string
-	// Address (host:port) where other entries open sessions; empty for none.
+	// Address (host:port) is where other entries open sessions. If it is empty,
+	// they open none.
 	Address string
-	// MaxBodyBytes bounds the body of a request; 1 MiB by default.
+	// MaxBodyBytes is the largest request body, in bytes; 1 MiB by default.
 	MaxBodyBytes int64
-	// MaxOpen bounds the open requests of all callers; 10,000 by default.
+	// MaxOpen is the largest number of open requests of all callers; 10,000 by
+	// default.
 	MaxOpen int
-	// MaxOpenPerOrganisation bounds the open requests of an organisation whose manifest
-	// names no bound; a quarter of MaxOpen by default.
+	// MaxOpenPerOrganisation is the largest number of open requests of an
+	// organisation for which the manifest sets no limit; a quarter of MaxOpen by
+	// default.
 	MaxOpenPerOrganisation int
-	// BalancerLag is how long the balancer may send new work after Leave, in
-	// milliseconds.
+	// BalancerLag is how long the load balancer may send new requests after
+	// Leave, in milliseconds.
 	BalancerLag clock.Millis
 }
 
 const (
-	defaultMaxBody  = 1 << 20
-	defaultMaxOpen  = 10_000
-	defaultEachPart = 4
+	defaultMaxBody              = 1 << 20
+	defaultMaxOpen              = 10_000
+	defaultOrganisationFraction = 4
 )
 
 func (s Settings) withDefaults() Settings {
@@ -65,42 +68,42 @@
 		s.MaxOpen = defaultMaxOpen
 	}
 	if s.MaxOpenPerOrganisation == 0 {
-		s.MaxOpenPerOrganisation = max(s.MaxOpen/defaultEachPart, 1)
+		s.MaxOpenPerOrganisation = max(s.MaxOpen/defaultOrganisationFraction, 1)
 	}
 	return s
 }
 
-// Entry serves callers.
+// Entry is an entry process.
 type Entry struct {
-	settings    Settings
-	clock       *clock.Clock
-	log         *log.Logger
-	holder      *spread.Holder
-	incarnation token.Incarnation
-	registerer  prometheus.Registerer
-	gate        func() *fault.RefusalError
-	store       *store.Store
-	claims      []claim.Option
-	runOptions  []runs.Option
-	peerOptions []peers.Option
-
-	meter *meter.Entry
-	peers *peers.Peers
-	runs  *runs.Runs
-	book  *claim.Registry
-	trace *trace.Trace
-	front *front.Front
+	settings     Settings
+	clock        *clock.Clock
+	log          *log.Logger
+	holder       *spread.Holder
+	incarnation  token.Incarnation
+	registerer   prometheus.Registerer
+	gate         func() *fault.RefusalError
+	store        *store.Store
+	claimOptions []claim.Option
+	runOptions   []runs.Option
+	peerOptions  []peers.Option
+
+	meter  *meter.Entry
+	peers  *peers.Peers
+	runs   *runs.Runs
+	claims *claim.Registry
+	trace  *trace.Trace
+	front  *front.Front
 
 	sharing sharing
 
-	began   clock.Millis
-	leaving atomic.Bool
-	base    context.Context
-	stop    context.CancelFunc
-	swept   chan struct{} // closes when no claims are cleaned any more
+	startedAt clock.Millis
+	leaving   atomic.Bool
+	base      context.Context
+	stop      context.CancelFunc
+	sweepDone chan struct{} // closed when the sweep of old claims has ended
 }
 
-// Option changes an Entry while it is built.
+// Option configures an Entry.
 type Option func(*Entry)
 
 // WithClock sets the clock.
@@ -109,23 +112,23 @@
 // WithLog sets the logger.
 func WithLog(l *log.Logger) Option { return func(e *Entry) { e.log = l } }
 
-// WithHolder sets where the configuration in force is kept.
+// WithHolder sets the holder of the configuration in force.
 func WithHolder(h *spread.Holder) Option { return func(e *Entry) { e.holder = h } }
 
-// WithRegisterer sets where the metrics are registered.
+// WithRegisterer sets the registerer of the metrics.
 func WithRegisterer(r prometheus.Registerer) Option { return func(e *Entry) { e.registerer = r } }
 
-// WithStore sets the platform's store, for claims of idempotency keys. Without
-// it calls that carry one and may not be repeated are refused.
+// WithStore sets the platform's store, in which claims of idempotency keys are
+// kept. Without it, calls that have a key and may not be repeated are refused.
 func WithStore(s *store.Store, opts ...claim.Option) Option {
-	return func(e *Entry) { e.store, e.claims = s, opts }
+	return func(e *Entry) { e.store, e.claimOptions = s, opts }
 }
 
-// WithGate sets who may refuse all new work, for instance while this process
-// is isolated.
+// WithGate sets a function that returns a refusal while all new requests must be
+// refused, for instance while this process is isolated, and else nil.
 func WithGate(gate func() *fault.RefusalError) Option { return func(e *Entry) { e.gate = gate } }
 
-// WithDial replaces how connections to agents and other entries are made.
+// WithDial sets the function that opens connections to agents and other entries.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(e *Entry) {
 		e.peerOptions = append(e.peerOptions, peers.WithDial(dial))
@@ -133,28 +136,30 @@
 	}
 }
 
-// WithTLS sets the source of the TLS configuration towards agents.
+// WithTLS sets the function that returns the TLS configuration for connections
+// to agents.
 func WithTLS(config func() *tls.Config) Option {
 	return func(e *Entry) { e.peerOptions = append(e.peerOptions, peers.WithTLS(config)) }
 }
 
-// WithBeats sets the spans between heartbeats without and with calls in flight.
+// WithBeats sets the intervals between heartbeats, in milliseconds, without and
+// with calls in flight.
 func WithBeats(idle, busy clock.Millis) Option {
 	return func(e *Entry) { e.peerOptions = append(e.peerOptions, peers.WithBeats(idle, busy)) }
 }
 
-// WithPeers adds options to the sessions, for those who spread the
-// configuration over them.
+// WithPeers adds options for the sessions to agents, for example to distribute
+// the configuration over them.
 func WithPeers(opts ...peers.Option) Option {
 	return func(e *Entry) { e.peerOptions = append(e.peerOptions, opts...) }
 }
 
-// WithRuns adds options to how requests are carried out.
+// WithRuns adds options for the execution of requests.
 func WithRuns(opts ...runs.Option) Option {
 	return func(e *Entry) { e.runOptions = append(e.runOptions, opts...) }
 }
 
-// New returns an entry. Call Close to end it.
+// New returns an Entry. Call Close to end it.
 func New(settings Settings, opts ...Option) *Entry {
 	e := &Entry{
 		settings:    settings.withDefaults(),
@@ -169,29 +174,29 @@
 	for _, opt := range opts {
 		opt(e)
 	}
-	e.began = e.clock.Now()
+	e.startedAt = e.clock.Now()
 	e.base, e.stop = context.WithCancel(context.Background())
 	e.meter = meter.New(e.registerer)
 	base := []peers.Option{peers.WithClock(e.clock), peers.WithLog(e.log), peers.WithHello(e.hello)}
-	base = append(base, e.share()...)
+	base = append(base, e.initSharing()...)
 	e.peers = peers.New(settings.AvailabilityZone, e.holder, e.meter, append(base, e.peerOptions...)...)
 	e.runs = runs.New(e.peers, e.meter, append([]runs.Option{runs.WithClock(e.clock)}, e.runOptions...)...)
-	e.swept = make(chan struct{})
+	e.sweepDone = make(chan struct{})
 	if e.store == nil {
-		close(e.swept)
+		close(e.sweepDone)
 	} else {
-		e.book = claim.New(e.store, append([]claim.Option{claim.WithClock(e.clock)}, e.claims...)...)
+		e.claims = claim.New(e.store, append([]claim.Option{claim.WithClock(e.clock)}, e.claimOptions...)...)
 		go func() {
-			defer close(e.swept)
-			e.book.Sweep(e.base)
+			defer close(e.sweepDone)
+			e.claims.Sweep(e.base)
 		}()
 	}
 	e.front = front.New(front.Config{
-		Clock: e.clock, Log: e.log, Holder: e.holder, Meter: e.meter, Trace: e.trace, Runs: e.runs, Claims: e.book,
+		Clock: e.clock, Log: e.log, Holder: e.holder, Meter: e.meter, Trace: e.trace, Runs: e.runs, Claims: e.claims,
 		Gate: e.gate, Leaving: e.Leaving, Ready: e.serveReady, Base: e.base,
 		MaxBodyBytes: e.settings.MaxBodyBytes, MaxOpen: e.settings.MaxOpen, MaxOpenPerOrganisation: e.settings.MaxOpenPerOrganisation,
 	})
-	e.begin(e.base)
+	e.startSharing(e.base)
 	return e
 }
 
@@ -202,7 +207,8 @@
 	}
 }
 
-// Connect keeps sessions to the agents at these addresses (host:port).
+// Connect opens a session to the agent at each address (host:port), and opens it
+// again whenever it ends.
 func (e *Entry) Connect(addresses []string) { e.peers.Connect(addresses) }
 
 // Disconnect ends the sessions to the agents at these addresses.
@@ -211,16 +217,16 @@
 // Sessions returns the open sessions to agents.
 func (e *Entry) Sessions() []*sess.Session { return e.peers.Sessions() }
 
-// Incarnation returns which run of the process this is.
+// Incarnation returns the identifier of this run of the process.
 func (e *Entry) Incarnation() token.Incarnation { return e.incarnation }
 
-// Handler serves callers.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler { return e.front.Handler() }
 
-// Close ends all sessions and all requests at once.
+// Close cancels all requests, ends all sessions and waits until they have ended.
 func (e *Entry) Close() {
 	e.stop()
 	e.sharing.wait()
 	e.peers.Close()
-	<-e.swept
+	<-e.sweepDone
 }
--- a/internal/serve/entry/leave.go
+++ b/internal/serve/entry/leave.go
@@ -10,7 +10,8 @@
 	"github.com/jujubescale/jujubescale/internal/serve/trace"
 )
 
-// Ready reports whether the balancer shall send new requests here, and why not.
+// Ready reports whether the load balancer should send new requests to this
+// process, and if not, the reason.
 func (e *Entry) Ready() (bool, string) {
 	switch {
 	case e.leaving.Load():
@@ -21,35 +22,36 @@
 	if refused := e.gate(); refused != nil {
 		return false, string(refused.Reason)
 	}
-	if e.zoneLeft() {
+	if e.zoneEvacuated() {
 		return false, string(fault.ZoneLeft)
 	}
 	return true, ""
 }
 
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if ready, why := e.Ready(); !ready {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if ready, reason := e.Ready(); !ready {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// Leaving reports whether a planned stop has begun.
+// Leaving reports whether the process is draining.
 func (e *Entry) Leaving() bool { return e.leaving.Load() }
 
-// Open returns the number of requests that are not finished.
+// Open returns the number of open requests.
 func (e *Entry) Open() int { return e.front.Open() }
 
-// Request returns what is remembered of a request.
+// Request returns the trace of a request, if it is still stored.
 func (e *Entry) Request(id string) (trace.Request, bool) { return e.trace.Find(id) }
 
-// Now returns the instant on the entry's clock, which Request speaks of.
+// Now returns the current instant of the entry's clock, which the instants in a
+// trace refer to.
 func (e *Entry) Now() clock.Millis { return e.clock.Now() }
 
-// Leave begins a planned stop: readiness turns false, agents are told, and
-// answers close their connections, so that the balancer goes elsewhere. New
-// requests are still served: the balancer learns late.
+// Leave starts the drain: Ready returns false, agents get a leave frame, and each
+// answer closes its connection, so that the load balancer uses other entries. New
+// requests are still served, because the load balancer reacts with a delay.
 func (e *Entry) Leave(reason string) {
 	if e.leaving.Swap(true) {
 		return
@@ -60,11 +62,11 @@
 	})
 }
 
-// Stop carries out a planned stop: Leave, serve on while the balancer lags,
-// then let shutdown stop accepting and wait for what runs (as
-// conns.Server.Shutdown does), keep the outcomes of keys, and close. When the
-// context ends first, the requests that are still open are cut; Stop returns
-// their ids, and none if everything was finished.
+// Stop drains and closes the entry: it calls Leave, serves requests for
+// BalancerLag, calls shutdown, which must stop accepting requests and wait for
+// the open ones (as conns.Server.Shutdown does), stores the outcomes of
+// idempotency keys, and calls Close. If the context ends first, the open requests
+// are cut, and Stop returns their IDs.
 func (e *Entry) Stop(ctx context.Context, shutdown func(context.Context) error) []string {
 	e.Leave("planned stop")
 	_ = e.clock.Sleep(ctx, e.settings.BalancerLag)
@@ -77,8 +79,8 @@
 			e.log.Warn("request cut", "request", id)
 		}
 	}
-	if e.book != nil && err == nil {
-		e.book.Wait(ctx)
+	if e.claims != nil && err == nil {
+		e.claims.Wait(ctx)
 	}
 	e.Close()
 	return cut
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -18,25 +18,27 @@
 	"github.com/jujubescale/jujubescale/internal/share/node"
 )
 
-// retireAfter is how long a session to an endpoint that is no longer this
-// entry's stays for the calls that are there: longer than any deadline.
-const retireAfter = 15 * clock.Second
+// retireDelay is how long a session stays open after its endpoint was removed
+// from this entry's subset, so that calls in flight can end. It is longer than
+// any deadline.
+const retireDelay = 15 * clock.Second
 
-// sharing is what the entry shares with the platform and other entries.
+// sharing exchanges the configuration and the list of endpoints with the platform
+// and with other entries.
 type sharing struct {
 	caller  *call.Caller
 	options []node.Option
 	session []sess.Option
 	node    *node.Entry
 
-	mu    sync.Mutex
-	held  map[string]string // address to pool
-	group sync.WaitGroup
+	mu            sync.Mutex
+	poolByAddress map[string]string // address of an endpoint to the name of its pool
+	group         sync.WaitGroup
 }
 
-// WithSharing makes the entry learn its configuration and endpoints from the
-// platform and from other entries. Without it, the owner fills the holder and
-// calls Connect.
+// WithSharing makes the entry read its configuration and endpoints from the
+// platform and from other entries. Without it, the code that creates the entry
+// must fill the holder and call Connect.
 func WithSharing(caller *call.Caller, opts ...node.Option) Option {
 	return func(e *Entry) {
 		e.sharing.caller = caller
@@ -44,14 +46,15 @@
 	}
 }
 
-// WithSession adds options to the sessions to other entries, such as TLS.
+// WithSession adds options for the sessions to other entries, such as TLS.
 func WithSession(opts ...sess.Option) Option {
 	return func(e *Entry) { e.sharing.session = append(e.sharing.session, opts...) }
 }
 
-// share builds the sharing if it is wanted, and returns the options that the
-// sessions to agents need for it. Begin starts it.
-func (e *Entry) share() []peers.Option {
+// initSharing creates the node that shares state, if WithSharing was given, and
+// returns the options that the sessions to agents need for it. startSharing starts
+// the node.
+func (e *Entry) initSharing() []peers.Option {
 	if e.sharing.caller == nil {
 		return nil
 	}
@@ -62,11 +65,11 @@
 	session := append([]sess.Option{sess.WithHello(e.hello)}, e.sharing.session...)
 	opts := append([]node.Option{
 		node.WithClock(e.clock), node.WithLog(e.log), node.WithCaller(e.sharing.caller),
-		node.WithSession(session...), node.WithEndpoints(e.hold), node.WithRegisterer(e.registerer),
+		node.WithSession(session...), node.WithEndpoints(e.setPoolEndpoints), node.WithRegisterer(e.registerer),
 	}, e.sharing.options...)
 	n := node.NewEntry(self, e.holder, opts...)
 	e.sharing.node = n
-	e.sharing.held = make(map[string]string)
+	e.sharing.poolByAddress = make(map[string]string)
 	e.gate = e.refuseIsolated
 	return []peers.Option{
 		peers.WithOpened(n.Opened), peers.WithClosed(n.Closed), peers.WithNewerRelease(n.Newer),
@@ -74,51 +77,54 @@
 	}
 }
 
-// refuseIsolated refuses new work while this process is cut off. That its zone
-// was taken out is no reason here: the balancer lags, and the entry goes on to
-// run what still comes at endpoints in other zones.
+// refuseIsolated returns a refusal while this process is isolated. It does not
+// refuse requests if only the zone of the process is evacuated: the load balancer
+// reacts with a delay, and the entry still runs these requests at endpoints in
+// other zones.
 func (e *Entry) refuseIsolated() *fault.RefusalError {
 	if reason, refuses := e.sharing.node.Refuses(); refuses && reason != fault.ZoneLeft {
-		return fault.Refuse(reason, "this process takes no new work")
+		return fault.Refuse(reason, "this process accepts no new requests")
 	}
 	return nil
 }
 
-// zoneLeft reports that operators took this process's availability zone out.
-func (e *Entry) zoneLeft() bool {
+// zoneEvacuated reports whether operators evacuated this process's availability
+// zone.
+func (e *Entry) zoneEvacuated() bool {
 	release := e.holder.Current()
 	return release != nil && release.ZoneHasLeft(e.settings.AvailabilityZone)
 }
 
-// hold takes in which endpoints of a pool this entry holds sessions to.
-func (e *Entry) hold(name string, hosts []store.Host) {
-	wanted := make([]string, 0, len(hosts))
+// setPoolEndpoints sets the endpoints of a pool to which this entry keeps
+// sessions.
+func (e *Entry) setPoolEndpoints(name string, hosts []store.Host) {
+	addresses := make([]string, 0, len(hosts))
 	for _, host := range hosts {
-		wanted = append(wanted, host.Address)
+		addresses = append(addresses, host.Address)
 	}
 	e.sharing.mu.Lock()
 	defer e.sharing.mu.Unlock()
-	for address, of := range e.sharing.held {
-		if of == name && !slices.Contains(wanted, address) {
-			delete(e.sharing.held, address)
+	for address, poolName := range e.sharing.poolByAddress {
+		if poolName == name && !slices.Contains(addresses, address) {
+			delete(e.sharing.poolByAddress, address)
 			e.retire(name, address)
 		}
 	}
-	for _, address := range wanted {
-		e.sharing.held[address] = name
+	for _, address := range addresses {
+		e.sharing.poolByAddress[address] = name
 	}
-	e.peers.Connect(wanted)
+	e.peers.Connect(addresses)
 }
 
-// retire gives an endpoint no new work and ends the session to it when the
-// calls that are there can't run any more.
+// retire excludes an endpoint from new work, and ends the session to it after
+// retireDelay unless the endpoint was added again.
 func (e *Entry) retire(name, address string) {
 	e.peers.SetExclusion(name, address, pool.ExcludeLeaving, true)
 	e.sharing.group.Go(func() {
-		_ = e.clock.Sleep(e.base, retireAfter)
+		_ = e.clock.Sleep(e.base, retireDelay)
 		e.sharing.mu.Lock()
 		defer e.sharing.mu.Unlock()
-		if _, again := e.sharing.held[address]; again {
+		if _, reassigned := e.sharing.poolByAddress[address]; reassigned {
 			e.peers.SetExclusion(name, address, pool.ExcludeLeaving, false)
 			return
 		}
@@ -126,14 +132,14 @@
 	})
 }
 
-// begin starts the sharing.
-func (e *Entry) begin(ctx context.Context) {
+// startSharing starts the node, which runs until the context ends.
+func (e *Entry) startSharing(ctx context.Context) {
 	if e.sharing.node != nil {
 		e.sharing.node.Run(ctx)
 	}
 }
 
-// wait waits for the end of the sharing after its context has ended.
+// wait waits until the node has ended, after its context has ended.
 func (s *sharing) wait() {
 	if s.node != nil {
 		<-s.node.Done()
@@ -141,7 +147,7 @@
 	}
 }
 
-// SessionHandler serves the sessions of other entries.
+// SessionHandler returns the HTTP handler for sessions that other entries open.
 func (e *Entry) SessionHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(sess.Path, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/serve/target/prefix.go
+++ b/internal/serve/target/prefix.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// hotFor is how long after its last use a part that is read again counts as
-	// a waste; the users' deployments state 9 to 9.6 s.
-	hotFor = 9600 * clock.Millis(1)
-	// maxHot bounds the parts that are remembered, maxTold those that wait to be
-	// told to peers.
-	maxHot  = 8192
-	maxTold = 1024
+	// recentUseWindow is how long after its last use by any engine a part counts
+	// as recently used: if an engine reads it again in this time, that counts as
+	// waste. The deployments of users state 9 to 9.6 s.
+	recentUseWindow = 9600 * clock.Millis(1)
+	// maxRecent is the number of stored parts above which old ones are removed,
+	// maxUnsent the largest number of uses that are queued for peers.
+	maxRecent = 8192
+	maxUnsent = 1024
 )
 
-// Key names a part of a prompt among processes.
+// Key identifies a part of a prompt in messages between processes.
 type Key = uint32
 
-// KeyOf returns the key of a part by its id.
+// KeyOf returns the key of the part with the given ID.
 func KeyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
 
 // KeysOf returns the keys of a prompt's parts.
@@ -36,49 +37,50 @@
 	return keys
 }
 
-// Prefixes remembers when parts of prompts were used last, by any process, and
-// what peers still have to be told.
+// Prefixes stores when any process last used each part of a prompt, and the uses
+// that were not yet sent to peers.
 type Prefixes struct {
 	set *Set
 
-	mu   sync.Mutex
-	used map[Key]clock.Millis
-	tell []wire.PrefixUse
+	mu       sync.Mutex
+	lastUsed map[Key]clock.Millis
+	unsent   []wire.PrefixUse
 }
 
-// RecentlyUsed tells for each part whether it was read somewhere a moment ago.
+// RecentlyUsed returns for each part whether any engine used it within
+// recentUseWindow.
 func (p *Prefixes) RecentlyUsed(keys []Key, now clock.Millis) []bool {
-	hot := make([]bool, len(keys))
+	recent := make([]bool, len(keys))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, key := range keys {
-		used, found := p.used[key]
-		hot[i] = found && now-used <= hotFor
+		used, found := p.lastUsed[key]
+		recent[i] = found && now-used <= recentUseWindow
 	}
-	return hot
+	return recent
 }
 
-// NewPrefixes returns an empty memory of prompts at the endpoints of a set.
+// NewPrefixes returns an empty store for prompts sent to the endpoints of a set.
 func NewPrefixes(set *Set) *Prefixes {
-	return &Prefixes{set: set, used: make(map[Key]clock.Millis)}
+	return &Prefixes{set: set, lastUsed: make(map[Key]clock.Millis)}
 }
 
-// note remembers the use of parts. The caller holds the lock.
-func (p *Prefixes) note(keys []Key, now clock.Millis) {
-	if len(p.used) > maxHot {
-		for key, used := range p.used {
-			if now-used > hotFor {
-				delete(p.used, key)
+// recordUse stores the last use of parts. The caller holds the lock.
+func (p *Prefixes) recordUse(keys []Key, now clock.Millis) {
+	if len(p.lastUsed) > maxRecent {
+		for key, used := range p.lastUsed {
+			if now-used > recentUseWindow {
+				delete(p.lastUsed, key)
 			}
 		}
 	}
 	for _, key := range keys {
-		p.used[key] = now
+		p.lastUsed[key] = now
 	}
 }
 
-// RecordSent remembers that this process sent a prompt with shared parts; the last
-// part belongs to the request alone.
+// RecordSent stores the use of a prompt's shared parts that this process sent to
+// a target. The last part is ignored, because no other request shares it.
 func (p *Prefixes) RecordSent(t *Target, keys []Key) {
 	if len(keys) < 2 {
 		return
@@ -88,22 +90,23 @@
 	t.MarkUsed(shared, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(shared, now)
-	if len(p.tell) < maxTold {
-		p.tell = append(p.tell, wire.PrefixUse{Endpoint: t.ID, Parts: shared})
+	p.recordUse(shared, now)
+	if len(p.unsent) < maxUnsent {
+		p.unsent = append(p.unsent, wire.PrefixUse{Endpoint: t.ID, Parts: shared})
 	}
 }
 
-// TakeUnsent returns what peers have not been told yet.
+// TakeUnsent removes and returns the uses that were not yet sent to peers.
 func (p *Prefixes) TakeUnsent() []wire.PrefixUse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	tell := p.tell
-	p.tell = nil
-	return tell
+	unsent := p.unsent
+	p.unsent = nil
+	return unsent
 }
 
-// Apply remembers what a peer sent. Find returns an endpoint by its id.
+// Apply stores uses that a peer sent. The function find returns the endpoint with
+// an ID, or nil.
 func (p *Prefixes) Apply(uses []wire.PrefixUse, find func(id string) *view.Endpoint) {
 	now := p.set.clock.Now()
 	for _, use := range uses {
@@ -111,7 +114,7 @@
 			p.set.Get(e).MarkUsed(use.Parts, now)
 		}
 		p.mu.Lock()
-		p.note(use.Parts, now)
+		p.recordUse(use.Parts, now)
 		p.mu.Unlock()
 	}
 }
--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -1,7 +1,7 @@
-// Package target keeps what a process knows of each endpoint that it sends
-// requests to, besides what the endpoint says of itself: connections, how many
-// requests were started lately, how fast and how often it answered, and which
-// parts of prompts it probably still has in memory.
+// Package target keeps what a process has observed of each endpoint that it sends
+// requests to, in addition to what the endpoint reports: connections, the rate of
+// started requests, latency and failures of answers, and the parts of prompts
+// that are probably in the engine's cache.
 package target
 
 import (
@@ -15,63 +15,65 @@
 )
 
 const (
-	// keepParts is how long a part of a prompt is believed to stay in an
-	// engine's memory after its last use. Engines hold some 300,000 tokens and
-	// read about 3,000 new ones a second each, so parts live longer than this.
-	keepParts = 20 * clock.Second
-	// maxParts bounds the parts that are remembered for one engine.
+	// cacheRetention is how long a part of a prompt is assumed to stay in an
+	// engine's cache after its last use. An engine caches about 300,000 tokens and
+	// reads about 3,000 new ones per second, so parts stay longer than this.
+	cacheRetention = 20 * clock.Second
+	// maxParts is the number of parts of one engine above which old ones are
+	// removed.
 	maxParts = 512
-	// firstBar and maxBar bound how long an endpoint that failed gets nothing; the
-	// entry of one whose address another endpoint has now is gone by then.
-	firstBar = 250 * clock.Millis(1)
-	maxBar   = 4 * clock.Second
-	// answerWeight is the part of the newest answer in what is remembered of an
-	// endpoint's speed and failures: the last five or so count.
+	// minBlock and maxBlock limit how long an endpoint is blocked after a failure.
+	// An endpoint whose address another one now uses is removed from the view
+	// before maxBlock has passed.
+	minBlock = 250 * clock.Millis(1)
+	maxBlock = 4 * clock.Second
+	// answerWeight is the weight of the newest answer in the moving averages of an
+	// endpoint's latency and failures, which mostly depend on the last five answers.
 	answerWeight = 0.2
 )
 
-// Target is what this process keeps for one endpoint.
+// Target is the state that this process keeps for one endpoint.
 type Target struct {
 	*view.Endpoint
 	Conns *conn.Group
 
-	mu       sync.Mutex
-	pace     pace.Limiter
-	parts    map[Key]clock.Millis
-	failures int
-	// recent is the usual time to an answer in milliseconds, wrong the share of
-	// answers that were failures.
-	recent float64
-	wrong  float64
+	mu            sync.Mutex
+	pace          pace.Limiter
+	parts         map[Key]clock.Millis
+	failuresInRow int
+	// latency is the moving average of the time to an answer, in milliseconds.
+	// failureRate is that of the share of answers that were failures.
+	latency     float64
+	failureRate float64
 }
 
-// Set holds one target for each endpoint that was used.
+// Set holds a target for each endpoint that was used.
 type Set struct {
-	clock  *clock.Clock
-	most   func(pool string) int
-	dialed func()
-	byID   sync.Map // *view.Endpoint to *Target
+	clock    *clock.Clock
+	maxConns func(pool string) int
+	onDial   func()
+	byID     sync.Map // *view.Endpoint to *Target
 }
 
-// NewSet returns an empty set. Most is the largest number of connections to an
-// endpoint of a pool, dialed counts new ones.
-func NewSet(c *clock.Clock, most func(pool string) int, dialed func()) *Set {
-	return &Set{clock: c, most: most, dialed: dialed}
+// NewSet returns an empty Set. The function maxConns returns the largest number of
+// connections to an endpoint of a pool, and onDial is called for each new one.
+func NewSet(c *clock.Clock, maxConns func(pool string) int, onDial func()) *Set {
+	return &Set{clock: c, maxConns: maxConns, onDial: onDial}
 }
 
-// Get returns the target of an endpoint.
+// Get returns the target of an endpoint, which it creates if necessary.
 func (s *Set) Get(e *view.Endpoint) *Target {
 	if known, found := s.byID.Load(e); found {
 		return known.(*Target)
 	}
-	made := &Target{Endpoint: e, parts: make(map[Key]clock.Millis)}
-	made.Conns = conn.New(e.Address, conn.WithClock(s.clock), conn.WithDialed(s.dialed),
-		conn.WithMost(func() int { return s.most(e.Pool) }))
-	known, _ := s.byID.LoadOrStore(e, made)
+	created := &Target{Endpoint: e, parts: make(map[Key]clock.Millis)}
+	created.Conns = conn.New(e.Address, conn.WithClock(s.clock), conn.WithDialed(s.onDial),
+		conn.WithMost(func() int { return s.maxConns(e.Pool) }))
+	known, _ := s.byID.LoadOrStore(e, created)
 	return known.(*Target)
 }
 
-// Sweep forgets endpoints that are gone, and closes unused connections.
+// Sweep removes endpoints that are gone and closes unused connections.
 func (s *Set) Sweep() {
 	s.byID.Range(func(key, value any) bool {
 		known := value.(*Target)
@@ -85,7 +87,7 @@
 	})
 }
 
-// Each calls visit for every endpoint that was used.
+// Each calls visit for each endpoint in the set.
 func (s *Set) Each(visit func(*view.Endpoint)) {
 	s.byID.Range(func(key, _ any) bool {
 		visit(key.(*view.Endpoint))
@@ -93,38 +95,39 @@
 	})
 }
 
-// CachedTokens returns how many tokens of a prompt are believed to be in memory, and
-// how many of those are hot: a part counts only if all before it do.
-func (t *Target) CachedTokens(parts []spell.Part, keys []Key, hot []bool, now clock.Millis) (tokens, hotTokens int64) {
+// CachedTokens returns how many tokens of a prompt are probably in the engine's
+// cache, and how many of those belong to recently used parts. A part counts only
+// if all parts before it are cached.
+func (t *Target) CachedTokens(parts []spell.Part, keys []Key, recent []bool, now clock.Millis) (tokens, recentTokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, part := range parts {
-		if used, found := t.parts[keys[i]]; !found || now-used > keepParts {
+		if used, found := t.parts[keys[i]]; !found || now-used > cacheRetention {
 			break
 		}
 		tokens += part.Tokens
-		if hot[i] {
-			hotTokens += part.Tokens
+		if recent[i] {
+			recentTokens += part.Tokens
 		}
 	}
-	return tokens, hotTokens
+	return tokens, recentTokens
 }
 
-// HasCached reports whether a part of a prompt is believed to be in memory.
+// HasCached reports whether a part of a prompt is probably in the engine's cache.
 func (t *Target) HasCached(part Key, now clock.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	used, found := t.parts[part]
-	return found && now-used <= keepParts
+	return found && now-used <= cacheRetention
 }
 
-// MarkUsed remembers that the parts of a prompt were sent.
+// MarkUsed stores that the parts of a prompt were sent to the endpoint.
 func (t *Target) MarkUsed(keys []Key, now clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.parts) > maxParts {
 		for key, used := range t.parts {
-			if now-used > keepParts/2 {
+			if now-used > cacheRetention/2 {
 				delete(t.parts, key)
 			}
 		}
@@ -134,57 +137,60 @@
 	}
 }
 
-// TryStart counts a request against the endpoint's pace, if no more than bound
-// were started within its window; otherwise it returns how long to wait.
-func (t *Target) TryStart(bound int, now clock.Millis) clock.Millis {
+// TryStart records the start of a request and returns 0 if the number of requests
+// started within the limiter's window allows it under limit. Otherwise it returns
+// how long to wait, in milliseconds.
+func (t *Target) TryStart(limit int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if wait := t.pace.Delay(bound, now); wait > 0 {
+	if wait := t.pace.Delay(limit, now); wait > 0 {
 		return wait
 	}
 	t.pace.Record(now)
 	return 0
 }
 
-// StartDelay returns how long it takes until one more may be started.
-func (t *Target) StartDelay(bound int, now clock.Millis) clock.Millis {
+// StartDelay returns how long it takes until another request may start, in
+// milliseconds. It records nothing.
+func (t *Target) StartDelay(limit int, now clock.Millis) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pace.Delay(bound, now)
+	return t.pace.Delay(limit, now)
 }
 
-// RecordAnswer remembers a whole answer: how long it took and whether it was a
+// RecordAnswer records a complete answer: how long it took and whether it was a
 // failure of the endpoint.
-func (t *Target) RecordAnswer(took clock.Millis, wrong bool) {
+func (t *Target) RecordAnswer(took clock.Millis, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.failures = 0
-	share := 0.0
-	if wrong {
-		share = 1
+	t.failuresInRow = 0
+	failure := 0.0
+	if failed {
+		failure = 1
 	} else {
-		t.recent += answerWeight * (float64(took) - t.recent)
+		t.latency += answerWeight * (float64(took) - t.latency)
 	}
-	t.wrong += answerWeight * (share - t.wrong)
+	t.failureRate += answerWeight * (failure - t.failureRate)
 }
 
-// Latency returns the usual time to an answer, longer the more often answers were
-// failures: whoever fails fast must not draw the requests.
+// Latency returns the average time to an answer in milliseconds. It is raised by
+// the share of failures, so that an endpoint that fails fast does not attract
+// requests.
 func (t *Target) Latency() clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return clock.Millis(t.recent * (1 + 4*t.wrong))
+	return clock.Millis(t.latency * (1 + 4*t.failureRate))
 }
 
-// BlockReplaced keeps requests away because another endpoint has the address now.
-func (t *Target) BlockReplaced(now clock.Millis) { t.Block(now + maxBar) }
+// BlockReplaced blocks the endpoint because another one now uses its address.
+func (t *Target) BlockReplaced(now clock.Millis) { t.Block(now + maxBlock) }
 
-// RecordFailure keeps requests away from the endpoint, longer with each failure in a row.
+// RecordFailure blocks the endpoint, for longer after each consecutive failure.
 func (t *Target) RecordFailure(now clock.Millis) {
 	t.mu.Lock()
-	bar := min(firstBar<<min(t.failures, 8), maxBar)
-	t.failures++
-	t.wrong += answerWeight * (1 - t.wrong)
+	block := min(minBlock<<min(t.failuresInRow, 8), maxBlock)
+	t.failuresInRow++
+	t.failureRate += answerWeight * (1 - t.failureRate)
 	t.mu.Unlock()
-	t.Block(now + bar)
+	t.Block(now + block)
 }
