--- a/internal/serve/runs/runs_test.go
+++ b/internal/serve/runs/runs_test.go
@@ -161,7 +161,7 @@
 	assert.Assert(t, acknowledged.Load())
 	assert.Equal(t, late.Load(), int64(0))
 	// An attempt that chose the endpoint just before it left is refused.
-	_, err := link.Call(&wire.Call{}, peers.NewBox(), 0)
+	_, err := link.Call(&wire.Call{}, peers.NewEventQueue(), 0)
 	assert.Equal(t, refusalOf(t, err).Reason, fault.Leaving)
 }
 
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -51,7 +51,7 @@
 	*Runs
 	job         *job
 	machine     *stage.Machine
-	box         *peers.Box
+	box         *peers.EventQueue
 	peerPool    *peers.Pool
 	attempts    []attempt // by number
 	avoid       pick.Avoid
@@ -79,7 +79,7 @@
 		config.Times = budget.Times{}
 	}
 	x := &stageRun{
-		Runs: r, job: j, machine: stage.New(config), box: peers.NewBox(), peerPool: peerPool,
+		Runs: r, job: j, machine: stage.New(config), box: peers.NewEventQueue(), peerPool: peerPool,
 		beganAt: r.clock.Now(), stopTimer: func() {},
 	}
 	defer x.closeAll()
@@ -102,8 +102,8 @@
 		x.timer, x.stopTimer = x.clock.After(at - x.clock.Now())
 	}
 	select {
-	case <-x.box.Bell():
-		x.events = x.box.Take(x.events)
+	case <-x.box.Ready():
+		x.events = x.box.Swap(x.events)
 		for i := range x.events {
 			x.handleEvent(&x.events[i])
 			x.runActions()
@@ -122,17 +122,17 @@
 	case peers.EventFrame:
 		if event.Frame.Kind == wire.KindRefuse {
 			x.refused = true
-			x.failedZone = x.attempts[event.Try].endpoint.AvailabilityZone
-			x.closeAttempt(event.Try, trace.Refused, event.Frame.Refuse.Reason)
+			x.failedZone = x.attempts[event.Attempt].endpoint.AvailabilityZone
+			x.closeAttempt(event.Attempt, trace.Refused, event.Frame.Refuse.Reason)
 		}
-		x.machine.HandleFrame(now, event.Session, event.Try, event.Frame)
-	case peers.EventLost:
-		x.failedZone = x.attempts[event.Try].endpoint.AvailabilityZone
-		x.machine.SessionLost(now, event.Try)
-	case peers.EventBack:
-		x.machine.SessionRestored(event.Try, event.Session)
-	case peers.EventDied:
-		x.machine.AgentGone(now, event.Try)
+		x.machine.HandleFrame(now, event.Session, event.Attempt, event.Frame)
+	case peers.EventSessionLost:
+		x.failedZone = x.attempts[event.Attempt].endpoint.AvailabilityZone
+		x.machine.SessionLost(now, event.Attempt)
+	case peers.EventSessionRestored:
+		x.machine.SessionRestored(event.Attempt, event.Session)
+	case peers.EventAgentGone:
+		x.machine.AgentGone(now, event.Attempt)
 	}
 }
 
