--- a/internal/bench/orders/orders.go
+++ b/internal/bench/orders/orders.go
@@ -180,14 +180,14 @@
 	}
 	spread := make([]int64, canary.Buckets)
 	took := clock.Millis(float64(p.load.Run) * times)
-	answered := wire.Trial{TrialKey: key, Answers: 1, Took: int64(took)}
+	answered := wire.Trial{TrialKey: key, Answers: 1, TotalMs: int64(took)}
 	if failed {
 		answered.Failed = 1
 	} else {
 		if !candidate || now > warmUp {
 			spread[canary.Bucket(times)] = 1
 		}
-		answered.Spread = spread
+		answered.Histogram = spread
 	}
 	seen := took
 	if !candidate || now > warmUp {
--- a/internal/bench/slope/session.go
+++ b/internal/bench/slope/session.go
@@ -109,7 +109,7 @@
 	return Probe{
 		Name: "bytes of a heartbeat and its reply", X: "heartbeats", Y: "bytes", Sizes: []int{50, 100, 200},
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
-			s, err := openSessions(ctx, size, sess.WithBeats(every, every))
+			s, err := openSessions(ctx, size, sess.WithHeartbeats(every, every))
 			if err != nil {
 				return 0, err
 			}
@@ -128,7 +128,7 @@
 		Name: "processor time of a heartbeat and its reply, both ends", X: "heartbeats", Y: "microseconds",
 		Sizes: []int{20, 50, 100, 200},
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
-			s, err := openSessions(ctx, size, sess.WithBeats(every, every))
+			s, err := openSessions(ctx, size, sess.WithHeartbeats(every, every))
 			if err != nil {
 				return 0, err
 			}
--- a/internal/cli/proc/port.go
+++ b/internal/cli/proc/port.go
@@ -80,7 +80,7 @@
 func (p *Port) Address() net.Addr { return p.actual }
 
 // Shutdown stops accepting and returns once each request that has arrived on an open
-// connection is answered, or with a conns.OpenError when the context ends.
+// connection is answered, or with a conns.StillOpenError when the context ends.
 func (p *Port) Shutdown(ctx context.Context) error { return p.server.Shutdown(ctx) }
 
 // Close ends the port with all its connections at once. A port that was never
--- a/internal/cli/proc/process.go
+++ b/internal/cli/proc/process.go
@@ -101,7 +101,7 @@
 		return nil, nil
 	}
 	failed := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
-	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithFailed(failed))
+	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithReloadError(failed))
 }
 
 // ReachPlatform builds the caller of the platform; it calls nobody yet.
--- a/internal/flow/sums/message.go
+++ b/internal/flow/sums/message.go
@@ -117,7 +117,7 @@
 		if sent {
 			continue
 		}
-		if w := work(endpoint, e); c.started || !w.None() {
+		if w := work(endpoint, e); c.started || !w.IsZero() {
 			message.Work = append(message.Work, w)
 		}
 	}
@@ -160,7 +160,7 @@
 		message.Pools = append(message.Pools, load)
 	}
 	for _, load := range t.pendingArrivals(include) {
-		message.Inflow = append(message.Inflow, wire.Inflow{Pool: load.Pool, Pieces: load.Pieces})
+		message.PendingArrivals = append(message.PendingArrivals, wire.PendingArrivals{Pool: load.Pool, Pieces: load.Pieces})
 	}
 }
 
@@ -179,9 +179,9 @@
 }
 
 // PendingArrivalsOf converts the pending arrivals of a message.
-func PendingArrivalsOf(loads []wire.Inflow) []inflow.Load { return addInflow(nil, loads) }
+func PendingArrivalsOf(loads []wire.PendingArrivals) []inflow.Load { return addInflow(nil, loads) }
 
-func addInflow(sum []inflow.Load, more []wire.Inflow) []inflow.Load {
+func addInflow(sum []inflow.Load, more []wire.PendingArrivals) []inflow.Load {
 	for _, load := range more {
 		sum = inflow.Add(sum, inflow.Load{Pool: load.Pool, Pieces: load.Pieces})
 	}
--- a/internal/flow/sums/query.go
+++ b/internal/flow/sums/query.go
@@ -157,7 +157,7 @@
 
 // StoreRevisions returns the revisions up to which a source has read the store, and when
 // it reported them.
-func (t *Totals) StoreRevisions(from Source) ([]wire.Seen, clock.Millis) {
+func (t *Totals) StoreRevisions(from Source) ([]wire.Progress, clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state := t.sources[from]
--- a/internal/flow/sums/sums.go
+++ b/internal/flow/sums/sums.go
@@ -68,8 +68,8 @@
 	work      map[string]wire.Work
 	pools     []wire.PoolLoad
 	regularAt clock.Millis
-	inflow    []wire.Inflow
-	seen      []wire.Seen
+	inflow    []wire.PendingArrivals
+	seen      []wire.Progress
 	members   []wire.Presence
 	trials    []wire.Trial
 	// interest is the set of endpoints that a process normally uses, nil for all.
@@ -145,7 +145,7 @@
 			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid load of pool %q", load.Pool)}
 		}
 	}
-	for _, seen := range sums.Seen {
+	for _, seen := range sums.Progress {
 		if seen.Age < 0 || seen.Changed > seen.Revision {
 			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid revision of %q", seen.Kind)}
 		}
@@ -176,10 +176,10 @@
 
 // validTrial reports whether the counts of a trial are consistent.
 func validTrial(trial *wire.Trial) bool {
-	if trial.Pool == "" || trial.Sent < 0 || trial.Failed < 0 || trial.Answers < trial.Failed || trial.Took < 0 {
+	if trial.Pool == "" || trial.Sent < 0 || trial.Failed < 0 || trial.Answers < trial.Failed || trial.TotalMs < 0 {
 		return false
 	}
-	return !slices.ContainsFunc(trial.Spread, func(count int64) bool { return count < 0 })
+	return !slices.ContainsFunc(trial.Histogram, func(count int64) bool { return count < 0 })
 }
 
 // Put processes a message and returns the endpoints whose work has changed. It returns a
@@ -211,7 +211,7 @@
 		}
 	}
 	if sums.Regular {
-		state.pools, state.regularAt, state.inflow, state.seen = sums.Pools, now, sums.Inflow, sums.Seen
+		state.pools, state.regularAt, state.inflow, state.seen = sums.Pools, now, sums.PendingArrivals, sums.Progress
 	}
 	if sums.HasMembers {
 		state.members = sums.Members
@@ -246,10 +246,10 @@
 // caller must hold t.mu.
 func (t *Totals) setWork(from Source, state *sourceState, work wire.Work, urgent bool, now clock.Millis) bool {
 	change := work.Minus(state.work[work.Endpoint])
-	if change.None() {
+	if change.IsZero() {
 		return false
 	}
-	if work.None() {
+	if work.IsZero() {
 		delete(state.work, work.Endpoint)
 	} else {
 		state.work[work.Endpoint] = work
@@ -273,7 +273,7 @@
 	if urgent {
 		e.urgentAt = t.step
 	}
-	if e.all.None() {
+	if e.all.IsZero() {
 		e.emptySince = now
 	}
 }
@@ -349,7 +349,7 @@
 		}
 	}
 	for endpoint, e := range t.entries {
-		if e.all.None() && now-e.emptySince > emptyLifetime {
+		if e.all.IsZero() && now-e.emptySince > emptyLifetime {
 			delete(t.entries, endpoint)
 		}
 	}
--- a/internal/flow/sums/sums_test.go
+++ b/internal/flow/sums/sums_test.go
@@ -129,7 +129,7 @@
 		"no endpoint":         whole(running("", 1)),
 		"age below zero":      {Whole: true, Pools: []wire.PoolLoad{{Pool: "p", Age: -1}}},
 		"no pool":             {Whole: true, Pools: []wire.PoolLoad{{}}},
-		"impossible revision": {Whole: true, Seen: []wire.Seen{{Kind: "k", Revision: 1, Changed: 2}}},
+		"impossible revision": {Whole: true, Progress: []wire.Progress{{Kind: "k", Revision: 1, Changed: 2}}},
 	} {
 		totals := sums.New()
 		_, err := totals.Put(process("liar"), message, 1)
--- a/internal/link/certs/certs.go
+++ b/internal/link/certs/certs.go
@@ -79,8 +79,8 @@
 // WithClock replaces the clock.
 func WithClock(c *clock.Clock) Option { return func(s *Source) { s.clock = c } }
 
-// WithFailed sets who hears of files that can't be used; the old ones stay.
-func WithFailed(failed func(error)) Option { return func(s *Source) { s.failed = failed } }
+// WithReloadError sets who hears of files that can't be used; the old ones stay.
+func WithReloadError(failed func(error)) Option { return func(s *Source) { s.failed = failed } }
 
 // New reads the files; it fails when they can't be used.
 func New(files Files, opts ...Option) (*Source, error) {
--- a/internal/link/certs/certs_test.go
+++ b/internal/link/certs/certs_test.go
@@ -147,7 +147,7 @@
 	pair := authority.Issue(t, "127.0.0.1")
 	fake := clock.NewFake(0)
 	var failures []error
-	server := source(t, pair, "", certs.WithClock(fake.Clock()), certs.WithFailed(func(err error) { failures = append(failures, err) }))
+	server := source(t, pair, "", certs.WithClock(fake.Clock()), certs.WithReloadError(func(err error) { failures = append(failures, err) }))
 	reached := 0
 	url := serve(t, server.Server(), &reached).URL
 	assert.NilError(t, os.WriteFile(pair.Key, []byte("half"), 0o600))
--- a/internal/link/conns/conns.go
+++ b/internal/link/conns/conns.go
@@ -37,13 +37,13 @@
 	Stopping bool
 }
 
-// OpenError says that connections were open when the time of a stop was over.
-type OpenError struct {
+// StillOpenError says that connections were open when the time of a stop was over.
+type StillOpenError struct {
 	Connections int
 }
 
 // Error implements error.
-func (e *OpenError) Error() string {
+func (e *StillOpenError) Error() string {
 	return fmt.Sprintf("%d connections were still open", e.Connections)
 }
 
@@ -115,7 +115,7 @@
 
 // Shutdown stops accepting, ends unused connections and returns once each request
 // that has arrived on an open connection is answered. When the context ends first it
-// returns an OpenError, and the connections that are left stay open until Close.
+// returns a StillOpenError, and the connections that are left stay open until Close.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if !s.stopping.Swap(true) {
 		s.listener.drain()
@@ -126,7 +126,7 @@
 	case <-ctx.Done():
 	}
 	if s.listener.wait(ctx) != nil {
-		return &OpenError{Connections: s.listener.numOpen()}
+		return &StillOpenError{Connections: s.listener.numOpen()}
 	}
 	return s.http.Shutdown(ctx) // ends those of HTTP/2, which it does not cut
 }
--- a/internal/link/sess/open.go
+++ b/internal/link/sess/open.go
@@ -64,11 +64,11 @@
 // WithHandler sets who takes the frames.
 func WithHandler(handler Handler) Option { return func(o *options) { o.handler = handler } }
 
-// WithOpened sets who is told of an accepted session before the process that
+// WithAccepted sets who is told of an accepted session before the process that
 // dialed it hears the hello. From then on that process may refer to the session
 // on another one, and a reader there must find it entered already. The session
 // ends later, also when its hello could not be sent.
-func WithOpened(opened func(*Session)) Option { return func(o *options) { o.opened = opened } }
+func WithAccepted(opened func(*Session)) Option { return func(o *options) { o.opened = opened } }
 
 // WithRelease sets the source of the release number that each frame carries.
 func WithRelease(release func() uint64) Option { return func(o *options) { o.release = release } }
@@ -92,14 +92,14 @@
 	return func(o *options) { o.dial = dial }
 }
 
-// WithBeats sets the spans between heartbeats without and with calls in flight.
-func WithBeats(idle, busy clock.Millis) Option {
+// WithHeartbeats sets the spans between heartbeats without and with calls in flight.
+func WithHeartbeats(idle, busy clock.Millis) Option {
 	return func(o *options) { o.beatIdle, o.beatBusy = idle, busy }
 }
 
-// WithOpening bounds how long a dialed session may take to open, connecting
+// WithOpenTimeout bounds how long a dialed session may take to open, connecting
 // included.
-func WithOpening(timeout clock.Millis) Option { return func(o *options) { o.opening = timeout } }
+func WithOpenTimeout(timeout clock.Millis) Option { return func(o *options) { o.opening = timeout } }
 
 // WithQueue sets how many frames may wait for the peer.
 func WithQueue(frames int) Option { return func(o *options) { o.queue = frames } }
--- a/internal/link/sess/opened_test.go
+++ b/internal/link/sess/opened_test.go
@@ -20,7 +20,7 @@
 	const slow = 50 * time.Millisecond
 	var entered atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, err := sess.Accept(t.Context(), w, r, sess.WithOpened(func(*sess.Session) {
+		s, err := sess.Accept(t.Context(), w, r, sess.WithAccepted(func(*sess.Session) {
 			time.Sleep(slow)
 			entered.Store(true)
 		}))
@@ -42,7 +42,7 @@
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var entered *sess.Session
-		s, err := sess.Accept(t.Context(), w, r, sess.WithOpened(func(s *sess.Session) {
+		s, err := sess.Accept(t.Context(), w, r, sess.WithAccepted(func(s *sess.Session) {
 			entered = s
 			s.Abort()
 		}))
--- a/internal/link/sess/sess.go
+++ b/internal/link/sess/sess.go
@@ -56,12 +56,12 @@
 // Err returns why the session ended. Read it after Done.
 func (s *Session) Err() error { return s.cause }
 
-// LastHeard returns the instant of the newest message from the peer.
-func (s *Session) LastHeard() clock.Millis { return clock.Millis(s.heard.Load()) }
+// LastReceived returns the instant of the newest message from the peer.
+func (s *Session) LastReceived() clock.Millis { return clock.Millis(s.heard.Load()) }
 
-// Busy changes the count of calls in flight. While it is above zero the
+// AddInFlight changes the count of calls in flight. While it is above zero the
 // heartbeat is fast, so that a silent connection is noticed while it matters.
-func (s *Session) Busy(change int64) {
+func (s *Session) AddInFlight(change int64) {
 	if s.busy.Add(change) != change || change <= 0 {
 		return
 	}
@@ -182,7 +182,7 @@
 // silence while this process got no processor time: the peer's messages may have
 // arrived, and be read in a moment.
 func (s *Session) heartbeat() error {
-	now, heard := s.opts.clock.Now(), max(s.LastHeard(), s.resumed)
+	now, heard := s.opts.clock.Now(), max(s.LastReceived(), s.resumed)
 	if !s.dialed {
 		if silence := now - heard; silence > silentBeats*s.opts.beatIdle {
 			return &SilentError{Process: s.peer.Process, Silence: silence}
--- a/internal/link/sess/silent_test.go
+++ b/internal/link/sess/silent_test.go
@@ -62,9 +62,9 @@
 func TestSilenceIsSeenWhileSending(t *testing.T) {
 	mute := make(chan struct{})
 	s, err := sess.Dial(t.Context(), listen(t, func(*sess.Session, *wire.Frame) {}),
-		sess.WithDial(dialMute(mute)), sess.WithBeats(40, 10))
+		sess.WithDial(dialMute(mute)), sess.WithHeartbeats(40, 10))
 	assert.NilError(t, err)
-	s.Busy(1)
+	s.AddInFlight(1)
 	close(mute)
 	for open := true; open; {
 		select {
@@ -85,12 +85,12 @@
 	const idle, busy = 60 * clock.Minute, 50
 	c := clock.New()
 	s, err := sess.Dial(t.Context(), listen(t, func(*sess.Session, *wire.Frame) {}),
-		sess.WithClock(c), sess.WithBeats(idle, busy))
+		sess.WithClock(c), sess.WithHeartbeats(idle, busy))
 	assert.NilError(t, err)
-	wait(t, func() bool { return c.Since(s.LastHeard()) > 4*busy })
-	before := s.LastHeard()
-	s.Busy(1)
-	wait(t, func() bool { return s.LastHeard() > before })
+	wait(t, func() bool { return c.Since(s.LastReceived()) > 4*busy })
+	before := s.LastReceived()
+	s.AddInFlight(1)
+	wait(t, func() bool { return s.LastReceived() > before })
 	select {
 	case <-s.Done():
 		t.Fatalf("session ended: %v", s.Err())
@@ -104,10 +104,10 @@
 	const idle, busy = 60 * clock.Minute, 50 * clock.Millis(1)
 	fake, mute := clock.NewFake(1000), make(chan struct{})
 	s, err := sess.Dial(t.Context(), listen(t, func(*sess.Session, *wire.Frame) {}),
-		sess.WithDial(dialMute(mute)), sess.WithClock(fake.Clock()), sess.WithBeats(idle, busy))
+		sess.WithDial(dialMute(mute)), sess.WithClock(fake.Clock()), sess.WithHeartbeats(idle, busy))
 	assert.NilError(t, err)
 	close(mute)
-	s.Busy(1)
+	s.AddInFlight(1)
 	// tick lets time pass at once, and waits until the session waits again.
 	tick := func(span clock.Millis) {
 		wait(t, func() bool { return fake.Waiting() == 1 })
--- a/internal/link/wire/codec.go
+++ b/internal/link/wire/codec.go
@@ -124,16 +124,16 @@
 	switch f.Kind {
 	case KindPieces:
 		return f.Pieces != nil
-	case KindMade:
-		return f.Made != nil
-	case KindDropped:
-		return f.Dropped != nil
+	case KindResults:
+		return f.Results != nil
+	case KindCancelPieces:
+		return f.CancelPieces != nil
 	case KindUnused:
 		return f.Unused != nil
 	case KindLoads:
 		return f.Loads != nil
-	case KindFetched:
-		return f.Fetched != nil
+	case KindInputsRead:
+		return f.InputsRead != nil
 	case KindReport, KindGroup, KindTotal:
 		return f.Sums != nil
 	case KindFollow:
--- a/internal/link/wire/relay.go
+++ b/internal/link/wire/relay.go
@@ -23,10 +23,10 @@
 	Work []Work `cbor:"work,omitempty"`
 	// Regular says that Pools, Inflow and Seen are complete; other messages leave
 	// them as they were.
-	Regular bool       `cbor:"regular,omitempty"`
-	Pools   []PoolLoad `cbor:"pools,omitempty"`
-	Inflow  []Inflow   `cbor:"coming,omitempty"`
-	Seen    []Seen     `cbor:"seen,omitempty"`
+	Regular         bool              `cbor:"regular,omitempty"`
+	Pools           []PoolLoad        `cbor:"pools,omitempty"`
+	PendingArrivals []PendingArrivals `cbor:"coming,omitempty"`
+	Progress        []Progress        `cbor:"seen,omitempty"`
 	// Members are the processes of a group, when HasMembers is set; in a total,
 	// the listed processes that are not to be used.
 	HasMembers bool       `cbor:"hasMembers,omitempty"`
@@ -65,10 +65,10 @@
 	Sent    int64 `cbor:"sent,omitempty"`
 	Answers int64 `cbor:"answers,omitempty"`
 	Failed  int64 `cbor:"failed,omitempty"`
-	// Took is the sum of the answers' durations, in milliseconds, and Spread counts
+	// TotalMs is the sum of the answers' durations, in milliseconds, and Spread counts
 	// answers by how long they took against what was expected; see canary.Bucket.
-	Took   int64   `cbor:"took,omitempty"`
-	Spread []int64 `cbor:"spread,omitempty"`
+	TotalMs   int64   `cbor:"took,omitempty"`
+	Histogram []int64 `cbor:"spread,omitempty"`
 	// Suspended says that some process has found the candidate bad.
 	Suspended bool `cbor:"suspended,omitempty"`
 	// Restarted says that some process has started during the rollout: what the one
@@ -81,15 +81,15 @@
 	t.Sent += more.Sent
 	t.Answers += more.Answers
 	t.Failed += more.Failed
-	t.Took += more.Took
+	t.TotalMs += more.TotalMs
 	t.Suspended = t.Suspended || more.Suspended
 	t.Restarted = t.Restarted || more.Restarted
-	spread := make([]int64, max(len(t.Spread), len(more.Spread)))
-	copy(spread, t.Spread)
-	for class, count := range more.Spread {
+	spread := make([]int64, max(len(t.Histogram), len(more.Histogram)))
+	copy(spread, t.Histogram)
+	for class, count := range more.Histogram {
 		spread[class] += count
 	}
-	t.Spread = spread
+	t.Histogram = spread
 	return t
 }
 
@@ -104,8 +104,8 @@
 	Planned  int64
 }
 
-// None reports whether there is no work.
-func (w Work) None() bool {
+// IsZero reports whether there is no work.
+func (w Work) IsZero() bool {
 	return w.Running == 0 && w.Prefill == 0 && w.Memory == 0 && w.Planned == 0
 }
 
@@ -135,10 +135,10 @@
 	Owns        bool
 }
 
-// Seen is how far the sender has followed one kind of objects of the store: it
+// Progress is how far the sender has followed one kind of objects of the store: it
 // has all changes up to Revision, the last one at Changed, as of Age
 // milliseconds ago.
-type Seen struct {
+type Progress struct {
 	Kind     string       `cbor:"kind"`
 	Revision uint64       `cbor:"revision"`
 	Changed  uint64       `cbor:"changed"`
@@ -160,8 +160,8 @@
 	Changed  uint64       `cbor:"changed"`
 	Whole    bool         `cbor:"whole,omitempty"`
 	Age      clock.Millis `cbor:"age,omitempty"`
-	// Away is how long the store had been out of reach before, in milliseconds.
-	Away    clock.Millis `cbor:"away,omitempty"`
+	// Outage is how long the store had been out of reach before, in milliseconds.
+	Outage  clock.Millis `cbor:"away,omitempty"`
 	Objects []Stored     `cbor:"objects,omitempty"`
 }
 
--- a/internal/link/wire/wire.go
+++ b/internal/link/wire/wire.go
@@ -19,30 +19,30 @@
 
 // Kinds of messages. The numbers are part of the protocol.
 const (
-	KindHello   Kind = 1
-	KindCall    Kind = 2
-	KindRefuse  Kind = 3
-	KindPart    Kind = 4
-	KindEnd     Kind = 5
-	KindAck     Kind = 6
-	KindCancel  Kind = 7
-	KindAsk     Kind = 8
-	KindOutcome Kind = 9
-	KindBeat    Kind = 10
-	KindLeave   Kind = 11
-	KindFetch   Kind = 12
-	KindSection Kind = 13
-	KindPieces  Kind = 14
-	KindMade    Kind = 15
-	KindDropped Kind = 16
-	KindUnused  Kind = 17
-	KindLoads   Kind = 18
-	KindFetched Kind = 19
-	KindReport  Kind = 20
-	KindGroup   Kind = 21
-	KindTotal   Kind = 22
-	KindFollow  Kind = 23
-	KindUpdate  Kind = 24
+	KindHello        Kind = 1
+	KindCall         Kind = 2
+	KindRefuse       Kind = 3
+	KindPart         Kind = 4
+	KindEnd          Kind = 5
+	KindAck          Kind = 6
+	KindCancel       Kind = 7
+	KindAsk          Kind = 8
+	KindOutcome      Kind = 9
+	KindBeat         Kind = 10
+	KindLeave        Kind = 11
+	KindFetch        Kind = 12
+	KindSection      Kind = 13
+	KindPieces       Kind = 14
+	KindResults      Kind = 15
+	KindCancelPieces Kind = 16
+	KindUnused       Kind = 17
+	KindLoads        Kind = 18
+	KindInputsRead   Kind = 19
+	KindReport       Kind = 20
+	KindGroup        Kind = 21
+	KindTotal        Kind = 22
+	KindFollow       Kind = 23
+	KindUpdate       Kind = 24
 	// KindRenew asks for whole sums on this session; it has no content.
 	KindRenew Kind = 25
 )
@@ -51,31 +51,31 @@
 // the newest release number the sender has in force: whoever is behind finds
 // out on the data path.
 type Frame struct {
-	Kind    Kind     `cbor:"kind"`
-	Session uint64   `cbor:"session,omitempty"`
-	Release uint64   `cbor:"release,omitempty"`
-	Hello   *Hello   `cbor:"hello,omitempty"`
-	Call    *Call    `cbor:"call,omitempty"`
-	Refuse  *Refuse  `cbor:"refuse,omitempty"`
-	Part    *Part    `cbor:"part,omitempty"`
-	End     *End     `cbor:"end,omitempty"`
-	Ack     *Ack     `cbor:"ack,omitempty"`
-	Cancel  *Cancel  `cbor:"cancel,omitempty"`
-	Ask     *Ask     `cbor:"ask,omitempty"`
-	Outcome *Outcome `cbor:"outcome,omitempty"`
-	Beat    *Beat    `cbor:"beat,omitempty"`
-	Leave   *Leave   `cbor:"leave,omitempty"`
-	Fetch   *Fetch   `cbor:"fetch,omitempty"`
-	Section *Section `cbor:"section,omitempty"`
-	Pieces  *Pieces  `cbor:"pieces,omitempty"`
-	Made    *Made    `cbor:"made,omitempty"`
-	Dropped *Dropped `cbor:"dropped,omitempty"`
-	Unused  *Unused  `cbor:"unused,omitempty"`
-	Loads   *Loads   `cbor:"loads,omitempty"`
-	Fetched *Fetched `cbor:"fetched,omitempty"`
-	Sums    *Sums    `cbor:"sums,omitempty"`
-	Follow  *Follow  `cbor:"follow,omitempty"`
-	Update  *Update  `cbor:"update,omitempty"`
+	Kind         Kind          `cbor:"kind"`
+	Session      uint64        `cbor:"session,omitempty"`
+	Release      uint64        `cbor:"release,omitempty"`
+	Hello        *Hello        `cbor:"hello,omitempty"`
+	Call         *Call         `cbor:"call,omitempty"`
+	Refuse       *Refuse       `cbor:"refuse,omitempty"`
+	Part         *Part         `cbor:"part,omitempty"`
+	End          *End          `cbor:"end,omitempty"`
+	Ack          *Ack          `cbor:"ack,omitempty"`
+	Cancel       *Cancel       `cbor:"cancel,omitempty"`
+	Ask          *Ask          `cbor:"ask,omitempty"`
+	Outcome      *Outcome      `cbor:"outcome,omitempty"`
+	Beat         *Beat         `cbor:"beat,omitempty"`
+	Leave        *Leave        `cbor:"leave,omitempty"`
+	Fetch        *Fetch        `cbor:"fetch,omitempty"`
+	Section      *Section      `cbor:"section,omitempty"`
+	Pieces       *Pieces       `cbor:"pieces,omitempty"`
+	Results      *Results      `cbor:"made,omitempty"`
+	CancelPieces *CancelPieces `cbor:"dropped,omitempty"`
+	Unused       *Unused       `cbor:"unused,omitempty"`
+	Loads        *Loads        `cbor:"loads,omitempty"`
+	InputsRead   *InputsRead   `cbor:"fetched,omitempty"`
+	Sums         *Sums         `cbor:"sums,omitempty"`
+	Follow       *Follow       `cbor:"follow,omitempty"`
+	Update       *Update       `cbor:"update,omitempty"`
 }
 
 // Hello opens a session in both directions.
@@ -213,8 +213,8 @@
 
 // Leave says that the sender takes no new work from now on.
 type Leave struct {
-	Reason string `cbor:"reason"`
-	Back   bool   `cbor:"back,omitempty"`
+	Reason  string `cbor:"reason"`
+	Resumed bool   `cbor:"back,omitempty"`
 	// Closing says that the sender ends: the peer closes the session once it has
 	// nothing in flight there. A call that it sent just then would otherwise
 	// meet a process that no longer reads, and nobody could say whether it ran.
@@ -260,14 +260,14 @@
 	Bytes int64 `cbor:"bytes,omitempty"`
 	// Zone where the results are best made, and how long to wait for an engine
 	// there, in milliseconds; Firm says to wait also when much else waits.
-	Zone string       `cbor:"zone,omitempty"`
-	Hold clock.Millis `cbor:"hold,omitempty"`
-	Firm bool         `cbor:"firm,omitempty"`
+	Zone          string       `cbor:"zone,omitempty"`
+	Hold          clock.Millis `cbor:"hold,omitempty"`
+	HoldUnderLoad bool         `cbor:"firm,omitempty"`
 }
 
-// Made answers Pieces: a reference for each piece, and the endpoint and the
+// Results answers Pieces: a reference for each piece, and the endpoint and the
 // availability zone it lies in, or why there are none.
-type Made struct {
+type Results struct {
 	CallID     uint64       `cbor:"ticket"`
 	References []string     `cbor:"references,omitempty"`
 	Endpoints  []string     `cbor:"endpoints,omitempty"`
@@ -277,13 +277,13 @@
 	RetryAfter clock.Millis `cbor:"retryAfter,omitempty"`
 }
 
-// Fetched tells that all pieces have read their inputs; Made follows.
-type Fetched struct {
+// InputsRead tells that all pieces have read their inputs; Made follows.
+type InputsRead struct {
 	CallID uint64 `cbor:"ticket"`
 }
 
-// Dropped withdraws Pieces, because the request ended.
-type Dropped struct {
+// CancelPieces withdraws Pieces, because the request ended.
+type CancelPieces struct {
 	CallID uint64 `cbor:"ticket"`
 }
 
@@ -296,11 +296,11 @@
 	Endpoints []string `cbor:"endpoints"`
 	// Bytes is the size of each, which a new owner doesn't know either.
 	Bytes []int64 `cbor:"bytes,omitempty"`
-	// Spare says that they are needed again only if a stage fails: their memory
+	// Reclaimable says that they are needed again only if a stage fails: their memory
 	// is used for something else when it is short. That holds after Delay, in
 	// milliseconds.
-	Spare bool         `cbor:"spare,omitempty"`
-	Delay clock.Millis `cbor:"delay,omitempty"`
+	Reclaimable bool         `cbor:"spare,omitempty"`
+	Delay       clock.Millis `cbor:"delay,omitempty"`
 }
 
 // Loads tells peers what the sender has running at endpoints, and how long
@@ -311,11 +311,11 @@
 	Leaving   bool           `cbor:"leaving,omitempty"`
 	Endpoints []EndpointLoad `cbor:"endpoints,omitempty"`
 	Pools     []PoolLoad     `cbor:"pools,omitempty"`
-	// Seen are the revisions of the changes that the sender noticed last, by kind
+	// Progress are the revisions of the changes that the sender noticed last, by kind
 	// of object, so that one process that reads the store early tells all others.
-	Seen []Revision `cbor:"seen,omitempty"`
-	// Inflow is the pieces that requests of the sender will ask for, by pool.
-	Inflow []Inflow `cbor:"coming,omitempty"`
+	Progress []Revision `cbor:"seen,omitempty"`
+	// PendingArrivals is the pieces that requests of the sender will ask for, by pool.
+	PendingArrivals []PendingArrivals `cbor:"coming,omitempty"`
 	// Prefixes are those used since the message before.
 	Prefixes []PrefixUse `cbor:"uses,omitempty"`
 	// Refused are the callers told to come back since the message before.
@@ -346,8 +346,8 @@
 	Cleared  bool
 }
 
-// Inflow is the pieces that will be asked for in one pool, by class of rank.
-type Inflow struct {
+// PendingArrivals is the pieces that will be asked for in one pool, by class of rank.
+type PendingArrivals struct {
 	Pool   string `cbor:"pool"`
 	Pieces []int  `cbor:"pieces"`
 }
--- a/internal/ops/admin/admin.go
+++ b/internal/ops/admin/admin.go
@@ -65,7 +65,7 @@
 		peer := s.Peer()
 		shown = append(shown, Session{
 			Process: peer.Process, Incarnation: peer.Incarnation.String(), AvailabilityZone: peer.AvailabilityZone,
-			Pool: peer.Pool, Endpoint: peer.Endpoint, SilentMs: c.Since(s.LastHeard()),
+			Pool: peer.Pool, Endpoint: peer.Endpoint, SilentMs: c.Since(s.LastReceived()),
 		})
 	}
 	return shown
--- a/internal/route/canary/canary.go
+++ b/internal/route/canary/canary.go
@@ -130,8 +130,8 @@
 	c.Sent += trial.Sent
 	c.Answers += trial.Answers
 	c.Failed += trial.Failed
-	c.TotalMs += trial.Took
-	for bucket, count := range trial.Spread {
+	c.TotalMs += trial.TotalMs
+	for bucket, count := range trial.Histogram {
 		if bucket < Buckets {
 			c.Histogram[bucket] += count
 		}
--- a/internal/route/canary/canary_test.go
+++ b/internal/route/canary/canary_test.go
@@ -25,7 +25,7 @@
 	spread[canary.Bucket(1)] = answers - failed
 	return wire.Trial{
 		TrialKey: wire.TrialKey{Pool: order.Pool, Version: order.Version, Candidate: endpoint != "", Route: route, Endpoint: endpoint},
-		Sent:     answers, Answers: answers, Failed: failed, Took: 30 * answers, Spread: spread,
+		Sent:     answers, Answers: answers, Failed: failed, TotalMs: 30 * answers, Histogram: spread,
 	}
 }
 
@@ -43,8 +43,8 @@
 
 func ExampleEvidence_MedianRatios() {
 	slow := trial("book", "a", 20, 0)
-	slow.Spread = make([]int64, canary.Buckets)
-	slow.Spread[canary.Bucket(8)] = 20
+	slow.Histogram = make([]int64, canary.Buckets)
+	slow.Histogram[canary.Bucket(8)] = 20
 	fmt.Println(canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 1), slow}).MedianRatios())
 	fmt.Println(canary.NewEvidence(order).MedianRatios())
 	// Output:
@@ -78,8 +78,8 @@
 func TestJudge(t *testing.T) {
 	slow := func(route, endpoint string, answers int64, times float64) wire.Trial {
 		tr := trial(route, endpoint, answers, 0)
-		tr.Spread = make([]int64, canary.Buckets)
-		tr.Spread[canary.Bucket(times)] = answers
+		tr.Histogram = make([]int64, canary.Buckets)
+		tr.Histogram[canary.Bucket(times)] = answers
 		return tr
 	}
 	for _, tt := range []struct {
@@ -124,8 +124,8 @@
 // promotion, when the old version gets no requests to compare with.
 func TestBurstDuringPromotionIsNotJudgedSlow(t *testing.T) {
 	slow := trial("book", "a", 60, 0)
-	slow.Spread = make([]int64, canary.Buckets)
-	slow.Spread[canary.Bucket(4)] = 60
+	slow.Histogram = make([]int64, canary.Buckets)
+	slow.Histogram[canary.Bucket(4)] = 60
 	other := slow
 	other.Endpoint = "b"
 	e := canary.NewEvidence(order, []wire.Trial{trial("book", "", 400, 2), slow, other})
--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -245,7 +245,7 @@
 	s, err := sess.Accept(a.base, w, r,
 		sess.WithClock(a.clock),
 		sess.WithHello(a.hello),
-		sess.WithOpened(a.addSession),
+		sess.WithAccepted(a.addSession),
 		sess.WithHandler(a.handleFrame),
 		sess.WithRelease(a.holder.Number),
 		sess.WithLoad(a.load),
@@ -308,7 +308,7 @@
 func (a *Agent) leaveFrame() *wire.Frame {
 	reason := a.drain.Reason()
 	return &wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{
-		Reason: string(reason), Back: reason == "", Closing: a.drain.Has(drain.CauseLeaving),
+		Reason: string(reason), Resumed: reason == "", Closing: a.drain.Has(drain.CauseLeaving),
 	}}
 }
 
@@ -322,7 +322,7 @@
 			delete(a.lastHeard, incarnation)
 		}
 	}
-	a.lastHeard[s.Peer().Incarnation] = max(s.LastHeard(), a.lastHeard[s.Peer().Incarnation])
+	a.lastHeard[s.Peer().Incarnation] = max(s.LastReceived(), a.lastHeard[s.Peer().Incarnation])
 	delete(a.unconfirmed, s)
 }
 
--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -97,7 +97,7 @@
 	lastHeard, known := a.lastHeard[incarnation]
 	for s := range a.sessions {
 		if s != asker && s.Peer().Incarnation == incarnation {
-			lastHeard, known = max(lastHeard, s.LastHeard()), true
+			lastHeard, known = max(lastHeard, s.LastReceived()), true
 		}
 	}
 	return known && now-lastHeard <= fence.DefaultRetention/2
--- a/internal/serve/agent/bench_test.go
+++ b/internal/serve/agent/bench_test.go
@@ -74,7 +74,7 @@
 	s, err := sess.Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), sess.WithHandler(func(s *sess.Session, f *wire.Frame) {
 		switch f.Kind {
 		case wire.KindLeave:
-			if f.Leave.Back {
+			if f.Leave.Resumed {
 				ready <- struct{}{}
 			}
 		case wire.KindEnd:
--- a/internal/serve/agent/harness_test.go
+++ b/internal/serve/agent/harness_test.go
@@ -85,7 +85,7 @@
 	for {
 		select {
 		case f := <-p.frames:
-			if f.Kind == wire.KindLeave && f.Leave.Back {
+			if f.Kind == wire.KindLeave && f.Leave.Resumed {
 				return p
 			}
 		case <-timeout:
--- a/internal/serve/agent/silent_test.go
+++ b/internal/serve/agent/silent_test.go
@@ -77,8 +77,8 @@
 	e := engine.New(engine.WithTimes(0, 0, 5*time.Millisecond), engine.WithTokens(100))
 	_, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()))
 	r := startLossyRelay(t, address)
-	old := dial(t, r.listener.Addr().String(), sess.WithBeats(50, 20)).awaitReady()
-	old.s.Busy(1)
+	old := dial(t, r.listener.Addr().String(), sess.WithHeartbeats(50, 20)).awaitReady()
+	old.s.AddInFlight(1)
 	id := old.send(wire.Call{Idempotent: true})
 	var got strings.Builder
 	for range 10 {
--- a/internal/serve/deploy/rollout.go
+++ b/internal/serve/deploy/rollout.go
@@ -82,7 +82,7 @@
 		if ratio := a.durationRatio(now); ratio >= overdueFactor && !a.warmingUp {
 			histogram := make([]int64, canary.Buckets)
 			histogram[canary.Bucket(ratio)] = 1
-			byKey[a.key] = byKey[a.key].Plus(wire.Trial{Answers: 1, Spread: histogram})
+			byKey[a.key] = byKey[a.key].Plus(wire.Trial{Answers: 1, Histogram: histogram})
 		}
 		return true
 	})
@@ -99,7 +99,7 @@
 }
 
 func (c *counter) trial(key wire.TrialKey) wire.Trial {
-	trial := wire.Trial{TrialKey: key, Sent: c.sent.Load(), Answers: c.answers.Load(), Failed: c.failed.Load(), Took: c.took.Load()}
+	trial := wire.Trial{TrialKey: key, Sent: c.sent.Load(), Answers: c.answers.Load(), Failed: c.failed.Load(), TotalMs: c.took.Load()}
 	last := -1
 	for bucket := range c.histogram {
 		if c.histogram[bucket].Load() > 0 {
@@ -107,7 +107,7 @@
 		}
 	}
 	for bucket := range last + 1 {
-		trial.Spread = append(trial.Spread, c.histogram[bucket].Load())
+		trial.Histogram = append(trial.Histogram, c.histogram[bucket].Load())
 	}
 	return trial
 }
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -149,12 +149,12 @@
 		})
 		h.until(t, func(h *heard) bool { return len(h.lists) == 1 })
 		// That a peer has more proves nothing: the watch may be about to tell the same.
-		assert.Assert(t, f.Confirm(wire.Seen{Kind: "k", Revision: 7, Changed: 7}, 1))
+		assert.Assert(t, f.Confirm(wire.Progress{Kind: "k", Revision: 7, Changed: 7}, 1))
 		time.Sleep(20 * time.Millisecond)
 		h.until(t, func(h *heard) bool { return len(h.lists) == 1 })
 		f.Again()
 		h.until(t, func(h *heard) bool { return len(h.lists) == 2 })
-		assert.Assert(t, !f.Confirm(wire.Seen{Kind: "k", Revision: 8, Changed: 8}, 1))
+		assert.Assert(t, !f.Confirm(wire.Progress{Kind: "k", Revision: 8, Changed: 8}, 1))
 	})
 }
 
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -130,10 +130,10 @@
 }
 
 // Seen returns how far the kind was followed.
-func (f *Feed) Seen() wire.Seen {
+func (f *Feed) Seen() wire.Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := wire.Seen{Kind: f.kind, Revision: f.state.known, Changed: min(f.state.changed, f.state.known)}
+	seen := wire.Progress{Kind: f.kind, Revision: f.state.known, Changed: min(f.state.changed, f.state.known)}
 	if !f.ageless {
 		seen.Age = max(f.clock.Now()-f.state.confirmed, 0)
 	}
@@ -153,7 +153,7 @@
 // whole returns all objects; the caller holds the lock.
 func (f *Feed) whole(away clock.Millis) *wire.Update {
 	update := &wire.Update{
-		Kind: f.kind, Revision: f.state.known, Changed: f.state.changed, Whole: true, Away: away,
+		Kind: f.kind, Revision: f.state.known, Changed: f.state.changed, Whole: true, Outage: away,
 		Age: max(f.clock.Now()-f.state.confirmed, 0),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.state.objects)) {
@@ -244,7 +244,7 @@
 func (f *Feed) Take(update *wire.Update, now clock.Millis) (missing bool) {
 	at := now - update.Age
 	if update.Whole {
-		f.takeList(objectsOf(update), update.Revision, update.Changed, update.Away, at)
+		f.takeList(objectsOf(update), update.Revision, update.Changed, update.Outage, at)
 	} else {
 		if known, current := f.known(); !current || update.Since > known {
 			return true
@@ -257,7 +257,7 @@
 
 // Confirm takes how far a peer has followed the kind, as of an instant, and
 // reports whether this feed lacks changes that the peer has.
-func (f *Feed) Confirm(seen wire.Seen, now clock.Millis) (missing bool) {
+func (f *Feed) Confirm(seen wire.Progress, now clock.Millis) (missing bool) {
 	f.mu.Lock()
 	if f.state.known < seen.Changed || !f.state.listed {
 		f.mu.Unlock()
--- a/internal/serve/feed/peer_test.go
+++ b/internal/serve/feed/peer_test.go
@@ -69,7 +69,7 @@
 
 func (p *passing) confirm(t *testing.T) {
 	t.Helper()
-	assert.Assert(t, !p.Confirm(wire.Seen{Kind: "k", Revision: 5, Changed: 5}, p.now()))
+	assert.Assert(t, !p.Confirm(wire.Progress{Kind: "k", Revision: 5, Changed: 5}, p.now()))
 }
 
 func (p *passing) await(t *testing.T, holds func() bool) {
@@ -133,7 +133,7 @@
 	p.fake.Advance(200)
 	p.await(t, func() bool { return p.follows.Load() == 2 })
 	// Confirmed again, but as of long ago.
-	assert.Assert(t, !p.Confirm(wire.Seen{Kind: "k", Revision: 5, Changed: 5, Age: 3000}, p.now()))
+	assert.Assert(t, !p.Confirm(wire.Progress{Kind: "k", Revision: 5, Changed: 5, Age: 3000}, p.now()))
 	assert.Assert(t, !p.Relayed())
 }
 
@@ -142,7 +142,7 @@
 func TestMissingChangesAreNoticed(t *testing.T) {
 	p := newPassing(t)
 	assert.Assert(t, p.Take(update(6, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
-	assert.Assert(t, p.Confirm(wire.Seen{Kind: "k", Revision: 9, Changed: 7}, p.now()))
+	assert.Assert(t, p.Confirm(wire.Progress{Kind: "k", Revision: 9, Changed: 7}, p.now()))
 	assert.Assert(t, !p.Relayed(), "it goes on asking the store itself")
 	all := update(0, 9, wire.Stored{Name: "k/a", Version: 5}, wire.Stored{Name: "k/b", Version: 7})
 	all.Whole = true
@@ -184,7 +184,7 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	began := time.Now()
 	for f.Down() {
-		f.Confirm(wire.Seen{Kind: "k", Revision: 6, Changed: 5}, clock.Millis(1<<40))
+		f.Confirm(wire.Progress{Kind: "k", Revision: 6, Changed: 5}, clock.Millis(1<<40))
 		assert.Assert(t, time.Since(began) < 5*time.Second)
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -18,7 +18,7 @@
 	inputsRead bool
 	// pool is the shard whose owner made the pieces.
 	pool string
-	made *wire.Made
+	made *wire.Results
 	err  error
 }
 
@@ -162,7 +162,7 @@
 	run := p.req.run
 	if event.inputsRead {
 		run.MarkFetched(event.stage)
-		p.g.sendUnused(p.req, run.Reclaimable(), wire.Unused{Spare: true})
+		p.g.sendUnused(p.req, run.Reclaimable(), wire.Unused{Reclaimable: true})
 		return
 	}
 	p.running--
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -102,7 +102,7 @@
 	switch {
 	case inputBytes >= localInputBytes && inputBytes > resultBytes:
 		pieces.Zone = req.mainZone(pieces.Inputs)
-		pieces.Hold, pieces.Firm = min(clock.Millis(inputZoneWaitShare*slack), maxInputZoneWait), true
+		pieces.Hold, pieces.HoldUnderLoad = min(clock.Millis(inputZoneWaitShare*slack), maxInputZoneWait), true
 	case !g.hasReader(req, pieces.Stage):
 		pieces.Zone = req.preferredZone
 		pieces.Hold = min(clock.Millis(float64(resultZoneWaitPerMB)*float64(resultBytes)/1e6), clock.Millis(resultZoneWaitShare*slack), maxResultZoneWait)
@@ -137,7 +137,7 @@
 // leaves; making pieces twice is safe. While hosts are restarted one after the other,
 // processes briefly disagree on the owner, and the next owner may be leaving too. After a
 // delay one of them stays.
-func (g *Gate) makePieces(ctx context.Context, req *request, pieces *wire.Pieces, inputsRead func()) (*wire.Made, error) {
+func (g *Gate) makePieces(ctx context.Context, req *request, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
 	tried := make(map[string]bool)
 	pool, hold := pieces.Pool, pieces.Hold
 	for attempt := range maxOwnerAttempts {
@@ -212,7 +212,7 @@
 }
 
 // stageRefusal returns the refusal of a request whose pieces the owner refused.
-func (g *Gate) stageRefusal(req *request, pieces *wire.Pieces, made *wire.Made) error {
+func (g *Gate) stageRefusal(req *request, pieces *wire.Pieces, made *wire.Results) error {
 	g.Log.Info("stage refused", "request", req.Request, "pool", pieces.Pool, "stage", pieces.Stage,
 		"reason", made.Reason, "timeLeftMs", int64(req.deadline-g.Clock.Now()))
 	reason := made.Reason
@@ -222,7 +222,7 @@
 	return &fault.RefusalError{Reason: reason, Ran: fault.NotRun, RetryAfter: made.RetryAfter, Detail: "refused by a stage in pool " + pieces.Pool}
 }
 
-func (g *Gate) sendToOwner(ctx context.Context, pieces *wire.Pieces, inputsRead func()) (*wire.Made, error) {
+func (g *Gate) sendToOwner(ctx context.Context, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
 	if to := g.ownerOf(pieces.Pool); to != g.mesh.Self() {
 		return g.mesh.Ask(ctx, to, pieces, inputsRead)
 	}
@@ -256,7 +256,7 @@
 	if req.run == nil || t.Load.Running.Load()+t.Load.PeerRunning.Load() >= int64(req.pool.Generation.Slots) {
 		return
 	}
-	g.sendUnused(req, req.run.FinalResults(), wire.Unused{Spare: true, Delay: inputReadTime})
+	g.sendUnused(req, req.run.FinalResults(), wire.Unused{Reclaimable: true, Delay: inputReadTime})
 }
 
 // sendUnused sends the owners the list of results that are no longer needed. The other fields of each
@@ -267,7 +267,7 @@
 		location := req.results[reference]
 		unused := byPool[location.pool]
 		if unused == nil {
-			unused = &wire.Unused{Pool: location.pool, Spare: common.Spare, Delay: common.Delay}
+			unused = &wire.Unused{Pool: location.pool, Reclaimable: common.Reclaimable, Delay: common.Delay}
 			byPool[location.pool] = unused
 		}
 		unused.References = append(unused.References, reference)
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -50,11 +50,11 @@
 }
 
 // Message returns the outcome as a message to the process that sent the request.
-func (o Outcome) Message() *wire.Made {
+func (o Outcome) Message() *wire.Results {
 	if o.Reason != "" {
-		return &wire.Made{Reason: o.Reason, RetryAfter: o.RetryAfter}
+		return &wire.Results{Reason: o.Reason, RetryAfter: o.RetryAfter}
 	}
-	return &wire.Made{References: o.References, Endpoints: o.Endpoints, Zones: o.Zones}
+	return &wire.Results{References: o.References, Endpoints: o.Endpoints, Zones: o.Zones}
 }
 
 // Job is one request for pieces. The lock of its Host guards it.
@@ -135,7 +135,7 @@
 			Request: request.Request, Stage: request.Stage, Key: request.Key, Inputs: request.Inputs, Count: request.Count,
 			Rank: now + request.Slack + request.Penalty, NeededBy: now + request.Slack, Deadline: now + request.TimeLeft,
 			ResultBytes: request.Bytes, Zone: request.Zone,
-			HoldUntil: now + request.Hold, HoldUnderLoad: request.Firm,
+			HoldUntil: now + request.Hold, HoldUnderLoad: request.HoldUnderLoad,
 		},
 	}
 	h.mu.Lock()
@@ -202,7 +202,7 @@
 		}
 		switch {
 		case e == nil: // the engine is gone, and the result with it
-		case unused.Spare:
+		case unused.Reclaimable:
 			e.memory.MarkReclaimable(result, now+unused.Delay)
 		default:
 			e.memory.MarkUnused(result)
--- a/internal/serve/mesh/ask.go
+++ b/internal/serve/mesh/ask.go
@@ -22,7 +22,7 @@
 // Ask asks a peer for pieces and waits for its answer. When the context ends
 // first, the request is withdrawn. Fetched is called, on the session's reader,
 // when all pieces have read their inputs.
-func (m *Mesh) Ask(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Made, error) {
+func (m *Mesh) Ask(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Results, error) {
 	l := m.openLink(ctx, to)
 	if l == nil {
 		if ctx.Err() != nil {
@@ -31,7 +31,7 @@
 		return nil, &LostError{Peer: to}
 	}
 	pieces.CallID = m.next.Add(1)
-	waiting := &request{answer: make(chan *wire.Made, 1), fetched: fetched}
+	waiting := &request{answer: make(chan *wire.Results, 1), fetched: fetched}
 	m.mu.Lock()
 	if l.pending == nil {
 		m.mu.Unlock()
@@ -39,8 +39,8 @@
 	}
 	l.pending[pieces.CallID] = waiting
 	m.mu.Unlock()
-	l.session.Busy(1)
-	defer l.session.Busy(-1)
+	l.session.AddInFlight(1)
+	defer l.session.AddInFlight(-1)
 	if err := l.session.Send(&wire.Frame{Kind: wire.KindPieces, Pieces: pieces}); err != nil {
 		m.withdraw(l, pieces.CallID)
 		return nil, &LostError{Peer: to}
@@ -57,7 +57,7 @@
 	case <-ctx.Done():
 		m.withdraw(l, pieces.CallID)
 		// If it can't be sent, the session is ending, and with it the request.
-		_ = l.session.Send(&wire.Frame{Kind: wire.KindDropped, Dropped: &wire.Dropped{CallID: pieces.CallID}})
+		_ = l.session.Send(&wire.Frame{Kind: wire.KindCancelPieces, CancelPieces: &wire.CancelPieces{CallID: pieces.CallID}})
 		return nil, ctx.Err()
 	}
 }
@@ -109,10 +109,10 @@
 	m.checkRelease(frame)
 	from := s.Peer().Process
 	switch frame.Kind {
-	case wire.KindFetched:
-		m.fetched(s, frame.Fetched.CallID)
-	case wire.KindMade:
-		m.answered(s, frame.Made)
+	case wire.KindInputsRead:
+		m.fetched(s, frame.InputsRead.CallID)
+	case wire.KindResults:
+		m.answered(s, frame.Results)
 	case wire.KindTotal:
 		m.takeTotal(from, frame.Sums)
 	case wire.KindGroup:
@@ -120,7 +120,7 @@
 	case wire.KindUpdate:
 		m.takeUpdate(from, frame.Update)
 	case wire.KindLeave:
-		m.leaves(s.Peer(), !frame.Leave.Back)
+		m.leaves(s.Peer(), !frame.Leave.Resumed)
 	case wire.KindRenew:
 		m.renew(s)
 	default:
@@ -148,8 +148,8 @@
 	switch frame.Kind {
 	case wire.KindPieces:
 		m.piecesFunc(from, frame.Pieces, replyOn(s, frame.Pieces.CallID))
-	case wire.KindDropped:
-		m.droppedFunc(from, frame.Dropped.CallID)
+	case wire.KindCancelPieces:
+		m.droppedFunc(from, frame.CancelPieces.CallID)
 	case wire.KindUnused:
 		m.unusedFunc(frame.Unused)
 	case wire.KindReport:
@@ -161,7 +161,7 @@
 	case wire.KindFollow:
 		m.takeFollow(s, frame.Follow)
 	case wire.KindLeave:
-		m.leaves(s.Peer(), !frame.Leave.Back)
+		m.leaves(s.Peer(), !frame.Leave.Resumed)
 	case wire.KindRenew:
 		m.renew(s)
 	default:
@@ -179,11 +179,11 @@
 func replyOn(s *sess.Session, callID uint64) Reply {
 	return Reply{
 		FetchedFunc: func() {
-			_ = s.Send(&wire.Frame{Kind: wire.KindFetched, Fetched: &wire.Fetched{CallID: callID}})
+			_ = s.Send(&wire.Frame{Kind: wire.KindInputsRead, InputsRead: &wire.InputsRead{CallID: callID}})
 		},
-		MadeFunc: func(made *wire.Made) {
+		MadeFunc: func(made *wire.Results) {
 			made.CallID = callID
-			_ = s.Send(&wire.Frame{Kind: wire.KindMade, Made: made})
+			_ = s.Send(&wire.Frame{Kind: wire.KindResults, Results: made})
 		},
 	}
 }
@@ -204,7 +204,7 @@
 	}
 }
 
-func (m *Mesh) answered(s *sess.Session, made *wire.Made) {
+func (m *Mesh) answered(s *sess.Session, made *wire.Results) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pending := m.pendingOn(s)
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -114,8 +114,8 @@
 
 // isStale reports whether some kind of objects was last confirmed by the store
 // longer ago than a bound.
-func isStale(seen []wire.Seen, bound clock.Millis) bool {
-	return slices.ContainsFunc(seen, func(s wire.Seen) bool { return s.Age > bound })
+func isStale(seen []wire.Progress, bound clock.Millis) bool {
+	return slices.ContainsFunc(seen, func(s wire.Progress) bool { return s.Age > bound })
 }
 
 func (m *Mesh) ifOpen(l *link) *link {
@@ -176,7 +176,7 @@
 }
 
 // confirm takes how far the upstream has followed the store.
-func (m *Mesh) confirm(from string, seen []wire.Seen, now clock.Millis) {
+func (m *Mesh) confirm(from string, seen []wire.Progress, now clock.Millis) {
 	m.askAgain(from, m.follower.ConfirmFunc(seen, now))
 }
 
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -13,7 +13,7 @@
 
 // request is a request for pieces that waits for its answer.
 type request struct {
-	answer  chan *wire.Made
+	answer  chan *wire.Results
 	fetched func()
 }
 
@@ -130,7 +130,7 @@
 }
 
 func (m *Mesh) dial(member Member) (*sess.Session, error) {
-	s, err := sess.Dial(m.base, member.Address, m.options(m.takeLinked, sess.WithOpening(openTimeout))...)
+	s, err := sess.Dial(m.base, member.Address, m.options(m.takeLinked, sess.WithOpenTimeout(openTimeout))...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -64,20 +64,20 @@
 // became of the pieces.
 type Reply struct {
 	FetchedFunc func()
-	MadeFunc    func(*wire.Made)
+	MadeFunc    func(*wire.Results)
 }
 
 // Follower is how this process follows the store, on its own and through peers.
 type Follower struct {
 	// SeenFunc returns how far each kind of objects was followed.
-	SeenFunc func() []wire.Seen
+	SeenFunc func() []wire.Progress
 	// WholeFunc returns all objects of a kind, nil before they were read.
 	WholeFunc func(kind string) *wire.Update
 	// TakeFunc takes changes from a peer, and ConfirmFunc how far that peer has
 	// followed, as of an instant. Both return the kinds of which changes are
 	// missing.
 	TakeFunc    func(update *wire.Update, now clock.Millis) []string
-	ConfirmFunc func(seen []wire.Seen, now clock.Millis) []string
+	ConfirmFunc func(seen []wire.Progress, now clock.Millis) []string
 	// Fresh bounds how long ago a peer that this process follows may have heard from
 	// the store, Lost how long ago a watcher; in milliseconds.
 	Fresh, Lost clock.Millis
@@ -232,10 +232,10 @@
 		release:     func() uint64 { return 0 },
 		newerFunc:   func() {},
 		follower: Follower{
-			SeenFunc:    func() []wire.Seen { return nil },
+			SeenFunc:    func() []wire.Progress { return nil },
 			WholeFunc:   func(string) *wire.Update { return nil },
 			TakeFunc:    func(*wire.Update, clock.Millis) []string { return nil },
-			ConfirmFunc: func([]wire.Seen, clock.Millis) []string { return nil },
+			ConfirmFunc: func([]wire.Progress, clock.Millis) []string { return nil },
 			DownFunc:    func() bool { return false },
 			AloneFunc:   func() {},
 			Fresh:       defaultFresh,
@@ -304,7 +304,7 @@
 func (m *Mesh) options(handler sess.Handler, more ...sess.Option) []sess.Option {
 	opts := []sess.Option{
 		sess.WithClock(m.clock), sess.WithHello(m.hello), sess.WithHandler(handler),
-		sess.WithBeats(beatIdle, beatBusy), sess.WithRelease(m.release),
+		sess.WithHeartbeats(beatIdle, beatBusy), sess.WithRelease(m.release),
 	}
 	return append(append(opts, m.session...), more...)
 }
@@ -325,7 +325,7 @@
 // Open tells peers that this process owns its pools from now on. A process that
 // is restarted while the store is away is reached by its peers before it knows
 // any endpoint; as an owner it would refuse all work of its pools.
-func (m *Mesh) Open() { m.setOwns(true, &wire.Leave{Back: true}) }
+func (m *Mesh) Open() { m.setOwns(true, &wire.Leave{Resumed: true}) }
 
 // Leave tells peers that this process owns nothing from now on.
 func (m *Mesh) Leave() { m.setOwns(false, &wire.Leave{Reason: "planned stop"}) }
@@ -377,7 +377,7 @@
 // Handler accepts the sessions that others open.
 func (m *Mesh) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, err := sess.Accept(m.base, w, r, m.options(m.takeInbound, sess.WithOpened(m.accepted))...)
+		s, err := sess.Accept(m.base, w, r, m.options(m.takeInbound, sess.WithAccepted(m.accepted))...)
 		if s == nil {
 			m.log.Debug("session not opened", "error", err)
 			return
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -291,7 +291,7 @@
 	f2.Mesh = mesh.New(t.Context(), f2.member, mesh.WithClock(clock.New()),
 		mesh.WithPieces(func(from string, _ *wire.Pieces, reply mesh.Reply) {
 			asked <- from
-			reply.MadeFunc(&wire.Made{References: []string{"r"}})
+			reply.MadeFunc(&wire.Results{References: []string{"r"}})
 		}, func(string, uint64) {}))
 	server := httptest.NewServer(f2.Handler())
 	t.Cleanup(func() { f2.Stop(); server.Close() })
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -155,7 +155,7 @@
 // sumsOf converts the loads of one process.
 func sumsOf(loads *wire.Loads, urgent bool) *wire.Sums {
 	own := &wire.Sums{
-		Whole: true, Urgent: urgent, Regular: true, Pools: loads.Pools, Inflow: loads.Inflow,
+		Whole: true, Urgent: urgent, Regular: true, Pools: loads.Pools, PendingArrivals: loads.PendingArrivals,
 		Prefixes: loads.Prefixes, Refused: loads.Refused, Crashes: loads.Crashes, Owns: !loads.Leaving, HasTrials: true, Trials: loads.Trials,
 	}
 	for _, load := range loads.Endpoints {
@@ -163,7 +163,7 @@
 			Endpoint: load.Endpoint, Running: max(load.Running, 0), Prefill: max(load.Prefill, 0), Memory: max(load.Memory, 0),
 			Planned: max(load.Planned, 0),
 		}
-		if !work.None() {
+		if !work.IsZero() {
 			own.Work = append(own.Work, work)
 		}
 	}
--- a/internal/serve/mesh/send.go
+++ b/internal/serve/mesh/send.go
@@ -19,7 +19,7 @@
 // send sends one round of reports and returns the number of destinations.
 func (m *Mesh) send(regular bool, now clock.Millis) int {
 	all := m.destinations()
-	var seen []wire.Seen
+	var seen []wire.Progress
 	if regular {
 		seen = m.follower.SeenFunc()
 	}
@@ -106,7 +106,7 @@
 	t.membersSent, t.regular, t.hasInterest = 0, 0, false
 }
 
-func (m *Mesh) sendTo(to outgoing, regular bool, seen []wire.Seen, now clock.Millis) {
+func (m *Mesh) sendTo(to outgoing, regular bool, seen []wire.Progress, now clock.Millis) {
 	if to.kind == wire.KindGroup && now-to.target.regular < groupEvery {
 		regular = false
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	if regular {
-		message.Seen = seen
+		message.Progress = seen
 		m.addMembers(message, to, now)
 	}
 	message.Owns = m.mayOwn()
--- a/internal/serve/mesh/take.go
+++ b/internal/serve/mesh/take.go
@@ -68,7 +68,7 @@
 	m.takeEvents(taken)
 	m.pushOthers(changed)
 	if taken.Regular && m.uplink.Load().upstream == from {
-		m.confirm(from, taken.Seen, now)
+		m.confirm(from, taken.Progress, now)
 	}
 	if taken.Urgent {
 		m.wakeUp()
@@ -132,13 +132,13 @@
 	for _, load := range total.Pools {
 		pools = append(pools, sums.Pool{Load: load, At: now - load.Age})
 	}
-	sum := sums.PendingArrivalsOf(total.Inflow)
+	sum := sums.PendingArrivalsOf(total.PendingArrivals)
 	m.setPools(pools)
 	m.inflow.Store(&sum)
 	if total.HasTrials {
 		m.trials.Store(&total.Trials)
 	}
 	if m.uplink.Load().upstream == from {
-		m.confirm(from, total.Seen, now)
+		m.confirm(from, total.Progress, now)
 	}
 }
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -102,7 +102,7 @@
 		opts = append(opts, sess.WithTLS(config))
 	}
 	if l.peers.beatIdle > 0 {
-		opts = append(opts, sess.WithBeats(l.peers.beatIdle, l.peers.beatBusy))
+		opts = append(opts, sess.WithHeartbeats(l.peers.beatIdle, l.peers.beatBusy))
 	}
 	return sess.Dial(ctx, l.address, opts...)
 }
@@ -118,7 +118,7 @@
 	l.mu.Lock()
 	l.session, l.closing, l.endpoint, l.member, l.leaving = s, false, endpoint, member, peer.Leaving
 	l.withdrawAgain(s)
-	s.Busy(int64(len(l.flights)))
+	s.AddInFlight(int64(len(l.flights)))
 	for _, f := range l.flights {
 		f.box.put(Event{Kind: EventBack, Try: f.try, Session: s.Number()})
 	}
@@ -203,7 +203,7 @@
 		return 0, err
 	}
 	l.flights[call.ID] = flight{box: box, try: try, incarnation: incarnation}
-	s.Busy(1)
+	s.AddInFlight(1)
 	return s.Number(), nil
 }
 
@@ -271,7 +271,7 @@
 	}
 	delete(l.flights, id)
 	if l.session != nil {
-		l.session.Busy(-1)
+		l.session.AddInFlight(-1)
 	}
 	l.closeIdle()
 }
@@ -353,17 +353,17 @@
 func (l *Link) leave(leave *wire.Leave) {
 	l.mu.Lock()
 	endpoint, member := l.endpoint, l.member
-	l.leaving = !leave.Back
+	l.leaving = !leave.Resumed
 	l.mu.Unlock()
 	if endpoint == nil {
 		return
 	}
-	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Back)
+	member.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Resumed)
 	if leave.Closing {
 		l.mu.Lock()
 		l.closing = true
 		l.closeIdle()
 		l.mu.Unlock()
 	}
-	l.peers.log.Info("endpoint takes new work or leaves", "endpoint", endpoint.Name, "leaving", !leave.Back, "reason", leave.Reason)
+	l.peers.log.Info("endpoint takes new work or leaves", "endpoint", endpoint.Name, "leaving", !leave.Resumed, "reason", leave.Reason)
 }
--- a/internal/serve/peers/link_test.go
+++ b/internal/serve/peers/link_test.go
@@ -31,7 +31,7 @@
 				}
 			}))
 		if err == nil {
-			_ = s.Send(&wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{Back: true}})
+			_ = s.Send(&wire.Frame{Kind: wire.KindLeave, Leave: &wire.Leave{Resumed: true}})
 			_ = s.Send(&wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{}})
 			<-s.Done()
 		}
--- a/internal/serve/peers/watch.go
+++ b/internal/serve/peers/watch.go
@@ -24,14 +24,14 @@
 	var watched []*sess.Session
 	for _, l := range p.address {
 		if s := l.sessionInto(zone); s != nil {
-			s.Busy(1)
+			s.AddInFlight(1)
 			watched = append(watched, s)
 		}
 	}
 	p.group.Go(func() {
 		_ = p.clock.Sleep(p.base, watchSpan)
 		for _, s := range watched {
-			s.Busy(-1)
+			s.AddInFlight(-1)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -87,7 +87,7 @@
 		loads.Trials = g.deploy.Trials()
 	}
 	for _, load := range g.gate.PendingArrivals() {
-		loads.Inflow = append(loads.Inflow, wire.Inflow{Pool: load.Pool, Pieces: load.Pieces})
+		loads.PendingArrivals = append(loads.PendingArrivals, wire.PendingArrivals{Pool: load.Pool, Pieces: load.Pieces})
 	}
 	g.gate.EachUsedEndpoint(func(e *view.Endpoint) {
 		load := wire.EndpointLoad{
@@ -127,8 +127,8 @@
 		return nil
 	}
 	return mesh.Follower{
-		SeenFunc: func() []wire.Seen {
-			var seen []wire.Seen
+		SeenFunc: func() []wire.Progress {
+			var seen []wire.Progress
 			for _, f := range g.feeds.all() {
 				seen = append(seen, f.Seen())
 			}
@@ -141,7 +141,7 @@
 		TakeFunc: func(update *wire.Update, now clock.Millis) []string {
 			return withFeed(update.Kind, func(f *feed.Feed) bool { return f.Take(update, now) })
 		},
-		ConfirmFunc: func(seen []wire.Seen, now clock.Millis) []string {
+		ConfirmFunc: func(seen []wire.Progress, now clock.Millis) []string {
 			var missing []string
 			for _, s := range seen {
 				missing = append(missing, withFeed(s.Kind, func(f *feed.Feed) bool { return f.Confirm(s, now) })...)
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -185,7 +185,7 @@
 
 func (b *base) lookAround() {
 	for _, s := range b.peers.Sessions() {
-		b.reach.Heard(s.Peer().AvailabilityZone, s.LastHeard())
+		b.reach.Heard(s.Peer().AvailabilityZone, s.LastReceived())
 	}
 	if b.caller != nil {
 		b.reach.Platform(b.caller.Heard())
