--- a/internal/link/wire/codec.go
+++ b/internal/link/wire/codec.go
@@ -7,15 +7,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds on what a peer may send, so that a broken or hostile peer can't
-// exhaust memory before its message is checked.
+// Limits on messages from a peer, so that a faulty or hostile peer can't exhaust
+// memory before its message is checked. MaxMessage is in bytes.
 const (
-	MaxMessage  = 4 << 20
-	maxNested   = 8
-	maxElements = 1 << 16
+	MaxMessage      = 4 << 20
+	maxNestedLevels = 8
+	maxElements     = 1 << 16
 )
 
-// DecodeError says that bytes are not a frame of this protocol.
+// DecodeError is returned for bytes that are not a valid frame.
 type DecodeError struct {
 	Offset int
 	Cause  string
@@ -31,7 +31,8 @@
 	encoder = mustEncMode()
 )
 
-// mustEncMode writes into the caller's buffer, which saves a copy a frame.
+// mustEncMode returns an encoder that writes into the caller's buffer, which saves
+// one copy for each frame.
 func mustEncMode() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{}.UserBufferEncMode()
 	if err != nil {
@@ -42,7 +43,7 @@
 
 func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
-		MaxNestedLevels:  maxNested,
+		MaxNestedLevels:  maxNestedLevels,
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxElements,
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -56,7 +57,7 @@
 }
 
 // Append adds the encoding of a frame to a buffer. A message is a sequence of
-// frames, so that one write carries all that is waiting.
+// frames, so that one write sends all queued frames.
 func Append(buf []byte, frame *Frame) ([]byte, error) {
 	target := bytes.NewBuffer(buf)
 	if err := encoder.MarshalToBuffer(frame, target); err != nil {
@@ -66,8 +67,8 @@
 }
 
 // Decode calls take for each frame of a message, in order. It stops at the
-// first bad one with a DecodeError.
-func Decode(message []byte, take func(*Frame)) error {
+// first invalid frame and returns a DecodeError.
+func Decode(message []byte, handle func(*Frame)) error {
 	rest := message
 	for len(rest) > 0 {
 		frame := new(Frame)
@@ -78,14 +79,14 @@
 		if !frame.complete() {
 			return &DecodeError{Offset: len(message) - len(rest), Cause: "kind and content differ"}
 		}
-		take(frame)
+		handle(frame)
 		rest = next
 	}
 	return nil
 }
 
-// complete reports whether the field that Kind names is set. Unknown kinds
-// pass: a newer peer may send them, and the receiver skips them.
+// complete reports whether the field that Kind names is set. It returns true for
+// unknown kinds: a newer peer may send them, and the receiver skips them.
 func (f *Frame) complete() bool {
 	switch f.Kind {
 	case KindHello:
@@ -115,12 +116,12 @@
 	case KindSection:
 		return f.Section != nil
 	default:
-		return f.completeAmongGateways()
+		return f.gatewayFrameComplete()
 	}
 }
 
-// completeAmongGateways is complete for the messages of gateways.
-func (f *Frame) completeAmongGateways() bool {
+// gatewayFrameComplete is complete for the messages between gateways.
+func (f *Frame) gatewayFrameComplete() bool {
 	switch f.Kind {
 	case KindPieces:
 		return f.Pieces != nil
--- a/internal/link/wire/relay.go
+++ b/internal/link/wire/relay.go
@@ -5,74 +5,75 @@
 	"github.com/jujubescale/jujubescale/internal/base/token"
 )
 
-// Sums is the work of one process or of several. A KindReport carries that of
-// the sender, a KindGroup that of all processes that report to the sender, and a
-// KindTotal that of all processes but the receiver. The kinds differ so that no
-// process adds up what already contains its own work.
+// Sums holds the work of one or more processes. A KindReport carries the work of
+// the sender, a KindGroup the work of all processes that report to the sender, and a
+// KindTotal the work of all processes except the receiver. The kinds are distinct so
+// that no process counts its own work twice.
 type Sums struct {
-	// Whole says that the message replaces all that the sender sent before. The
-	// first message of a session is whole.
+	// Whole marks a full message, which replaces everything that the sender sent
+	// before. The first message of a session is full.
 	Whole bool `cbor:"whole,omitempty"`
-	// Urgent asks aggregators to pass the message on at once.
+	// Urgent asks aggregators to forward the message at once.
 	Urgent bool `cbor:"urgent,omitempty"`
-	// Ended withdraws all that the sender sent before: it reports elsewhere now.
+	// Ended withdraws everything that the sender sent before, because it now reports
+	// to another process.
 	Ended bool `cbor:"ended,omitempty"`
-	// Owns says that the sender of a report may own pools.
+	// Owns is set if the sender of a report may own pools.
 	Owns bool `cbor:"owns,omitempty"`
-	// Work holds the endpoints that changed.
+	// Work holds the endpoints whose work changed.
 	Work []Work `cbor:"work,omitempty"`
-	// Regular says that Pools, Inflow and Seen are complete; other messages leave
-	// them as they were.
+	// Regular is set if Pools, PendingArrivals and Progress are complete. Other
+	// messages don't change them.
 	Regular         bool              `cbor:"regular,omitempty"`
 	Pools           []PoolLoad        `cbor:"pools,omitempty"`
 	PendingArrivals []PendingArrivals `cbor:"coming,omitempty"`
 	Progress        []Progress        `cbor:"seen,omitempty"`
-	// Members are the processes of a group, when HasMembers is set; in a total,
-	// the listed processes that are not to be used.
+	// Members lists the processes of a group if HasMembers is set. In a total it
+	// lists the registered processes that must not be used.
 	HasMembers bool       `cbor:"hasMembers,omitempty"`
 	Members    []Presence `cbor:"members,omitempty"`
-	// Prefixes, Refused and Crashes are those since the message before.
+	// Prefixes, Refused and Crashes hold the events since the previous message.
 	Prefixes []PrefixUse `cbor:"uses,omitempty"`
 	Refused  []Refused   `cbor:"refused,omitempty"`
 	Crashes  []Crash     `cbor:"crashes,omitempty"`
-	// Interest names the endpoints that the sender of a report uses normally, when
-	// HasInterest is set. It learns of work at others less often.
+	// Interest lists the endpoints that the sender of a report normally uses, if
+	// HasInterest is set. The sender gets updates on other endpoints less often.
 	HasInterest bool     `cbor:"hasInterest,omitempty"`
 	Interest    []string `cbor:"interest,omitempty"`
-	// Trials replace those sent before, when HasTrials is set.
+	// Trials replaces the trials sent before, if HasTrials is set.
 	HasTrials bool    `cbor:"hasTrials,omitempty"`
 	Trials    []Trial `cbor:"trials,omitempty"`
 }
 
-// TrialKey names what a Trial counts.
+// TrialKey identifies the requests that a Trial counts.
 type TrialKey struct {
 	Pool string `cbor:"pool"`
-	// Version that the rollout goes to.
+	// Version is the version that the rollout moves to.
 	Version string `cbor:"version"`
-	// Candidate says that the counts are those of Version, at one endpoint; else
-	// they are those of the version in force at all of its endpoints.
+	// Candidate is set for counts of Version at one endpoint. Otherwise the counts
+	// are those of the current version at all of its endpoints.
 	Candidate bool   `cbor:"candidate,omitempty"`
 	Route     string `cbor:"route,omitempty"`
 	Endpoint  string `cbor:"endpoint,omitempty"`
 }
 
-// Trial counts how one version of a pool's endpoints has done for one route since
-// a rollout began.
+// Trial counts the results of one version of a pool's endpoints for one route since
+// the start of a rollout.
 type Trial struct {
 	TrialKey
-	// Sent counts requests that were sent, Answers those that ended, and Failed
-	// those of them that failed.
+	// Sent counts the requests sent, Answers those that have ended, and Failed those
+	// that ended with a failure.
 	Sent    int64 `cbor:"sent,omitempty"`
 	Answers int64 `cbor:"answers,omitempty"`
 	Failed  int64 `cbor:"failed,omitempty"`
-	// TotalMs is the sum of the answers' durations, in milliseconds, and Spread counts
-	// answers by how long they took against what was expected; see canary.Bucket.
+	// TotalMs is the sum of the durations of the answers, and Histogram counts the
+	// answers by the ratio of actual to expected duration; see canary.Bucket.
 	TotalMs   int64   `cbor:"took,omitempty"`
 	Histogram []int64 `cbor:"spread,omitempty"`
-	// Suspended says that some process has found the candidate bad.
+	// Suspended is set if a process has found the candidate bad.
 	Suspended bool `cbor:"suspended,omitempty"`
-	// Restarted says that some process has started during the rollout: what the one
-	// before it counted is lost.
+	// Restarted is set if a process has started during the rollout. The counts of
+	// its previous run are lost.
 	Restarted bool `cbor:"restarted,omitempty"`
 }
 
@@ -84,17 +85,17 @@
 	t.TotalMs += more.TotalMs
 	t.Suspended = t.Suspended || more.Suspended
 	t.Restarted = t.Restarted || more.Restarted
-	spread := make([]int64, max(len(t.Histogram), len(more.Histogram)))
-	copy(spread, t.Histogram)
-	for class, count := range more.Histogram {
-		spread[class] += count
+	histogram := make([]int64, max(len(t.Histogram), len(more.Histogram)))
+	copy(histogram, t.Histogram)
+	for bucket, count := range more.Histogram {
+		histogram[bucket] += count
 	}
-	t.Histogram = spread
+	t.Histogram = histogram
 	return t
 }
 
-// Work is what some processes have running at one endpoint; see EndpointLoad.
-// All zero means none.
+// Work is the work of one or more processes at one endpoint. EndpointLoad explains
+// the fields.
 type Work struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
@@ -127,7 +128,7 @@
 	return w
 }
 
-// Presence is one process that reports to an aggregator.
+// Presence is a process that reports to an aggregator.
 type Presence struct {
 	_           struct{} `cbor:",toarray"`
 	Process     string
@@ -135,8 +136,8 @@
 	Owns        bool
 }
 
-// Progress is how far the sender has followed one kind of objects of the store: it
-// has all changes up to Revision, the last one at Changed, as of Age
+// Progress is the progress of the sender in reading one kind of object from the store.
+// It has read all changes up to Revision, the last of them at Changed, as of Age
 // milliseconds ago.
 type Progress struct {
 	Kind     string       `cbor:"kind"`
@@ -145,14 +146,14 @@
 	Age      clock.Millis `cbor:"age"`
 }
 
-// Follow asks a peer to pass on the changes of some kinds of objects, from the
-// revisions that the sender has.
+// Follow asks a peer to forward the changes of some kinds of objects that are newer
+// than the given revisions.
 type Follow struct {
 	Kinds []Revision `cbor:"kinds"`
 }
 
-// Update passes on changes of one kind of objects in the store, those after
-// Since up to Revision, or, if Whole is set, all objects as of Revision.
+// Update forwards the changes of one kind of object in the store after Since up to
+// Revision or, if Whole is set, all objects as of Revision.
 type Update struct {
 	Kind     string       `cbor:"kind"`
 	Since    uint64       `cbor:"since,omitempty"`
@@ -160,12 +161,12 @@
 	Changed  uint64       `cbor:"changed"`
 	Whole    bool         `cbor:"whole,omitempty"`
 	Age      clock.Millis `cbor:"age,omitempty"`
-	// Outage is how long the store had been out of reach before, in milliseconds.
+	// Outage is how long the store was unreachable before.
 	Outage  clock.Millis `cbor:"away,omitempty"`
 	Objects []Stored     `cbor:"objects,omitempty"`
 }
 
-// Stored is one object of the store.
+// Stored is an object of the store.
 type Stored struct {
 	Name    string `cbor:"name"`
 	Version uint64 `cbor:"version,omitempty"`
--- a/internal/link/wire/wire.go
+++ b/internal/link/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire holds the messages that jujubescale's own processes exchange:
-// CBOR frames over one WebSocket session. Field names are camel case; unknown
-// fields are ignored and missing ones are zero, so that two neighbouring
-// versions can talk during a rolling restart.
+// Package wire defines the messages between jujubescale's own processes: CBOR
+// frames over one WebSocket session. Field names are camel case. Unknown fields
+// are ignored and missing fields are zero, so that two consecutive versions can
+// communicate during a rolling restart.
 package wire
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/jujubescale/jujubescale/internal/base/token"
 )
 
-// Version is the protocol version of this build. A peer of another version
-// is refused with a reason.
+// Version is the protocol version of this build. A session with a peer of
+// another version is refused with a reason.
 const Version = 1
 
-// Kind tells which message a Frame carries.
+// Kind is the type of the message in a Frame.
 type Kind uint8
 
 // Kinds of messages. The numbers are part of the protocol.
@@ -43,13 +43,14 @@
 	KindTotal        Kind = 22
 	KindFollow       Kind = 23
 	KindUpdate       Kind = 24
-	// KindRenew asks for whole sums on this session; it has no content.
+	// KindRenew asks the peer to send a full message of sums on this session. It
+	// has no content.
 	KindRenew Kind = 25
 )
 
-// Frame is one message. Exactly the field that Kind names is set. Release is
-// the newest release number the sender has in force: whoever is behind finds
-// out on the data path.
+// Frame is one message. Only the field that Kind names is set. Release is the
+// number of the newest release in force at the sender, so that a receiver with an
+// older release detects this from any message.
 type Frame struct {
 	Kind         Kind          `cbor:"kind"`
 	Session      uint64        `cbor:"session,omitempty"`
@@ -90,15 +91,16 @@
 	Endpoint         string            `cbor:"endpoint,omitempty"`
 	Load             *Load             `cbor:"load,omitempty"`
 	Leaving          bool              `cbor:"leaving,omitempty"`
-	// Capacity is what a gateway may use of its host, in cores.
+	// Capacity is the number of processor cores of its host that a gateway may use.
 	Capacity float64 `cbor:"capacity,omitempty"`
-	// Relays says that a gateway takes reports and passes sums on. One of the
-	// version before tells its loads to each peer and hears them from each.
+	// Relays is set by a gateway that accepts reports and forwards sums. A gateway
+	// of the previous version exchanges its loads with each peer instead.
 	Relays bool `cbor:"relays,omitempty"`
 }
 
-// Call asks an agent to run one attempt of one stage. TimeLeft is a span
-// because clocks of hosts differ; each hop subtracts its own time.
+// Call asks an agent to run one attempt of one stage. TimeLeft is a duration and
+// not an instant because the clocks of hosts differ; each hop subtracts the time
+// that it has taken.
 type Call struct {
 	ID           token.Attempt     `cbor:"id"`
 	Organisation string            `cbor:"organisation"`
@@ -116,8 +118,9 @@
 	Body         []byte            `cbor:"body,omitempty"`
 }
 
-// Refuse says that an attempt gets no answer. It is the only message that may
-// say notRun; the agent has fenced the attempt before it sends this.
+// Refuse ends an attempt without an answer. It is the only message that may
+// report an attempt as notRun: the agent fences the attempt before it sends this,
+// so that it can't start later.
 type Refuse struct {
 	ID         token.Attempt `cbor:"id"`
 	Reason     fault.Reason  `cbor:"reason"`
@@ -129,16 +132,16 @@
 	Load       *Load         `cbor:"load,omitempty"`
 }
 
-// Part carries bytes of an answer from Offset on. A part that arrives twice is
-// harmless because of its offset.
+// Part carries bytes of an answer, starting at Offset. The offset lets the
+// receiver ignore a part that arrives twice.
 type Part struct {
 	ID     token.Attempt `cbor:"id"`
 	Offset int64         `cbor:"offset"`
 	Bytes  []byte        `cbor:"bytes"`
 }
 
-// End closes an answer. An answer without its End is not whole. Digest is the
-// xxhash of all bytes.
+// End completes an answer. An answer without its End is incomplete. Digest is the
+// xxhash of all bytes of the answer.
 type End struct {
 	ID          token.Attempt `cbor:"id"`
 	Length      int64         `cbor:"length"`
@@ -150,26 +153,27 @@
 	Load        *Load         `cbor:"load,omitempty"`
 }
 
-// Ack lets the agent forget a finished attempt.
+// Ack confirms that the answer has arrived, so that the agent can discard the
+// attempt.
 type Ack struct {
 	ID token.Attempt `cbor:"id"`
 }
 
-// Cancel withdraws an attempt; the agent stops the engine.
+// Cancel ends an attempt early; the agent stops the engine's work on it.
 type Cancel struct {
 	ID     token.Attempt `cbor:"id"`
 	Reason string        `cbor:"reason,omitempty"`
 }
 
-// Ask requests the outcome of an attempt after silence, and the bytes of its
-// answer from Offset on.
+// Ask requests the state of an attempt from which nothing has arrived for a
+// while, and the bytes of its answer from Offset on.
 type Ask struct {
 	ID     token.Attempt     `cbor:"id"`
 	Target token.Incarnation `cbor:"target,omitempty"`
 	Offset int64             `cbor:"offset"`
 }
 
-// State is what an agent knows about an attempt.
+// State is the state of an attempt at its agent.
 type State string
 
 // States of an attempt in an Outcome.
@@ -181,13 +185,14 @@
 	StateUnknown State = "unknown"
 )
 
-// Outcome answers an Ask. Parts and the End or Refuse follow where they exist.
+// Outcome answers an Ask. The parts of the answer and the End or Refuse follow if
+// there are any.
 type Outcome struct {
 	ID    token.Attempt `cbor:"id"`
 	State State         `cbor:"state"`
 }
 
-// Load is what an agent says of its endpoint.
+// Load is the load of an agent's endpoint.
 type Load struct {
 	Running int   `cbor:"running"`
 	Queued  int   `cbor:"queued"`
@@ -196,28 +201,31 @@
 	Cost    int64 `cbor:"cost,omitempty"`
 	// ServiceTime is the recent typical service time.
 	ServiceTime clock.Millis `cbor:"serviceTime,omitempty"`
-	// PrefixEpoch changes whenever the endpoint's prefix cache was lost.
+	// PrefixEpoch changes each time the endpoint loses its prefix cache.
 	PrefixEpoch uint64 `cbor:"prefixEpoch,omitempty"`
 }
 
-// Beat keeps a session known to be alive and carries the load when idle.
+// Beat is a heartbeat. It shows that the session works, and carries the load
+// while no other messages are sent.
 type Beat struct {
 	Reply bool `cbor:"reply,omitempty"`
-	// Mark comes back in the reply, to tell which heartbeat it answers.
+	// Mark is copied into the reply to identify the heartbeat that it answers.
 	Mark uint64 `cbor:"mark,omitempty"`
 	Load *Load  `cbor:"load,omitempty"`
-	// Outside is how long ago the sender heard from outside its availability
-	// zone, plus one; 0 says nothing.
+	// Outside is the time since the sender last received a message from outside
+	// its availability zone, plus one millisecond. It is 0 if not reported.
 	Outside clock.Millis `cbor:"outside,omitempty"`
 }
 
-// Leave says that the sender takes no new work from now on.
+// Leave announces that the sender takes no new work from now on or, if Resumed
+// is set, that it takes new work again.
 type Leave struct {
 	Reason  string `cbor:"reason"`
 	Resumed bool   `cbor:"back,omitempty"`
-	// Closing says that the sender ends: the peer closes the session once it has
-	// nothing in flight there. A call that it sent just then would otherwise
-	// meet a process that no longer reads, and nobody could say whether it ran.
+	// Closing is set when the sender is about to exit. The peer then closes the
+	// session as soon as it has no calls in flight on it. If the sender closed it, a
+	// call sent at that moment could go unread, and it would be unknown whether
+	// the call ran.
 	Closing bool `cbor:"closing,omitempty"`
 }
 
@@ -229,12 +237,12 @@
 }
 
 // Section carries one section of the configuration, the head, or the part that
-// an agent needs. Bytes is empty when the asker's Digest is still right.
+// an agent needs. Bytes is empty if the content still has the Digest of the Fetch.
 type Section struct {
 	Name   string `cbor:"name"`
 	Digest uint64 `cbor:"digest,omitempty"`
-	// Release that the content belongs to. The Frame's number may already be
-	// a newer one.
+	// Release is the release of the content. The Frame's release may already be
+	// newer.
 	Release uint64 `cbor:"release,omitempty"`
 	Found   bool   `cbor:"found"`
 	Bytes   []byte `cbor:"bytes,omitempty"`
@@ -242,7 +250,7 @@
 
 // Pieces asks the owner of a pool for the pieces of one stage of one request.
 type Pieces struct {
-	// CallID names the call on this session.
+	// CallID identifies the call on this session.
 	CallID  uint64   `cbor:"ticket"`
 	Pool    string   `cbor:"pool"`
 	Request string   `cbor:"request"`
@@ -250,95 +258,99 @@
 	Count   int      `cbor:"count"`
 	Key     string   `cbor:"key,omitempty"`
 	Inputs  []string `cbor:"inputs,omitempty"`
-	// TimeLeft is the span after which the results are of no use, Slack the span
-	// within which they are wanted, and Penalty what puts the request behind
-	// others; all in milliseconds.
+	// TimeLeft is the time until the results are useless, Slack the time until they
+	// are needed to meet the objective, and Penalty is added to the request's rank
+	// so that others are served before it.
 	TimeLeft clock.Millis `cbor:"timeLeft"`
 	Slack    clock.Millis `cbor:"slack"`
 	Penalty  clock.Millis `cbor:"penalty,omitempty"`
-	// Bytes of one result.
+	// Bytes is the size of one result.
 	Bytes int64 `cbor:"bytes,omitempty"`
-	// Zone where the results are best made, and how long to wait for an engine
-	// there, in milliseconds; Firm says to wait also when much else waits.
+	// Zone is the preferred availability zone for the work, and Hold how long to
+	// wait for an engine there. Without HoldUnderLoad the pieces wait only while few
+	// others are queued.
 	Zone          string       `cbor:"zone,omitempty"`
 	Hold          clock.Millis `cbor:"hold,omitempty"`
 	HoldUnderLoad bool         `cbor:"firm,omitempty"`
 }
 
-// Results answers Pieces: a reference for each piece, and the endpoint and the
-// availability zone it lies in, or why there are none.
+// Results answers Pieces. It holds a reference to the result of each piece, with
+// the endpoint and availability zone where it is stored, or the reason why there
+// are no results.
 type Results struct {
 	CallID     uint64       `cbor:"ticket"`
 	References []string     `cbor:"references,omitempty"`
 	Endpoints  []string     `cbor:"endpoints,omitempty"`
 	Zones      []string     `cbor:"zones,omitempty"`
 	Reason     fault.Reason `cbor:"reason,omitempty"`
-	// RetryAfter is when another try may go better, in milliseconds.
+	// RetryAfter is the time after which another attempt may succeed.
 	RetryAfter clock.Millis `cbor:"retryAfter,omitempty"`
 }
 
-// InputsRead tells that all pieces have read their inputs; Made follows.
+// InputsRead reports that all pieces have read their inputs. Results follows.
 type InputsRead struct {
 	CallID uint64 `cbor:"ticket"`
 }
 
-// CancelPieces withdraws Pieces, because the request ended.
+// CancelPieces cancels Pieces because the request has ended.
 type CancelPieces struct {
 	CallID uint64 `cbor:"ticket"`
 }
 
-// Unused gives results back that nobody needs any more.
+// Unused lists results that are no longer needed, so that their memory can be freed.
 type Unused struct {
 	Pool       string   `cbor:"pool"`
 	References []string `cbor:"references"`
-	// Endpoints where they lie: the owner of the pool may have changed since
-	// they were made, and the new one knows nothing of them.
+	// Endpoints stores the location of each result. The owner of the pool may have
+	// changed since the results were computed, and a new owner has no record of them.
 	Endpoints []string `cbor:"endpoints"`
-	// Bytes is the size of each, which a new owner doesn't know either.
+	// Bytes is the size of each result, which a new owner has no record of either.
 	Bytes []int64 `cbor:"bytes,omitempty"`
-	// Reclaimable says that they are needed again only if a stage fails: their memory
-	// is used for something else when it is short. That holds after Delay, in
-	// milliseconds.
+	// Reclaimable is set for results that are needed again only if a stage fails.
+	// Their memory may be reused when memory is short, but not before Delay has
+	// passed.
 	Reclaimable bool         `cbor:"spare,omitempty"`
 	Delay       clock.Millis `cbor:"delay,omitempty"`
 }
 
-// Loads tells peers what the sender has running at endpoints, and how long
-// work waits in the pools that it owns. Each message replaces the one before.
+// Loads reports the sender's work at endpoints and the queues of the pools that it
+// owns. Each message replaces the previous one.
 type Loads struct {
-	// Leaving says that the sender may not own pools, or not yet. It repeats what
-	// hello and leave said: either may cross the moment in which a session begins.
+	// Leaving is set if the sender may not own pools, or not yet. It repeats the
+	// state of hello and leave, because either can be sent while a session is being
+	// opened and be missed.
 	Leaving   bool           `cbor:"leaving,omitempty"`
 	Endpoints []EndpointLoad `cbor:"endpoints,omitempty"`
 	Pools     []PoolLoad     `cbor:"pools,omitempty"`
-	// Progress are the revisions of the changes that the sender noticed last, by kind
-	// of object, so that one process that reads the store early tells all others.
+	// Progress holds the revision of the last change that the sender has read, by kind
+	// of object, so that all processes learn of a change once one has read it.
 	Progress []Revision `cbor:"seen,omitempty"`
-	// PendingArrivals is the pieces that requests of the sender will ask for, by pool.
+	// PendingArrivals holds the pieces that the sender's open requests will send to
+	// later stages, by pool.
 	PendingArrivals []PendingArrivals `cbor:"coming,omitempty"`
-	// Prefixes are those used since the message before.
+	// Prefixes holds the prefixes used since the previous message.
 	Prefixes []PrefixUse `cbor:"uses,omitempty"`
-	// Refused are the callers told to come back since the message before.
+	// Refused holds the callers refused with a retry delay since the previous message.
 	Refused []Refused `cbor:"refused,omitempty"`
-	// Crashes are those learned of since the message before.
+	// Crashes holds the crashes learned of since the previous message.
 	Crashes []Crash `cbor:"crashes,omitempty"`
-	// Interest names the endpoints that the sender uses normally.
+	// Interest lists the endpoints that the sender normally uses.
 	Interest []string `cbor:"interest,omitempty"`
-	// Trials are what the sender has counted in rollouts that run.
+	// Trials holds the sender's counts for the rollouts in progress.
 	Trials []Trial `cbor:"trials,omitempty"`
 }
 
-// Refused is a caller that was told to come back. Processes' clocks differ, so
-// that it holds spans until the message was sent, in milliseconds.
+// Refused is a caller that was refused with a retry delay. Its times are relative to
+// the sending of the message, because the clocks of processes differ.
 type Refused struct {
 	Key uint64 `cbor:"key"`
-	// Age of its first attempt, and the Wait that is left until it may return.
+	// Age is the time since its first attempt, and Wait the time until it may retry.
 	Age  clock.Millis `cbor:"age"`
 	Wait clock.Millis `cbor:"wait"`
 }
 
-// Crash says that an endpoint crashed while it worked on a request, or, if Cleared
-// is set, that the request was answered; see crash.Report.
+// Crash reports that an endpoint crashed while it worked on a request or, if
+// Cleared is set, that the request was answered; see crash.Report.
 type Crash struct {
 	_        struct{} `cbor:",toarray"`
 	Key      []byte
@@ -346,13 +358,13 @@
 	Cleared  bool
 }
 
-// PendingArrivals is the pieces that will be asked for in one pool, by class of rank.
+// PendingArrivals counts the pieces that will be sent to one pool, by class of rank.
 type PendingArrivals struct {
 	Pool   string `cbor:"pool"`
 	Pieces []int  `cbor:"pieces"`
 }
 
-// Revision is how far changes of one kind of object were noticed.
+// Revision is the revision up to which changes of one kind of object have been read.
 type Revision struct {
 	Kind     string `cbor:"kind"`
 	Revision uint64 `cbor:"revision"`
@@ -362,32 +374,33 @@
 type EndpointLoad struct {
 	Endpoint string `cbor:"endpoint"`
 	Running  int64  `cbor:"running,omitempty"`
-	// Prefill is prompt tokens not yet read, Memory the tokens of all that runs,
-	// Planned the prompt tokens of requests that will be sent there soon.
+	// Prefill counts the prompt tokens not yet processed, Memory the tokens of all
+	// running requests, and Planned the prompt tokens of requests that will be sent
+	// there soon.
 	Prefill int64 `cbor:"prefill,omitempty"`
 	Memory  int64 `cbor:"memory,omitempty"`
 	Planned int64 `cbor:"planned,omitempty"`
 }
 
-// PrefixUse tells that a prompt with these shared parts was sent to an endpoint.
+// PrefixUse reports that a prompt with these shared parts was sent to an endpoint.
 type PrefixUse struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
-	// Parts holds a hash of each part's id: there is a use for each generation of the
-	// whole fleet, and two ids that fall together only make a hint wrong.
+	// Parts holds a short hash of each part's ID. Every generation in the fleet
+	// produces a PrefixUse, so size matters; a collision only makes a hint wrong.
 	Parts []uint32
 }
 
 // PoolLoad is the queue of one pool at its owner.
 type PoolLoad struct {
 	Pool string `cbor:"pool"`
-	// Waiting pieces by class of rank; Engines that take calls, and those that
-	// have none.
+	// Waiting is the number of queued pieces by class of rank, Engines the number of
+	// engines that accept calls, and Free the number of those without a call.
 	Waiting []int `cbor:"waiting,omitempty"`
 	Engines int   `cbor:"engines,omitempty"`
 	Free    int   `cbor:"free,omitempty"`
-	// Fill is how many pieces a call holds when more wait.
+	// Fill is the number of pieces in a call while more are queued.
 	Fill float64 `cbor:"fill,omitempty"`
-	// Age is how long ago its owner said so, in milliseconds, when it was passed on.
+	// Age is the time since the owner's report, if the report was forwarded.
 	Age clock.Millis `cbor:"age,omitempty"`
 }
--- a/internal/link/wire/wire_test.go
+++ b/internal/link/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// samples has one frame of each kind.
+// samples returns frames of most kinds, one of each.
 func samples() []*wire.Frame {
 	id := token.Attempt{Request: "5f", Stage: 1, Try: 2}
 	load := &wire.Load{Running: 1, Queued: 2, Limit: 8, Cold: true}
@@ -60,21 +60,21 @@
 	return frames, err
 }
 
-func TestFramesOfOneMessageComeBackInOrder(t *testing.T) {
+func TestFramesOfOneMessageDecodeInOrder(t *testing.T) {
 	got, err := decode(encode(t, samples()...))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, samples())
 }
 
-// A peer breaks off in the middle of a frame. The frames before it count, and
-// the rest is an error and never a frame with half of its fields.
-func TestCutMessage(t *testing.T) {
-	whole := encode(t, samples()[1])
-	message := append(encode(t, samples()[0]), whole...)
-	for cut := 1; cut < len(whole); cut++ {
-		got, err := decode(message[:len(message)-cut])
-		var broken *wire.DecodeError
-		assert.Assert(t, errors.As(err, &broken), "cut by %d: %v", cut, err)
+// Guards against frames with only part of their fields: when a message is truncated
+// in the middle of a frame, the frames before it are decoded and the rest is an error.
+func TestTruncatedMessage(t *testing.T) {
+	last := encode(t, samples()[1])
+	message := append(encode(t, samples()[0]), last...)
+	for missing := 1; missing < len(last); missing++ {
+		got, err := decode(message[:len(message)-missing])
+		var decodeErr *wire.DecodeError
+		assert.Assert(t, errors.As(err, &decodeErr), "cut by %d: %v", missing, err)
 		assert.Equal(t, len(got), 1)
 	}
 }
@@ -95,8 +95,8 @@
 	assert.Equal(t, len(got), 1)
 }
 
-// Whatever bytes a peer sends, they are an error or frames that come back the
-// same when they are sent on.
+// Guards against input on which the decoder panics, and against frames that change
+// when they are encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, frame := range samples() {
 		f.Add(encode(f, frame))
@@ -105,8 +105,8 @@
 	f.Add([]byte{0xff, 0x00})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		frames, err := decode(message)
-		var broken *wire.DecodeError
-		assert.Assert(t, err == nil || errors.As(err, &broken))
+		var decodeErr *wire.DecodeError
+		assert.Assert(t, err == nil || errors.As(err, &decodeErr))
 		again, err := decode(encode(t, frames...))
 		assert.NilError(t, err)
 		assert.Equal(t, len(again), len(frames))
