--- a/internal/link/sess/export_test.go
+++ b/internal/link/sess/export_test.go
@@ -1,4 +1,4 @@
 package sess
 
-// Abort cuts the connection as if the peer had gone.
+// Abort closes the connection without a close message, as when the peer crashes.
 func (s *Session) Abort() { _ = s.conn.Close() }
--- a/internal/link/sess/open.go
+++ b/internal/link/sess/open.go
@@ -18,27 +18,27 @@
 
 const (
 	defaultQueue = 4096
-	// An entry holds some three hundred sessions, mostly idle, and may spend
-	// 10 KB a second on control: at 220 bytes a heartbeat with its reply, one in
-	// 8 s takes 8 KB.
-	defaultBeatIdle     = 8 * clock.Second
-	defaultBeatBusy     = 250
+	// An entry has about 300 sessions, most of them idle, and may use 10 KB/s for
+	// control messages. A heartbeat and its reply take 220 bytes, so that one per
+	// session every 8 s uses 8 KB/s.
+	defaultIdleInterval = 8 * clock.Second
+	defaultBusyInterval = 250
 	defaultWriteTimeout = 10 * clock.Second
 	defaultHelloTimeout = 3 * clock.Second
-	silentBeats         = 3
-	batchBytes          = 64 << 10
+	silentIntervals     = 3
+	maxBatchBytes       = 64 << 10
 	bufferBytes         = 4 << 10
 )
 
-// writeBuffers lends a buffer for the length of one write: a session that is
-// idle holds none.
+// writeBuffers provides a buffer for the duration of a write, so that idle sessions
+// hold none.
 var writeBuffers sync.Pool
 
 type options struct {
 	clock        *clock.Clock
 	hello        func() wire.Hello
 	handler      Handler
-	opened       func(*Session)
+	accepted     func(*Session)
 	release      func() uint64
 	load         func() *wire.Load
 	outside      func() clock.Millis
@@ -46,10 +46,10 @@
 	tls          *tls.Config
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
 	queue        int
-	beatIdle     clock.Millis
-	beatBusy     clock.Millis
+	idleInterval clock.Millis
+	busyInterval clock.Millis
 	writeTimeout clock.Millis
-	opening      clock.Millis
+	openTimeout  clock.Millis
 }
 
 // Option changes how a session is opened.
@@ -58,17 +58,17 @@
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithHello sets what this process says of itself.
+// WithHello sets the source of the hello that this process sends.
 func WithHello(hello func() wire.Hello) Option { return func(o *options) { o.hello = hello } }
 
-// WithHandler sets who takes the frames.
+// WithHandler sets the handler of received frames.
 func WithHandler(handler Handler) Option { return func(o *options) { o.handler = handler } }
 
-// WithAccepted sets who is told of an accepted session before the process that
-// dialed it hears the hello. From then on that process may refer to the session
-// on another one, and a reader there must find it entered already. The session
-// ends later, also when its hello could not be sent.
-func WithAccepted(opened func(*Session)) Option { return func(o *options) { o.opened = opened } }
+// WithAccepted sets a function that Accept calls before it answers the hello of the
+// dialing process. After the answer that process may refer to this session on another
+// one, so the session must be registered by then. The session's Done channel is closed
+// later, even if the hello could not be sent.
+func WithAccepted(accepted func(*Session)) Option { return func(o *options) { o.accepted = accepted } }
 
 // WithRelease sets the source of the release number that each frame carries.
 func WithRelease(release func() uint64) Option { return func(o *options) { o.release = release } }
@@ -76,15 +76,15 @@
 // WithLoad sets the load that heartbeats carry.
 func WithLoad(load func() *wire.Load) Option { return func(o *options) { o.load = load } }
 
-// WithOutside sets what heartbeats say of the reach beyond the availability zone.
+// WithOutside sets the source of the field Outside of heartbeats; see wire.Beat.
 func WithOutside(outside func() clock.Millis) Option {
 	return func(o *options) { o.outside = outside }
 }
 
-// WithDropped sets who counts dropped frames.
+// WithDropped sets a function that is called with the reason for each dropped frame.
 func WithDropped(dropped func(reason string)) Option { return func(o *options) { o.dropped = dropped } }
 
-// WithTLS dials with TLS.
+// WithTLS makes Dial use TLS.
 func WithTLS(config *tls.Config) Option { return func(o *options) { o.tls = config } }
 
 // WithDial replaces the TCP dialer.
@@ -92,34 +92,37 @@
 	return func(o *options) { o.dial = dial }
 }
 
-// WithHeartbeats sets the spans between heartbeats without and with calls in flight.
+// WithHeartbeats sets the intervals between heartbeats without and with calls in
+// flight.
 func WithHeartbeats(idle, busy clock.Millis) Option {
-	return func(o *options) { o.beatIdle, o.beatBusy = idle, busy }
+	return func(o *options) { o.idleInterval, o.busyInterval = idle, busy }
 }
 
-// WithOpenTimeout bounds how long a dialed session may take to open, connecting
-// included.
-func WithOpenTimeout(timeout clock.Millis) Option { return func(o *options) { o.opening = timeout } }
+// WithOpenTimeout sets the timeout of connecting with the WebSocket handshake, and
+// again that of the peer's hello after it. Accept uses it only for the hello.
+func WithOpenTimeout(timeout clock.Millis) Option {
+	return func(o *options) { o.openTimeout = timeout }
+}
 
-// WithQueue sets how many frames may wait for the peer.
+// WithQueue sets the maximum number of queued frames.
 func WithQueue(frames int) Option { return func(o *options) { o.queue = frames } }
 
-func collect(opts []Option) options {
+func newOptions(opts []Option) options {
 	o := options{
 		clock:        clock.New(),
 		hello:        func() wire.Hello { return wire.Hello{Version: wire.Version} },
 		handler:      func(*Session, *wire.Frame) {},
-		opened:       func(*Session) {},
+		accepted:     func(*Session) {},
 		release:      func() uint64 { return 0 },
 		load:         func() *wire.Load { return nil },
 		outside:      func() clock.Millis { return 0 },
 		dropped:      func(string) {},
 		dial:         (&net.Dialer{}).DialContext,
 		queue:        defaultQueue,
-		beatIdle:     defaultBeatIdle,
-		beatBusy:     defaultBeatBusy,
+		idleInterval: defaultIdleInterval,
+		busyInterval: defaultBusyInterval,
 		writeTimeout: defaultWriteTimeout,
-		opening:      defaultHelloTimeout,
+		openTimeout:  defaultHelloTimeout,
 	}
 	for _, opt := range opts {
 		opt(&o)
@@ -127,7 +130,7 @@
 	return o
 }
 
-// VersionError says that the peer speaks another protocol version.
+// VersionError is returned if the peer uses another protocol version.
 type VersionError struct {
 	Process string
 	Version int
@@ -135,17 +138,18 @@
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("%s speaks protocol version %d; allowed: %d", e.Process, e.Version, wire.Version)
+	return fmt.Sprintf("%s uses protocol version %d; supported: %d", e.Process, e.Version, wire.Version)
 }
 
 // Dial opens a session to the process at an address (host:port). The session
-// lives until the context ends, either side closes it or it goes silent.
+// ends when the context ends, when either side closes it, or when nothing has
+// arrived from the peer for too long.
 func Dial(ctx context.Context, address string, opts ...Option) (*Session, error) {
-	o := collect(opts)
+	o := newOptions(opts)
 	dialer := websocket.Dialer{
 		NetDialContext:   o.dial,
 		TLSClientConfig:  o.tls,
-		HandshakeTimeout: o.opening.Duration(),
+		HandshakeTimeout: o.openTimeout.Duration(),
 		ReadBufferSize:   bufferBytes,
 		WriteBufferSize:  bufferBytes,
 		WriteBufferPool:  &writeBuffers,
@@ -163,11 +167,11 @@
 	}
 	s := newSession(conn, o, true)
 	s.number = rand.Uint64() | 1
-	if err := s.sayHello(); err != nil {
+	if err := s.sendHello(); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	if err := s.hearHello(); err != nil {
+	if err := s.readHello(); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -175,14 +179,15 @@
 	return s, nil
 }
 
-// Accept answers a request to open a session. It returns after the hellos; the
-// session then lives on until the context ends or it closes. With an error it
-// returns a session that has ended if that was entered already, else nil.
+// Accept answers a request to open a session. It returns after both hellos; the
+// session then stays open until the context ends or it is closed. On an error, Accept
+// returns the ended session if the function of WithAccepted was called with it, else
+// nil.
 func Accept(ctx context.Context, w http.ResponseWriter, r *http.Request, opts ...Option) (*Session, error) {
-	o := collect(opts)
+	o := newOptions(opts)
 	upgrader := websocket.Upgrader{
 		HandshakeTimeout: defaultHelloTimeout.Duration(),
-		ReadBufferSize:   0, // the HTTP server's own buffer goes on being used
+		ReadBufferSize:   0, // reuse the buffer of the HTTP server
 		WriteBufferSize:  bufferBytes,
 		WriteBufferPool:  &writeBuffers,
 	}
@@ -191,22 +196,22 @@
 		return nil, err
 	}
 	s := newSession(conn, o, false)
-	if err := s.hearHello(); err != nil {
-		s.sayBye(err)
+	if err := s.readHello(); err != nil {
+		s.reject(err)
 		return nil, err
 	}
-	s.heard.Store(int64(o.clock.Now()))
-	s.opts.opened(s)
-	if err := s.sayHello(); err != nil {
-		s.fail(err)
+	s.lastReceived.Store(int64(o.clock.Now()))
+	s.opts.accepted(s)
+	if err := s.sendHello(); err != nil {
+		s.closeUnstarted(err)
 		return s, err
 	}
 	s.run(ctx)
 	return s, nil
 }
 
-// fail ends a session that never began to run.
-func (s *Session) fail(cause error) {
+// closeUnstarted ends a session whose reader and writer were not started.
+func (s *Session) closeUnstarted(cause error) {
 	s.Close(cause)
 	_ = s.conn.Close()
 	close(s.done)
@@ -215,17 +220,17 @@
 func newSession(conn *websocket.Conn, o options, dialed bool) *Session {
 	conn.SetReadLimit(wire.MaxMessage)
 	return &Session{
-		conn:    conn,
-		opts:    o,
-		dialed:  dialed,
-		out:     newQueue(o.queue),
-		closing: make(chan struct{}),
-		hurry:   make(chan struct{}, 1),
-		done:    make(chan struct{}),
+		conn:      conn,
+		opts:      o,
+		dialed:    dialed,
+		out:       newQueue(o.queue),
+		closing:   make(chan struct{}),
+		firstCall: make(chan struct{}, 1),
+		done:      make(chan struct{}),
 	}
 }
 
-func (s *Session) sayHello() error {
+func (s *Session) sendHello() error {
 	hello := s.opts.hello()
 	hello.Version = wire.Version
 	frame := &wire.Frame{Kind: wire.KindHello, Session: s.number, Release: s.opts.release(), Hello: &hello}
@@ -236,14 +241,14 @@
 	return s.flush(buf)
 }
 
-func (s *Session) sayBye(cause error) {
+func (s *Session) reject(cause error) {
 	message := websocket.FormatCloseMessage(websocket.ClosePolicyViolation, cause.Error())
 	_ = s.conn.WriteControl(websocket.CloseMessage, message, time.Now().Add(time.Second))
 	_ = s.conn.Close()
 }
 
-func (s *Session) hearHello() error {
-	deadline := time.Now().Add(s.opts.opening.Duration())
+func (s *Session) readHello() error {
+	deadline := time.Now().Add(s.opts.openTimeout.Duration())
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return err
 	}
@@ -256,7 +261,7 @@
 		return err
 	}
 	if first == nil || first.Kind != wire.KindHello {
-		return &ProtocolError{Cause: "no hello"}
+		return &ProtocolError{Cause: "first frame is not a hello"}
 	}
 	if first.Hello.Version != wire.Version {
 		return &VersionError{Process: first.Hello.Process, Version: first.Hello.Version}
--- a/internal/link/sess/opened_test.go
+++ b/internal/link/sess/opened_test.go
@@ -13,16 +13,16 @@
 	"github.com/jujubescale/jujubescale/internal/link/sess"
 )
 
-// The accepting process is slow just when a session opens. The process that
-// dialed may use the session at once, or speak of it on another one; it must
-// not get that far before the accepting process has entered the session.
-func TestSessionIsEnteredBeforeTheDialerHears(t *testing.T) {
+// Guards against a session that its dialer uses, or refers to on another session,
+// before the accepting process has registered it, for example because that process is
+// slow at this moment.
+func TestSessionIsRegisteredBeforeDialReturns(t *testing.T) {
 	const slow = 50 * time.Millisecond
-	var entered atomic.Bool
+	var registered atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s, err := sess.Accept(t.Context(), w, r, sess.WithAccepted(func(*sess.Session) {
 			time.Sleep(slow)
-			entered.Store(true)
+			registered.Store(true)
 		}))
 		if err == nil {
 			<-s.Done()
@@ -31,23 +31,23 @@
 	defer server.Close()
 	s, err := sess.Dial(t.Context(), strings.TrimPrefix(server.URL, "http://"))
 	assert.NilError(t, err)
-	assert.Assert(t, entered.Load())
+	assert.Assert(t, registered.Load())
 	s.Close(nil)
 	<-s.Done()
 }
 
-// The process that dialed is gone before it gets the hello. Whoever entered the
-// session is told that it has ended, or it would stay entered for good.
+// Guards against a session that stays registered for ever because the dialing process
+// ended before it received the hello.
 func TestSessionThatEndsBeforeItsHelloIsReturned(t *testing.T) {
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var entered *sess.Session
+		var registered *sess.Session
 		s, err := sess.Accept(t.Context(), w, r, sess.WithAccepted(func(s *sess.Session) {
-			entered = s
+			registered = s
 			s.Abort()
 		}))
-		if s == nil || s != entered {
-			t.Errorf("returned %p for %p", s, entered)
+		if s == nil || s != registered {
+			t.Errorf("returned %p for %p", s, registered)
 			return
 		}
 		<-s.Done()
--- a/internal/link/sess/queue.go
+++ b/internal/link/sess/queue.go
@@ -6,15 +6,16 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// keepFrames is the room that an emptied queue keeps. A burst leaves more
-// behind, which a process with many sessions must not hold for each of them.
-const keepFrames = 64
+// maxKeptFrames is the largest capacity, in frames, that an emptied queue keeps.
+// A burst makes the slice larger, and a process with many sessions must not keep that
+// memory for each of them.
+const maxKeptFrames = 64
 
-// queue holds the frames that wait for the writer. It takes memory only for
-// what waits: an entry holds sessions to many agents, most of them idle.
+// queue holds the frames for the writer. It uses memory only for queued frames,
+// because an entry has sessions with many agents, most of them idle.
 type queue struct {
 	limit int
-	// wake has a value while frames may wait.
+	// wake holds a value while frames may be queued.
 	wake chan struct{}
 
 	mu     sync.Mutex
@@ -23,7 +24,7 @@
 
 func newQueue(limit int) *queue { return &queue{limit: limit, wake: make(chan struct{}, 1)} }
 
-// put adds a frame and reports false when the queue is full.
+// put adds a frame. It returns false if the queue is full.
 func (q *queue) put(frame *wire.Frame) bool {
 	q.mu.Lock()
 	full := len(q.frames) >= q.limit
@@ -41,16 +42,16 @@
 	return true
 }
 
-// swap takes all frames that wait and leaves the emptied slice of the last
-// time for the next ones.
+// swap returns all queued frames and removes them. The queue reuses the memory of
+// emptied, the slice that the previous call returned.
 func (q *queue) swap(emptied []*wire.Frame) []*wire.Frame {
 	clear(emptied)
-	if cap(emptied) > keepFrames {
+	if cap(emptied) > maxKeptFrames {
 		emptied = nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	waiting := q.frames
+	queued := q.frames
 	q.frames = emptied[:0]
-	return waiting
+	return queued
 }
--- a/internal/link/sess/sess.go
+++ b/internal/link/sess/sess.go
@@ -1,6 +1,7 @@
-// Package sess keeps one WebSocket session between two of jujubescale's own
-// processes: hello exchange, a bounded send queue whose frames are batched
-// into one message, heartbeats, and detection of connections that went silent.
+// Package sess implements a WebSocket session between two of jujubescale's own
+// processes: the exchange of hellos, a bounded send queue whose frames are batched
+// into one message, heartbeats, and detection of connections on which nothing
+// arrives any more.
 package sess
 
 import (
@@ -17,62 +18,63 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// Path is where a process accepts sessions.
+// Path is the HTTP path at which a process accepts sessions.
 const Path = "/v1/session"
 
-// Handler takes each frame that arrives, in order, on the session's reader.
-// It must not block.
+// Handler is called for each received frame, in order, on the session's reader
+// goroutine. It must not block.
 type Handler func(*Session, *wire.Frame)
 
-// Session is one connection to a peer that has said hello.
+// Session is a connection to a peer whose hello has been received.
 type Session struct {
-	conn    *websocket.Conn
-	opts    options
-	number  uint64
-	dialed  bool
-	peer    wire.Hello
-	out     *queue
-	closing chan struct{}
-	done    chan struct{}
-	once    sync.Once
-	cause   error
-	heard   atomic.Int64
-	busy    atomic.Int64
-	batch   []*wire.Frame // the writer's own
-	hurry   chan struct{} // wakes the writer when the first call is in flight
-	asked   clock.Millis  // when the writer last asked for a sign of life
-	resumed clock.Millis  // when the writer last got processor time late
+	conn         *websocket.Conn
+	opts         options
+	number       uint64
+	dialed       bool
+	peer         wire.Hello
+	out          *queue
+	closing      chan struct{}
+	done         chan struct{}
+	once         sync.Once
+	cause        error
+	lastReceived atomic.Int64
+	inFlight     atomic.Int64
+	batch        []*wire.Frame // used only by the writer
+	firstCall    chan struct{} // wakes the writer when a call is sent and none was in flight
+	probedAt     clock.Millis  // when the writer last sent a heartbeat
+	stalledUntil clock.Millis  // when the writer last ran late by an interval or more
 }
 
-// Peer returns what the other side said of itself.
+// Peer returns the hello of the peer.
 func (s *Session) Peer() wire.Hello { return s.peer }
 
 // Number identifies the session on both sides.
 func (s *Session) Number() uint64 { return s.number }
 
-// Done closes once the session has ended and its goroutines are gone.
+// Done returns a channel that is closed once the session and its goroutines have
+// ended.
 func (s *Session) Done() <-chan struct{} { return s.done }
 
-// Err returns why the session ended. Read it after Done.
+// Err returns the cause of the session's end. It is valid once Done is closed.
 func (s *Session) Err() error { return s.cause }
 
 // LastReceived returns the instant of the newest message from the peer.
-func (s *Session) LastReceived() clock.Millis { return clock.Millis(s.heard.Load()) }
+func (s *Session) LastReceived() clock.Millis { return clock.Millis(s.lastReceived.Load()) }
 
-// AddInFlight changes the count of calls in flight. While it is above zero the
-// heartbeat is fast, so that a silent connection is noticed while it matters.
+// AddInFlight changes the number of calls in flight. While it is above zero,
+// heartbeats are more frequent, so that a silent connection is detected soon.
 func (s *Session) AddInFlight(change int64) {
-	if s.busy.Add(change) != change || change <= 0 {
+	if s.inFlight.Add(change) != change || change <= 0 {
 		return
 	}
 	select {
-	case s.hurry <- struct{}{}:
+	case s.firstCall <- struct{}{}:
 	default:
 	}
 }
 
-// Send queues a frame. A full queue or an ended session is an error, never a
-// wait: a slow peer must not hold up the requests of others.
+// Send queues a frame. It never blocks: it returns an error if the queue is full or
+// the session has ended, so that a slow peer can't delay the requests of others.
 func (s *Session) Send(frame *wire.Frame) error {
 	frame.Session = s.number
 	frame.Release = s.opts.release()
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// Close ends the session. Frames already queued are still written.
+// Close ends the session. Frames that are already queued are still written.
 func (s *Session) Close(cause error) {
 	s.once.Do(func() {
 		s.cause = cause
@@ -95,20 +97,20 @@
 	})
 }
 
-// run starts reader and writer; the reader closes done after both have ended.
-// The writer closes the connection, which ends the reader too.
+// run starts the reader and the writer. The writer closes the connection, which ends
+// the reader too; the reader closes done once both have ended.
 func (s *Session) run(ctx context.Context) {
-	s.heard.Store(int64(s.opts.clock.Now()))
-	writeEnd := make(chan struct{})
+	s.lastReceived.Store(int64(s.opts.clock.Now()))
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(writeEnd)
+		defer close(writerDone)
 		s.Close(s.write(ctx))
 		_ = s.conn.Close()
 	}()
 	go func() {
 		defer close(s.done)
 		s.Close(s.read())
-		<-writeEnd
+		<-writerDone
 	}()
 }
 
@@ -121,17 +123,17 @@
 		if kind != websocket.BinaryMessage {
 			return &ProtocolError{Cause: "text message"}
 		}
-		s.heard.Store(int64(s.opts.clock.Now()))
-		if err := wire.Decode(message, s.take); err != nil {
+		s.lastReceived.Store(int64(s.opts.clock.Now()))
+		if err := wire.Decode(message, s.receive); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Session) take(frame *wire.Frame) {
+func (s *Session) receive(frame *wire.Frame) {
 	if frame.Session != s.number {
-		// A frame of another session on this connection can only come from a
-		// mixed-up peer; its answer would reach the wrong request.
+		// A frame of another session can only come from a faulty peer. Its content
+		// could reach the wrong request.
 		s.opts.dropped("session")
 		return
 	}
@@ -143,75 +145,76 @@
 
 func (s *Session) write(ctx context.Context) error {
 	var buf []byte
-	due, stop := s.opts.clock.After(s.pause())
-	expected := s.opts.clock.Now() + s.pause()
+	due, stop := s.opts.clock.After(s.interval())
+	expected := s.opts.clock.Now() + s.interval()
 	defer func() { stop() }()
 	for {
 		select {
 		case <-s.out.wake:
 			var err error
-			if buf, err = s.writeWaiting(buf); err != nil {
+			if buf, err = s.writeQueued(buf); err != nil {
 				return err
 			}
-			// The heartbeat's timer goes on: if sending put it off, a session
-			// that is always sending would never find out that it is silent.
+			// The heartbeat timer is not reset here. Otherwise a session that sends
+			// all the time would never detect that its connection is silent.
 			continue
 		case <-due:
-			if now := s.opts.clock.Now(); now-expected >= s.pause() {
-				s.resumed = now
+			if now := s.opts.clock.Now(); now-expected >= s.interval() {
+				s.stalledUntil = now
 			}
 			if err := s.heartbeat(); err != nil {
 				return err
 			}
-		case <-s.hurry:
+		case <-s.firstCall:
 			stop()
 		case <-s.closing:
-			return s.writeLast(buf)
+			return s.writeClose(buf)
 		case <-ctx.Done():
-			return errors.Join(ctx.Err(), s.writeLast(buf))
+			return errors.Join(ctx.Err(), s.writeClose(buf))
 		}
-		due, stop = s.opts.clock.After(s.pause())
-		expected = s.opts.clock.Now() + s.pause()
+		due, stop = s.opts.clock.After(s.interval())
+		expected = s.opts.clock.Now() + s.interval()
 	}
 }
 
-// heartbeat asks the peer for a sign of life when nothing was heard for a
-// while, and ends the session when a sign that was asked for does not come.
-// Silence counts from the request and not from the last message: a session
-// that was idle has heard nothing for long, and that proves nothing. Neither does
-// silence while this process got no processor time: the peer's messages may have
-// arrived, and be read in a moment.
+// heartbeat sends a heartbeat if nothing has been received for an interval, and
+// returns a SilentError if the reply to an earlier one is overdue. The timeout is
+// measured from the heartbeat and not from the last message, because an idle session
+// normally receives nothing for a long time. Time in which this process got no
+// processor time doesn't count either: messages of the peer may have arrived that the
+// reader has not read yet. The accepting side sends no heartbeats of its own; it only
+// checks that something has arrived within silentIntervals idle intervals.
 func (s *Session) heartbeat() error {
-	now, heard := s.opts.clock.Now(), max(s.LastReceived(), s.resumed)
+	now, received := s.opts.clock.Now(), max(s.LastReceived(), s.stalledUntil)
 	if !s.dialed {
-		if silence := now - heard; silence > silentBeats*s.opts.beatIdle {
+		if silence := now - received; silence > silentIntervals*s.opts.idleInterval {
 			return &SilentError{Process: s.peer.Process, Silence: silence}
 		}
 		return nil
 	}
-	if s.asked > heard {
-		if now-s.asked >= (silentBeats-1)*s.pause() {
-			return &SilentError{Process: s.peer.Process, Silence: now - heard}
+	if s.probedAt > received {
+		if now-s.probedAt >= (silentIntervals-1)*s.interval() {
+			return &SilentError{Process: s.peer.Process, Silence: now - received}
 		}
 		return nil
 	}
-	if now-heard >= s.pause() {
-		s.asked = now
+	if now-received >= s.interval() {
+		s.probedAt = now
 		_ = s.Send(&wire.Frame{Kind: wire.KindBeat, Beat: &wire.Beat{Load: s.opts.load(), Outside: s.opts.outside()}})
 	}
 	return nil
 }
 
-func (s *Session) pause() clock.Millis {
-	if s.busy.Load() > 0 {
-		return s.opts.beatBusy
+func (s *Session) interval() clock.Millis {
+	if s.inFlight.Load() > 0 {
+		return s.opts.busyInterval
 	}
-	return s.opts.beatIdle
+	return s.opts.idleInterval
 }
 
-// writeWaiting writes all frames that wait, up to a bound in one message: one
-// system call carries many small frames under load.
-func (s *Session) writeWaiting(buf []byte) ([]byte, error) {
+// writeQueued writes all queued frames in messages of about maxBatchBytes, so that one
+// system call sends many small frames under load.
+func (s *Session) writeQueued(buf []byte) ([]byte, error) {
 	s.batch = s.out.swap(s.batch)
 	buf = buf[:0]
 	var err error
@@ -219,7 +222,7 @@
 		if buf, err = wire.Append(buf, frame); err != nil {
 			return buf, err
 		}
-		if len(buf) < batchBytes {
+		if len(buf) < maxBatchBytes {
 			continue
 		}
 		if err = s.flush(buf); err != nil {
@@ -233,8 +236,8 @@
 	return buf, s.flush(buf)
 }
 
-func (s *Session) writeLast(buf []byte) error {
-	if _, err := s.writeWaiting(buf); err != nil {
+func (s *Session) writeClose(buf []byte) error {
+	if _, err := s.writeQueued(buf); err != nil {
 		return err
 	}
 	message := websocket.FormatCloseMessage(websocket.CloseNormalClosure, "")
@@ -250,7 +253,7 @@
 	return s.conn.WriteMessage(websocket.BinaryMessage, buf)
 }
 
-// ClosedError says that the session has ended.
+// ClosedError is returned for frames sent after the end of the session.
 type ClosedError struct {
 	Process string
 	Cause   error
@@ -261,10 +264,10 @@
 	return fmt.Sprintf("session with %s has ended: %v", e.Process, e.Cause)
 }
 
-// Unwrap returns why it ended.
+// Unwrap returns the cause of the session's end.
 func (e *ClosedError) Unwrap() error { return e.Cause }
 
-// FullError says that the peer takes frames too slowly.
+// FullError is returned if the send queue is full because the peer reads too slowly.
 type FullError struct {
 	Process string
 	Queue   int
@@ -272,11 +275,11 @@
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d frames already wait for %s", e.Queue, e.Process)
+	return fmt.Sprintf("send queue is full: %d frames for %s", e.Queue, e.Process)
 }
 
-// SilentError says that nothing came from the peer for too long, although the
-// connection was never closed.
+// SilentError is the cause of the end of a session on which nothing was received for
+// too long although the connection was not closed.
 type SilentError struct {
 	Process string
 	Silence clock.Millis
@@ -284,10 +287,10 @@
 
 // Error implements error.
 func (e *SilentError) Error() string {
-	return fmt.Sprintf("nothing from %s for %d ms", e.Process, e.Silence)
+	return fmt.Sprintf("no message from %s for %d ms", e.Process, e.Silence)
 }
 
-// ProtocolError says that the peer does not speak this protocol.
+// ProtocolError is returned for messages that violate the protocol.
 type ProtocolError struct {
 	Cause string
 }
--- a/internal/link/sess/sess_test.go
+++ b/internal/link/sess/sess_test.go
@@ -56,8 +56,8 @@
 	<-s.Done()
 }
 
-// A peer process is replaced while a session is open. The other side must see
-// the end of the session, or its callers wait for an answer that can't come.
+// Guards against callers that wait for an answer that can't arrive, because the end of
+// a peer process doesn't end its sessions on the other side.
 func TestEndOfPeerEndsSession(t *testing.T) {
 	address := listen(t, func(s *sess.Session, _ *wire.Frame) { s.Close(nil) })
 	s, err := sess.Dial(t.Context(), address)
--- a/internal/link/sess/silent_test.go
+++ b/internal/link/sess/silent_test.go
@@ -16,19 +16,19 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// muteConn is a connection that something between the two ends loses track
-// of: from then on nothing arrives, writes seem to work, and no end is seen.
-type muteConn struct {
+// silentConn is a connection whose state a device between the two ends has lost. Once
+// silent is closed nothing arrives, writes seem to succeed, and no close is received.
+type silentConn struct {
 	net.Conn
-	mute   chan struct{}
+	silent chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (c *muteConn) Read(into []byte) (int, error) {
+func (c *silentConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	select {
-	case <-c.mute:
+	case <-c.silent:
 		<-c.closed
 		return 0, net.ErrClosed
 	default:
@@ -36,51 +36,51 @@
 	}
 }
 
-func (c *muteConn) Write(from []byte) (int, error) {
+func (c *silentConn) Write(from []byte) (int, error) {
 	select {
-	case <-c.mute:
+	case <-c.silent:
 		return len(from), nil
 	default:
 		return c.Conn.Write(from)
 	}
 }
 
-func (c *muteConn) Close() error {
+func (c *silentConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func dialMute(mute chan struct{}) func(context.Context, string, string) (net.Conn, error) {
+func dialSilent(silent chan struct{}) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &muteConn{Conn: conn, mute: mute, closed: make(chan struct{})}, err
+		return &silentConn{Conn: conn, silent: silent, closed: make(chan struct{})}, err
 	}
 }
 
-// A session goes silent while calls are being sent all the time. If sending
-// put off the check, the calls would hang until their deadlines.
-func TestSilenceIsSeenWhileSending(t *testing.T) {
-	mute := make(chan struct{})
+// Guards against calls that hang until their deadlines because a session that sends
+// all the time never checks whether its connection is silent.
+func TestSilenceIsDetectedWhileSending(t *testing.T) {
+	silence := make(chan struct{})
 	s, err := sess.Dial(t.Context(), listen(t, func(*sess.Session, *wire.Frame) {}),
-		sess.WithDial(dialMute(mute)), sess.WithHeartbeats(40, 10))
+		sess.WithDial(dialSilent(silence)), sess.WithHeartbeats(40, 10))
 	assert.NilError(t, err)
 	s.AddInFlight(1)
-	close(mute)
+	close(silence)
 	for open := true; open; {
 		select {
 		case <-s.Done():
 			open = false
 		default:
 			_ = s.Send(&wire.Frame{Kind: wire.KindAck, Ack: &wire.Ack{}})
-			time.Sleep(time.Millisecond) // the pace of the calls, not a wait for anything
+			time.Sleep(time.Millisecond) // the interval between calls
 		}
 	}
 	var silent *sess.SilentError
 	assert.Assert(t, errors.As(s.Err(), &silent), "%v", s.Err())
 }
 
-// A session was idle for longer than a busy one may be silent. The first call
-// on it must not be taken for a call on a dead connection.
+// Guards against a session that ends as silent at its first call, because it was idle
+// for longer than a session with calls in flight may receive nothing.
 func TestIdleSessionThatGetsBusyIsNotSilent(t *testing.T) {
 	const idle, busy = 60 * clock.Minute, 50
 	c := clock.New()
@@ -99,16 +99,16 @@
 }
 
 // Guards against sessions that end as silent because this process got no processor
-// time: the peer's sign of life has arrived and is not read yet.
+// time: the reply of the peer may have arrived and not been read yet.
 func TestSessionOfAStarvedProcessIsNotSilent(t *testing.T) {
 	const idle, busy = 60 * clock.Minute, 50 * clock.Millis(1)
-	fake, mute := clock.NewFake(1000), make(chan struct{})
+	fake, silence := clock.NewFake(1000), make(chan struct{})
 	s, err := sess.Dial(t.Context(), listen(t, func(*sess.Session, *wire.Frame) {}),
-		sess.WithDial(dialMute(mute)), sess.WithClock(fake.Clock()), sess.WithHeartbeats(idle, busy))
+		sess.WithDial(dialSilent(silence)), sess.WithClock(fake.Clock()), sess.WithHeartbeats(idle, busy))
 	assert.NilError(t, err)
-	close(mute)
+	close(silence)
 	s.AddInFlight(1)
-	// tick lets time pass at once, and waits until the session waits again.
+	// tick advances the clock once the session is waiting for it.
 	tick := func(span clock.Millis) {
 		wait(t, func() bool { return fake.Waiting() == 1 })
 		fake.Advance(span)
@@ -121,7 +121,7 @@
 			return false
 		}
 	}
-	tick(busy) // asks for a sign of life
+	tick(busy) // the session sends a heartbeat
 	tick(20 * busy)
 	wait(t, func() bool { return ended() || fake.Waiting() == 1 })
 	assert.Assert(t, !ended(), "%v", s.Err())
