--- a/internal/link/conns/answer.go
+++ b/internal/link/conns/answer.go
@@ -6,59 +6,62 @@
 	"net/http"
 )
 
-// closing has callers open another connection for their next request once the
-// server stops.
-func (s *Server) closing(handler http.Handler) http.Handler {
+// closeAfterStop sets "Connection: close" on answers once the server stops, so that
+// callers open another connection for their next request.
+func (s *Server) closeAfterStop(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a := &answer{ResponseWriter: w, server: s}
+		a := &responseWriter{ResponseWriter: w, server: s}
 		handler.ServeHTTP(a, r)
-		a.begin()
+		a.decideHead()
 	})
 }
 
-// answer is a ResponseWriter that decides when the head is written whether the
-// connection goes on: the stop may have begun after the request.
-type answer struct {
+// responseWriter is an http.ResponseWriter that decides whether the connection is closed
+// when the head of the answer is written, because the stop may begin while the request
+// is handled.
+type responseWriter struct {
 	http.ResponseWriter
-	server *Server
-	begun  bool
+	server      *Server
+	headDecided bool
 }
 
-func (a *answer) begin() {
-	if !a.begun && a.server.stopping.Load() {
+// decideHead sets "Connection: close" if the server is stopping and the head has not
+// been written yet.
+func (a *responseWriter) decideHead() {
+	if !a.headDecided && a.server.stopping.Load() {
 		a.Header().Set("Connection", "close")
 	}
-	a.begun = true
+	a.headDecided = true
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) {
+func (a *responseWriter) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		a.begin()
+		a.decideHead()
 	}
 	a.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
+func (a *responseWriter) Write(p []byte) (int, error) {
+	a.decideHead()
 	return a.ResponseWriter.Write(p)
 }
 
 // Flush implements http.Flusher.
-func (a *answer) Flush() { _ = a.FlushError() }
+func (a *responseWriter) Flush() { _ = a.FlushError() }
 
-// FlushError is Flush for an http.ResponseController.
-func (a *answer) FlushError() error {
-	a.begin()
+// FlushError does the same as Flush, for an http.ResponseController.
+func (a *responseWriter) FlushError() error {
+	a.decideHead()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
 // Hijack implements http.Hijacker.
-func (a *answer) Hijack() (net.Conn, *bufio.ReadWriter, error) {
-	a.begun = true
+func (a *responseWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
+	a.headDecided = true
 	return http.NewResponseController(a.ResponseWriter).Hijack()
 }
 
-// Unwrap is for an http.ResponseController.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the wrapped writer, for an http.ResponseController.
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
--- a/internal/link/conns/conn.go
+++ b/internal/link/conns/conn.go
@@ -12,78 +12,79 @@
 )
 
 const (
-	// firstGrace is how long after it was accepted a connection may wait for its
-	// first request while the server stops, headGrace how long a head may take of
-	// which some bytes have arrived.
-	firstGrace = 250 * clock.Millis(1)
-	headGrace  = clock.Second
+	// firstRequestGrace is the time from accepting a connection until its first request
+	// must arrive while the server stops, and headGrace the time in which a head must
+	// be complete, from its first bytes or from the start of the drain if that is later.
+	firstRequestGrace = 250 * clock.Millis(1)
+	headGrace         = clock.Second
 )
 
-// conn is one connection of a caller.
+// conn is a connection of a caller.
 //
-// What the server does on it shows in the read deadlines that it sets: one ahead
-// while it waits for a request and reads its head, none once the head is read, and
-// one in the past to end its own read.
+// It derives the state of the server from the read deadlines that the server sets:
+// a deadline in the future while the server waits for a request and reads its head,
+// none after it has read the head, and one in the past to end its own read.
 type conn struct {
 	net.Conn
 	listener *listener
 	accepted clock.Millis
 
 	mu sync.Mutex
-	// waiting says that no head has been read since the last answer, begun that
-	// some bytes of it have, at beganAt.
-	waiting bool
-	begun   bool
-	beganAt clock.Millis
-	// deadline is what the server has set, and draining when the connection began to
-	// be ended, 0 for never.
-	deadline time.Time
-	draining clock.Millis
-	// unanswered are the bytes read of a request to which nothing has been written,
-	// at the time of the last of them; answered says that something has been.
-	unanswered int
-	readAt     clock.Millis
-	answered   bool
-	// released connections are not followed: they ended, the caller left, or another
-	// protocol than HTTP/1 is spoken.
-	released bool
+	// awaitsHead is set if no complete head has been read since the last answer, and
+	// headStarted if some bytes of it have been read, the first at headStartedAt.
+	awaitsHead    bool
+	headStarted   bool
+	headStartedAt clock.Millis
+	// deadline is the read deadline set by the server, and drainStart the instant at
+	// which draining began, or 0.
+	deadline   time.Time
+	drainStart clock.Millis
+	// unansweredBytes counts the bytes read since something was last written, the last of
+	// them at readAt. answered is set if something has been written for the current
+	// request.
+	unansweredBytes int
+	readAt          clock.Millis
+	answered        bool
+	// untracked is set for connections that are no longer tracked because they have
+	// ended, the caller has left, or they don't use HTTP/1.
+	untracked bool
 }
 
 func newConn(inner net.Conn, l *listener) *conn {
-	return &conn{Conn: inner, listener: l, accepted: l.clock.Now(), waiting: true}
+	return &conn{Conn: inner, listener: l, accepted: l.clock.Now(), awaitsHead: true}
 }
 
-// release stops following the connection.
-func (c *conn) release() {
+// untrack stops tracking the connection.
+func (c *conn) untrack() {
 	c.mu.Lock()
-	c.released = true
+	c.untracked = true
 	c.applyDeadline()
 	c.mu.Unlock()
-	c.listener.forget(c)
+	c.listener.remove(c)
 }
 
-// drain has the connection end when it waits for a request.
+// drain ends the connection when it waits for a request.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.draining = c.listener.clock.Now()
+	c.drainStart = c.listener.clock.Now()
 	c.applyDeadline()
 }
 
-// applyDeadline sets the read deadline; the caller holds the lock.
+// applyDeadline sets the read deadline. The caller must hold c.mu.
 func (c *conn) applyDeadline() {
 	deadline := c.deadline
-	if c.draining > 0 && c.waiting && !c.released {
-		left := c.accepted + firstGrace
-		if c.begun {
-			left = max(c.beganAt, c.draining) + headGrace
+	if c.drainStart > 0 && c.awaitsHead && !c.untracked {
+		until := c.accepted + firstRequestGrace
+		if c.headStarted {
+			until = max(c.headStartedAt, c.drainStart) + headGrace
 		}
-		own := time.Now().Add(max(left-c.listener.clock.Now(), 0).Duration())
-		if deadline.IsZero() || own.Before(deadline) {
-			deadline = own
+		drainDeadline := time.Now().Add(max(until-c.listener.clock.Now(), 0).Duration())
+		if deadline.IsZero() || drainDeadline.Before(deadline) {
+			deadline = drainDeadline
 		}
 	}
-	_ = c.Conn.SetReadDeadline(deadline) // a closed connection needs none
+	_ = c.Conn.SetReadDeadline(deadline) // fails only if the connection is closed
 }
 
 // SetReadDeadline implements net.Conn.
@@ -92,9 +93,9 @@
 	defer c.mu.Unlock()
 	switch {
 	case t.IsZero():
-		c.waiting = false
-	case !c.waiting && t.After(time.Now()):
-		c.waiting, c.begun, c.answered = true, false, false
+		c.awaitsHead = false
+	case !c.awaitsHead && t.After(time.Now()):
+		c.awaitsHead, c.headStarted, c.answered = true, false, false
 	}
 	c.deadline = t
 	c.applyDeadline()
@@ -111,30 +112,30 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.readArrived(p, err)
+	if c.awaitsHead && errors.Is(err, os.ErrDeadlineExceeded) {
+		n, err = c.readBuffered(p, err)
 	}
 	if n > 0 {
 		if !c.answered {
-			c.unanswered += n
+			c.unansweredBytes += n
 		}
 		c.readAt = c.listener.clock.Now()
-		if c.waiting && !c.begun {
-			c.begun, c.beganAt = true, c.readAt
+		if c.awaitsHead && !c.headStarted {
+			c.headStarted, c.headStartedAt = true, c.readAt
 			c.applyDeadline()
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.released = true
+		c.untracked = true
 	}
 	return n, err
 }
 
-// readArrived reads what has arrived, without waiting, once the time to wait is
-// over: a process that got no processor time notices the deadline first. It
-// returns the error of the deadline if there is nothing. The caller holds the
-// lock.
-func (c *conn) readArrived(p []byte, expired error) (int, error) {
+// readBuffered reads bytes that have already arrived, without blocking, after the read
+// deadline has expired: a process that got no processor time sees the expired deadline
+// before it sees the bytes. It returns the error expired if there are none. The caller
+// must hold c.mu.
+func (c *conn) readBuffered(p []byte, expired error) (int, error) {
 	source, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, expired
@@ -143,11 +144,11 @@
 	if err != nil {
 		return 0, expired
 	}
-	_ = c.Conn.SetReadDeadline(time.Time{}) // or nothing could be read any more
+	_ = c.Conn.SetReadDeadline(time.Time{}) // raw.Read fails while the deadline is expired
 	defer c.applyDeadline()
 	n := 0
 	err = raw.Read(func(fd uintptr) bool {
-		n, _ = syscall.Read(int(fd), p) // no data is an error, too
+		n, _ = syscall.Read(int(fd), p) // also fails if there is no data
 		return true
 	})
 	if err != nil || n <= 0 {
@@ -159,7 +160,7 @@
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.unanswered, c.answered = 0, true
+	c.unansweredBytes, c.answered = 0, true
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
@@ -167,15 +168,15 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	ended := Unanswered{Bytes: c.unanswered, Age: c.listener.clock.Since(c.readAt)}
-	report := c.unanswered > 0 && !c.released
-	c.released = true
+	unanswered := Unanswered{Bytes: c.unansweredBytes, Age: c.listener.clock.Since(c.readAt)}
+	report := c.unansweredBytes > 0 && !c.untracked
+	c.untracked = true
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	c.listener.forget(c)
+	c.listener.remove(c)
 	if report {
-		ended.Remote = c.RemoteAddr().String()
-		c.listener.unansweredFunc(ended)
+		unanswered.Remote = c.RemoteAddr().String()
+		c.listener.unansweredFunc(unanswered)
 	}
 	return err
 }
--- a/internal/link/conns/conn_test.go
+++ b/internal/link/conns/conn_test.go
@@ -14,7 +14,7 @@
 
 const request = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n"
 
-// accept returns both ends of a connection.
+// accept returns a listener and both ends of a connection to it.
 func accept(t *testing.T) (l *listener, accepted, caller net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,8 +37,8 @@
 }
 
 // Guards against requests that are lost because the process had no processor time
-// while they arrived, and notices the end of an unused connection first.
-func TestRequestThatArrivedOutlivesTheDeadline(t *testing.T) {
+// while they arrived, and sees the expired deadline of an unused connection first.
+func TestArrivedRequestIsReadAfterTheDeadline(t *testing.T) {
 	_, accepted, caller := accept(t)
 	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(-time.Second)))
 	got := make([]byte, len(request))
@@ -50,8 +50,8 @@
 	assert.Equal(t, string(got), request)
 }
 
-// Guards against connections that stay open for ever once a deadline has passed.
-func TestDeadlineStaysOnceItHasPassed(t *testing.T) {
+// Guards against connections that stay open for ever after a read deadline.
+func TestPassedDeadlineStaysInForce(t *testing.T) {
 	_, accepted, _ := accept(t)
 	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(-time.Second)))
 	for range 3 {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestDrainEndsConnectionsThatWait(t *testing.T) {
+func TestDrainEndsIdleConnections(t *testing.T) {
 	l, accepted, caller := accept(t)
 	failed := make(chan error, 1)
 	go func() {
@@ -69,19 +69,19 @@
 	}()
 	l.drain()
 	assert.ErrorIs(t, <-failed, os.ErrDeadlineExceeded)
-	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(time.Hour))) // as a server does between two requests
+	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(time.Hour))) // as http.Server does between two requests
 	_, err := accepted.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.Equal(t, l.numOpen(), 1)
 	assert.NilError(t, accepted.Close())
-	assert.NilError(t, l.wait(t.Context()))
+	assert.NilError(t, l.waitClosed(t.Context()))
 	_, err = caller.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// Guards against drains that cut a request whose first bytes have been read, or that
-// is being answered.
-func TestDrainLeavesARequestThatHasBegun(t *testing.T) {
+// Guards against a drain that cuts a request whose first bytes have been read or whose
+// answer is not complete.
+func TestDrainKeepsAStartedRequest(t *testing.T) {
 	l, accepted, caller := accept(t)
 	assert.NilError(t, accepted.SetReadDeadline(time.Now().Add(time.Hour)))
 	write(t, caller, request[:1])
@@ -91,7 +91,7 @@
 	write(t, caller, request[1:])
 	_, err = io.ReadFull(accepted, make([]byte, len(request)-1))
 	assert.NilError(t, err)
-	assert.NilError(t, accepted.SetReadDeadline(time.Time{})) // as a server does when it has read a head
+	assert.NilError(t, accepted.SetReadDeadline(time.Time{})) // as http.Server does after it has read a head
 	time.AfterFunc(1200*time.Millisecond, func() { _, _ = io.WriteString(caller, "x") })
 	_, err = accepted.Read(make([]byte, 1))
 	assert.NilError(t, err)
--- a/internal/link/conns/conns.go
+++ b/internal/link/conns/conns.go
@@ -1,9 +1,9 @@
-// Package conns serves HTTP on a listener and stops without losing a request.
+// Package conns serves HTTP on a listener and stops without losing requests.
 //
-// http.Server.Shutdown does lose some: it closes connections that it holds for
-// unused without looking at what has arrived on them, and ends those whose request
-// it reads after it has begun. A Server follows its connections by itself and calls
-// Shutdown once they have ended.
+// http.Server.Shutdown can lose requests: it closes connections that it regards as
+// unused without checking whether a request has arrived on them, and it closes those
+// whose request it reads after the shutdown has begun. A Server tracks its connections
+// itself and calls Shutdown once they have ended.
 package conns
 
 import (
@@ -18,26 +18,28 @@
 )
 
 const (
-	// acceptTime bounds how long connections are accepted from the kernel's queue
-	// once the server stops, acceptLook is the pause between two looks.
-	acceptTime = clock.Second
-	acceptLook = 5 * clock.Millis(1)
+	// drainAcceptTimeout limits how long connections are accepted from the kernel's queue
+	// once the server stops, and acceptPollInterval is the interval between checks.
+	drainAcceptTimeout = clock.Second
+	acceptPollInterval = 5 * clock.Millis(1)
 )
 
-// Unanswered describes a connection that this process closed after it had read
-// bytes from its caller that nothing was written in reply to. Over TLS the alert that
-// closes a connection counts as a reply.
+// Unanswered describes a connection that this process closed although it had read
+// bytes from the caller and written nothing in reply. Over TLS the alert that closes a
+// connection counts as a reply.
 type Unanswered struct {
 	// Remote is the caller's address.
 	Remote string
-	// Bytes were read since the last answer, the last of them Age ago.
+	// Bytes is the number of bytes read since the last answer, and Age the time since
+	// the last of them was read.
 	Bytes int
 	Age   clock.Millis
-	// Stopping says that the server was being stopped.
+	// Stopping is set if the server was being stopped.
 	Stopping bool
 }
 
-// StillOpenError says that connections were open when the time of a stop was over.
+// StillOpenError is returned if connections are still open when the context of a stop
+// ends.
 type StillOpenError struct {
 	Connections int
 }
@@ -47,13 +49,13 @@
 	return fmt.Sprintf("%d connections were still open", e.Connections)
 }
 
-// Server serves one listener.
+// Server serves HTTP on one listener.
 type Server struct {
 	http     *http.Server
 	listener *listener
 	clock    *clock.Clock
 	done     chan error
-	// served is closed once no more connections are accepted.
+	// served is closed once the server has stopped accepting connections.
 	served   chan struct{}
 	stopping atomic.Bool
 }
@@ -63,20 +65,20 @@
 	unansweredFunc func(Unanswered)
 }
 
-// Option changes a Server while it is built.
+// Option configures a Server.
 type Option func(*options)
 
 // WithClock replaces the clock.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithUnanswered sets what is called when a connection ends unanswered.
-func WithUnanswered(ended func(Unanswered)) Option {
-	return func(o *options) { o.unansweredFunc = ended }
+// WithUnanswered sets a function that is called for each connection that this process
+// closes without an answer.
+func WithUnanswered(report func(Unanswered)) Option {
+	return func(o *options) { o.unansweredFunc = report }
 }
 
-// Serve serves a listener until Shutdown or Close. It takes over the server's
-// ConnState and wraps its Handler. The server needs a ReadHeaderTimeout and an
-// IdleTimeout.
+// Serve serves a listener until Shutdown or Close. It replaces the server's ConnState
+// and wraps its Handler. The server must have a ReadHeaderTimeout and an IdleTimeout.
 func Serve(server *http.Server, inner net.Listener, opts ...Option) *Server {
 	o := &options{clock: clock.New(), unansweredFunc: func(Unanswered) {}}
 	for _, opt := range opts {
@@ -87,8 +89,8 @@
 		ended.Stopping = s.stopping.Load()
 		o.unansweredFunc(ended)
 	})
-	server.ConnState = s.listener.state
-	server.Handler = s.closing(server.Handler)
+	server.ConnState = s.listener.onStateChange
+	server.Handler = s.closeAfterStop(server.Handler)
 	go func() {
 		defer close(s.served)
 		s.done <- s.serve()
@@ -109,13 +111,13 @@
 	return err
 }
 
-// Done returns a channel that gets one value when no more connections are accepted:
-// nil after Shutdown or Close, else why.
+// Done returns a channel that receives one value when the server has stopped accepting
+// connections: nil after Shutdown or Close, else the error.
 func (s *Server) Done() <-chan error { return s.done }
 
-// Shutdown stops accepting, ends unused connections and returns once each request
-// that has arrived on an open connection is answered. When the context ends first it
-// returns a StillOpenError, and the connections that are left stay open until Close.
+// Shutdown stops accepting connections, ends unused ones and returns once each request
+// that has arrived on an open connection is answered. If the context ends first, it
+// returns a StillOpenError, and the remaining connections stay open until Close.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if !s.stopping.Swap(true) {
 		s.listener.drain()
@@ -125,24 +127,24 @@
 	case <-s.served:
 	case <-ctx.Done():
 	}
-	if s.listener.wait(ctx) != nil {
+	if s.listener.waitClosed(ctx) != nil {
 		return &StillOpenError{Connections: s.listener.numOpen()}
 	}
-	return s.http.Shutdown(ctx) // ends those of HTTP/2, which it does not cut
+	return s.http.Shutdown(ctx) // ends HTTP/2 connections, without losing their requests
 }
 
-// stopAccepting closes the listener once the kernel's queue is empty: what waits
-// there would be reset.
+// stopAccepting closes the listener once the kernel's queue is empty, because closing
+// it resets the connections in that queue.
 func (s *Server) stopAccepting(ctx context.Context) {
-	for end := s.clock.Now() + acceptTime; s.listener.pending() && s.clock.Now() < end; {
-		if s.clock.Sleep(ctx, acceptLook) != nil {
+	for end := s.clock.Now() + drainAcceptTimeout; s.listener.hasPending() && s.clock.Now() < end; {
+		if s.clock.Sleep(ctx, acceptPollInterval) != nil {
 			break
 		}
 	}
 	_ = s.listener.Close() // Serve returns its error
 }
 
-// Close ends the server with all its connections at once.
+// Close stops the server and closes all its connections immediately.
 func (s *Server) Close() {
 	s.stopping.Store(true)
 	_ = s.http.Close()
--- a/internal/link/conns/conns_test.go
+++ b/internal/link/conns/conns_test.go
@@ -13,7 +13,8 @@
 	"github.com/jujubescale/jujubescale/internal/link/conns"
 )
 
-// serve starts a server and returns its address and what it reports.
+// serve starts a server. It returns the server's address and a channel of its reports
+// of unanswered connections.
 func serve(t *testing.T, handler http.HandlerFunc) (address string, reports chan conns.Unanswered) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +40,7 @@
 
 const get = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n"
 
-// Guards against requests that end unanswered and leave no trace.
+// Guards against requests that end without an answer and without a report.
 func TestConnectionThatEndsUnansweredIsReported(t *testing.T) {
 	address, reports := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c := dial(t, address)
--- a/internal/link/conns/listener.go
+++ b/internal/link/conns/listener.go
@@ -13,7 +13,7 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// listener follows the connections that it accepts.
+// listener tracks the connections that it accepts.
 type listener struct {
 	net.Listener
 	clock          *clock.Clock
@@ -52,7 +52,7 @@
 	return len(l.open)
 }
 
-// drain has all connections end that wait for a request, also those that are
+// drain ends all connections that wait for a request, including those that are
 // accepted later.
 func (l *listener) drain() {
 	l.mu.Lock()
@@ -67,28 +67,28 @@
 	}
 }
 
-// openLook is how often wait looks whether connections are open.
-const openLook = 10 * clock.Millis(1)
+// closedPollInterval is the interval at which waitClosed checks for open connections.
+const closedPollInterval = 10 * clock.Millis(1)
 
-// wait returns once no connection is open, or with the context's error.
-func (l *listener) wait(ctx context.Context) error {
+// waitClosed waits until no tracked connection is open, or returns the context's error.
+func (l *listener) waitClosed(ctx context.Context) error {
 	for l.numOpen() > 0 {
-		if err := l.clock.Sleep(ctx, openLook); err != nil {
+		if err := l.clock.Sleep(ctx, closedPollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// forget removes a connection that ended or is not followed any more.
-func (l *listener) forget(c *conn) {
+// remove removes a connection that has ended or is no longer tracked.
+func (l *listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// pending reports whether a connection waits to be accepted.
-func (l *listener) pending() bool {
+// hasPending reports whether the kernel's queue holds a connection to accept.
+func (l *listener) hasPending() bool {
 	source, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -99,19 +99,20 @@
 	}
 	ready := 0
 	err = raw.Control(func(fd uintptr) {
-		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) // an error means none
+		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) // on an error ready isn't positive
 	})
 	return err == nil && ready > 0
 }
 
-// state is a ConnState hook.
-func (l *listener) state(c net.Conn, state http.ConnState) {
+// onStateChange stops tracking hijacked and HTTP/2 connections. It is a ConnState hook of
+// http.Server.
+func (l *listener) onStateChange(c net.Conn, state http.ConnState) {
 	multiplexed := false
 	if wrapped, ok := c.(*tls.Conn); ok {
 		multiplexed = wrapped.ConnectionState().NegotiatedProtocol == "h2"
 		c = wrapped.NetConn()
 	}
-	if followed, ok := c.(*conn); ok && (state == http.StateHijacked || multiplexed) {
-		followed.release()
+	if tracked, ok := c.(*conn); ok && (state == http.StateHijacked || multiplexed) {
+		tracked.untrack()
 	}
 }
