--- a/internal/link/certs/certs.go
+++ b/internal/link/certs/certs.go
@@ -1,6 +1,6 @@
-// Package certs holds the certificates of one kind of connections and makes
-// TLS configurations of them. Files that are replaced are read again at the
-// next handshake, so certificates that are renewed need no restart.
+// Package certs loads the certificates of one kind of connection and makes TLS
+// configurations from them. Replaced files are read again at one of the next
+// handshakes, so that renewed certificates need no restart.
 package certs
 
 import (
@@ -16,25 +16,25 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Names that a certificate must carry as DNS name to act in a role. Without
-// them, whoever takes the certificate of one agent could pose as an entry or
-// as an operator, because one authority signs for all.
+// DNS names that a certificate must contain for each role. One authority signs all
+// certificates, so without the names a stolen certificate of an agent could be used
+// to act as an entry or an operator.
 const (
 	NameEntry    = "entry"
 	NameAgent    = "agent"
 	NameOperator = "operator"
 )
 
-// Files names the PEM files. CA may be empty: a server then asks for no
-// certificate, and a client trusts the authorities of the machine. Cert and
-// Key may be empty for a client that shows none.
+// Files holds the paths of the PEM files. If CA is empty, a server requests no
+// certificate, and a client trusts the authorities of the system. Cert and Key may be
+// empty for a client without a certificate.
 type Files struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// FileError says which file can't be used.
+// FileError is returned for a file that can't be used.
 type FileError struct {
 	File  string
 	Cause error
@@ -46,45 +46,46 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// Source holds what the files said when they were last read.
+// Source holds the contents of the files, as last read.
 type Source struct {
-	files      Files
-	clock      *clock.Clock
-	checkEvery clock.Millis
-	failed     func(error)
-
-	held    atomic.Pointer[held]
-	checked atomic.Int64
-	reload  sync.Mutex
+	files        Files
+	clock        *clock.Clock
+	checkEvery   clock.Millis
+	reloadFailed func(error)
+
+	contents atomic.Pointer[contents]
+	checked  atomic.Int64
+	reload   sync.Mutex
 }
 
-// held is the content of the files at one time; it is never changed.
-type held struct {
+// contents holds the parsed files, as read at one time. It is immutable.
+type contents struct {
 	cert  *tls.Certificate
 	pool  *x509.CertPool
 	stamp [3]stamp
 }
 
-// stamp tells two contents of a file apart.
+// stamp identifies the version of a file, to detect changes.
 type stamp struct {
-	changed time.Time
+	modTime time.Time
 	size    int64
 }
 
 const defaultCheckEvery = clock.Second
 
-// Option changes a Source while it is built.
+// Option configures a Source.
 type Option func(*Source)
 
 // WithClock replaces the clock.
 func WithClock(c *clock.Clock) Option { return func(s *Source) { s.clock = c } }
 
-// WithReloadError sets who hears of files that can't be used; the old ones stay.
-func WithReloadError(failed func(error)) Option { return func(s *Source) { s.failed = failed } }
+// WithReloadError sets a function that is called when changed files can't be used. The
+// old contents stay in use.
+func WithReloadError(failed func(error)) Option { return func(s *Source) { s.reloadFailed = failed } }
 
-// New reads the files; it fails when they can't be used.
+// New reads the files. It returns a FileError if one of them can't be used.
 func New(files Files, opts ...Option) (*Source, error) {
-	s := &Source{files: files, clock: clock.New(), checkEvery: defaultCheckEvery, failed: func(error) {}}
+	s := &Source{files: files, clock: clock.New(), checkEvery: defaultCheckEvery, reloadFailed: func(error) {}}
 	for _, opt := range opts {
 		opt(s)
 	}
@@ -92,14 +93,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s.held.Store(first)
+	s.contents.Store(first)
 	s.checked.Store(int64(s.clock.Now()))
 	return s, nil
 }
 
-// Server returns the configuration of a port. With a CA file the other end
-// must show a certificate of that authority which carries one of the names, or
-// any name when none is given.
+// Server returns the configuration of a port. With a CA file, a client must present a
+// certificate of that authority with one of the names, or with any name if none is
+// given.
 func (s *Source) Server(names ...string) *tls.Config {
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -116,13 +117,13 @@
 	return config
 }
 
-// Client returns the configuration of connections to a server whose
-// certificate must be valid for the name, which may be an IP number.
+// Client returns the configuration of connections to a server whose certificate must
+// be valid for the name, which may be an IP address.
 func (s *Source) Client(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// Verification is ours below, because the standard one would hold on
-		// to the authorities that were read first.
+		// VerifyConnection below verifies the certificate instead, because the standard
+		// verification would always use the authorities that were read first.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			if cert := s.current().cert; cert != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// PeerError says why the other end of a connection was not accepted.
+// PeerError is returned if the certificate of the other end is not accepted.
 type PeerError struct {
 	Names []string
 	Cause error
@@ -150,11 +151,11 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-var errNone = errors.New("none was shown")
+var errNoCertificate = errors.New("no certificate was presented")
 
 func verify(state tls.ConnectionState, pool *x509.CertPool, usage x509.ExtKeyUsage, names []string) error {
 	if len(state.PeerCertificates) == 0 {
-		return &PeerError{Names: names, Cause: errNone}
+		return &PeerError{Names: names, Cause: errNoCertificate}
 	}
 	options := x509.VerifyOptions{
 		Roots:         pool,
@@ -184,33 +185,32 @@
 	return &PeerError{Names: names, Cause: err}
 }
 
-// current returns what the files say. It looks at them at most once per
-// interval, and by one caller at a time.
-func (s *Source) current() *held {
+// current returns the contents of the files. It checks the files for changes at most
+// once in checkEvery, by one caller at a time.
+func (s *Source) current() *contents {
 	now := s.clock.Now()
 	if now-clock.Millis(s.checked.Load()) < s.checkEvery || !s.reload.TryLock() {
-		return s.held.Load()
+		return s.contents.Load()
 	}
 	defer s.reload.Unlock()
 	s.checked.Store(int64(now))
-	old := s.held.Load()
-	if stampsOf(s.files) == old.stamp {
+	old := s.contents.Load()
+	if stampFiles(s.files) == old.stamp {
 		return old
 	}
 	next, err := read(s.files)
 	if err != nil {
-		// Certificate and key are two files: between the two writes they don't
-		// fit each other. Keeping the old ones until both are there means that
-		// no handshake fails meanwhile.
-		s.failed(err)
+		// Certificate and key are two files that don't match until both have been
+		// replaced. The old pair stays in use until then, so that no handshake fails.
+		s.reloadFailed(err)
 		return old
 	}
-	s.held.Store(next)
+	s.contents.Store(next)
 	return next
 }
 
-func read(files Files) (*held, error) {
-	out := &held{stamp: stampsOf(files)}
+func read(files Files) (*contents, error) {
+	out := &contents{stamp: stampFiles(files)}
 	if files.Cert != "" || files.Key != "" {
 		cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 		if err != nil {
@@ -232,11 +232,11 @@
 	return out, nil
 }
 
-func stampsOf(files Files) [3]stamp {
+func stampFiles(files Files) [3]stamp {
 	var out [3]stamp
 	for i, name := range []string{files.Cert, files.Key, files.CA} {
 		if info, err := os.Stat(name); err == nil {
-			out[i] = stamp{changed: info.ModTime(), size: info.Size()}
+			out[i] = stamp{modTime: info.ModTime(), size: info.Size()}
 		}
 	}
 	return out
--- a/internal/link/certs/certs_test.go
+++ b/internal/link/certs/certs_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// serve starts a server that counts what reaches its handler.
+// serve starts a server that counts the requests that reach its handler.
 func serve(t *testing.T, config *tls.Config, reached *int) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -56,9 +56,9 @@
 	return err
 }
 
-// Someone without the right certificate connects to a port that wants one. It
-// gets no byte of an answer, and its request reaches no handler.
-func TestOnlyTheRightCertificateIsServed(t *testing.T) {
+// Guards against a port that requires a certificate but answers, or handles the request
+// of, a client that has no valid one.
+func TestOnlyValidCertificatesAreServed(t *testing.T) {
 	authority, other := testca.New(t), testca.New(t)
 	agent := source(t, authority.Issue(t, certs.NameAgent), authority.File)
 	cases := map[string]struct {
@@ -103,8 +103,8 @@
 	assert.ErrorContains(t, get(t, server.URL, client.Client("127.0.0.2")), "not accepted")
 }
 
-// Certificates are renewed every few weeks. A process that went on showing the
-// old one would be refused by everyone once it expires.
+// Guards against a process that presents its old certificate after a renewal, which
+// all clients would refuse once it expires. Certificates are renewed every few weeks.
 func TestRenewedFilesAreReadAgain(t *testing.T) {
 	authority, next := testca.New(t), testca.New(t)
 	pair := authority.Issue(t, "127.0.0.1")
@@ -120,8 +120,8 @@
 	assert.NilError(t, get(t, url, trustsNext))
 }
 
-// An authority is withdrawn by replacing the CA file: clients that it signed
-// get nothing from then on.
+// Guards against clients of an authority that are still served after the authority has
+// been replaced in the CA file.
 func TestReplacedAuthorityIsNotTrustedAnyMore(t *testing.T) {
 	authority, next := testca.New(t), testca.New(t)
 	fake := clock.NewFake(0)
@@ -140,9 +140,9 @@
 	assert.Equal(t, reached, 1)
 }
 
-// A renewal writes the certificate first and the key a moment later. Handshakes
-// in between go on with the old pair.
-func TestHalfWrittenPairKeepsTheOldOne(t *testing.T) {
+// Guards against handshakes that fail during a renewal, when only one of certificate
+// and key has been replaced.
+func TestHalfWrittenPairIsNotLoaded(t *testing.T) {
 	authority := testca.New(t)
 	pair := authority.Issue(t, "127.0.0.1")
 	fake := clock.NewFake(0)
--- a/internal/link/limit/limit.go
+++ b/internal/link/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit bounds how many connections a port holds open at once. Without
-// it, callers that open connections and send nothing would use up the
-// process's file descriptors, and nobody else could be served.
+// Package limit limits the number of open connections of a port. Without a limit,
+// callers that open connections and send nothing could use up the file descriptors of
+// the process, and it could serve no other callers.
 package limit
 
 import (
@@ -10,8 +10,8 @@
 	"syscall"
 )
 
-// Listener accepts a connection only while fewer than its limit are open; the
-// others wait in the kernel's queue.
+// Listener accepts a connection only while fewer than its limit are open. Others
+// wait in the kernel's queue.
 type Listener struct {
 	net.Listener
 	slots  chan struct{}
@@ -19,9 +19,10 @@
 	once   sync.Once
 }
 
-// New bounds the open connections of a listener.
-func New(inner net.Listener, most int) *Listener {
-	return &Listener{Listener: inner, slots: make(chan struct{}, most), closed: make(chan struct{})}
+// New returns a listener that accepts from inner and holds at most maxOpen connections
+// open.
+func New(inner net.Listener, maxOpen int) *Listener {
+	return &Listener{Listener: inner, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
 
 // Accept waits for a free slot and then for a connection.
@@ -39,26 +40,26 @@
 	return &conn{Conn: inner, release: func() { <-l.slots }}, nil
 }
 
-// SyscallConn implements syscall.Conn where the listener does.
-func (l *Listener) SyscallConn() (syscall.RawConn, error) { return rawOf(l.Listener) }
+// SyscallConn implements syscall.Conn if the inner listener does.
+func (l *Listener) SyscallConn() (syscall.RawConn, error) { return rawConn(l.Listener) }
 
-// Close stops accepting. Open connections stay.
+// Close stops accepting connections. Open connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// conn gives its slot back once.
+// conn is a connection that frees its slot when it is first closed.
 type conn struct {
 	net.Conn
 	once    sync.Once
 	release func()
 }
 
-// SyscallConn implements syscall.Conn where the connection does.
-func (c *conn) SyscallConn() (syscall.RawConn, error) { return rawOf(c.Conn) }
+// SyscallConn implements syscall.Conn if the inner connection does.
+func (c *conn) SyscallConn() (syscall.RawConn, error) { return rawConn(c.Conn) }
 
-func rawOf(inner any) (syscall.RawConn, error) {
+func rawConn(inner any) (syscall.RawConn, error) {
 	source, ok := inner.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
@@ -66,7 +67,7 @@
 	return source.SyscallConn()
 }
 
-// Close ends the connection and frees its slot.
+// Close closes the connection and frees its slot.
 func (c *conn) Close() error {
 	defer c.once.Do(c.release)
 	return c.Conn.Close()
--- a/internal/link/limit/limit_test.go
+++ b/internal/link/limit/limit_test.go
@@ -10,11 +10,11 @@
 	"github.com/jujubescale/jujubescale/internal/link/limit"
 )
 
-func listen(t *testing.T, most int) *limit.Listener {
+func listen(t *testing.T, maxOpen int) *limit.Listener {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := limit.New(inner, most)
+	l := limit.New(inner, maxOpen)
 	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
@@ -41,8 +41,8 @@
 	return out
 }
 
-// A caller opens connections without end. Only as many as allowed are taken;
-// the next one is taken once another has closed, and not before.
+// Guards against more open connections than allowed when a caller opens ever more of
+// them, and against slots that are not freed, or freed twice, when one is closed.
 func TestConnectionsBeyondTheLimitWait(t *testing.T) {
 	l := listen(t, 1)
 	dial(t, l)
@@ -52,11 +52,11 @@
 	next := accept(l)
 	select {
 	case <-next:
-		t.Fatal("a second connection was taken")
+		t.Fatal("a second connection was accepted")
 	default:
 	}
 	assert.NilError(t, first.conn.Close())
-	_ = first.conn.Close() // twice must not free two slots
+	_ = first.conn.Close() // a second Close must not free another slot
 	second := <-next
 	assert.NilError(t, second.err)
 	third := accept(l)
