--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -150,12 +150,12 @@
 		h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 })
 		// A peer with a newer state is no reason to read the list: the watch may be about
 		// to return the same changes.
-		assert.Assert(t, f.Confirm(wire.Seen{Kind: "k", Revision: 7, Changed: 7}, 1))
+		assert.Assert(t, f.Confirm(wire.Progress{Kind: "k", Revision: 7, Changed: 7}, 1))
 		time.Sleep(20 * time.Millisecond)
 		h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 })
 		f.RequestList()
 		h.waitFor(t, func(h *received) bool { return len(h.lists) == 2 })
-		assert.Assert(t, !f.Confirm(wire.Seen{Kind: "k", Revision: 8, Changed: 8}, 1))
+		assert.Assert(t, !f.Confirm(wire.Progress{Kind: "k", Revision: 8, Changed: 8}, 1))
 	})
 }
 
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -130,10 +130,10 @@
 }
 
 // Progress returns the revision up to which the kind was read, and its age.
-func (f *Feed) Progress() wire.Seen {
+func (f *Feed) Progress() wire.Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	progress := wire.Seen{Kind: f.kind, Revision: f.state.revision, Changed: min(f.state.lastChange, f.state.revision)}
+	progress := wire.Progress{Kind: f.kind, Revision: f.state.revision, Changed: min(f.state.lastChange, f.state.revision)}
 	if !f.hideAge {
 		progress.Age = max(f.clock.Now()-f.state.confirmedAt, 0)
 	}
@@ -153,7 +153,7 @@
 // buildSnapshot returns all objects; the caller holds the lock.
 func (f *Feed) buildSnapshot(away clock.Millis) *wire.Update {
 	update := &wire.Update{
-		Kind: f.kind, Revision: f.state.revision, Changed: f.state.lastChange, Whole: true, Away: away,
+		Kind: f.kind, Revision: f.state.revision, Changed: f.state.lastChange, Whole: true, Outage: away,
 		Age: max(f.clock.Now()-f.state.confirmedAt, 0),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.state.objects)) {
@@ -245,7 +245,7 @@
 func (f *Feed) Apply(update *wire.Update, now clock.Millis) (missing bool) {
 	at := now - update.Age
 	if update.Whole {
-		f.applyList(objectsOf(update), update.Revision, update.Changed, update.Away, at)
+		f.applyList(objectsOf(update), update.Revision, update.Changed, update.Outage, at)
 	} else {
 		if known, listed := f.knownRevision(); !listed || update.Since > known {
 			return true
@@ -258,7 +258,7 @@
 
 // Confirm takes the progress of a peer as of an instant. It reports whether this
 // feed lacks changes that the peer has; then the progress is ignored.
-func (f *Feed) Confirm(seen wire.Seen, now clock.Millis) (missing bool) {
+func (f *Feed) Confirm(seen wire.Progress, now clock.Millis) (missing bool) {
 	f.mu.Lock()
 	if f.state.revision < seen.Changed || !f.state.listed {
 		f.mu.Unlock()
--- a/internal/serve/feed/peer_test.go
+++ b/internal/serve/feed/peer_test.go
@@ -69,7 +69,7 @@
 
 func (p *relayedFeed) confirm(t *testing.T) {
 	t.Helper()
-	assert.Assert(t, !p.Confirm(wire.Seen{Kind: "k", Revision: 5, Changed: 5}, p.now()))
+	assert.Assert(t, !p.Confirm(wire.Progress{Kind: "k", Revision: 5, Changed: 5}, p.now()))
 }
 
 func (p *relayedFeed) waitUntil(t *testing.T, condition func() bool) {
@@ -135,7 +135,7 @@
 	p.fake.Advance(200)
 	p.waitUntil(t, func() bool { return p.follows.Load() == 2 })
 	// A confirmation that is older than the maximum age.
-	assert.Assert(t, !p.Confirm(wire.Seen{Kind: "k", Revision: 5, Changed: 5, Age: 3000}, p.now()))
+	assert.Assert(t, !p.Confirm(wire.Progress{Kind: "k", Revision: 5, Changed: 5, Age: 3000}, p.now()))
 	assert.Assert(t, !p.Relayed())
 }
 
@@ -144,7 +144,7 @@
 func TestMissingChangesAreDetected(t *testing.T) {
 	p := newRelayedFeed(t)
 	assert.Assert(t, p.Apply(update(6, 7, wire.Stored{Name: "k/b", Version: 7}), p.now()))
-	assert.Assert(t, p.Confirm(wire.Seen{Kind: "k", Revision: 9, Changed: 7}, p.now()))
+	assert.Assert(t, p.Confirm(wire.Progress{Kind: "k", Revision: 9, Changed: 7}, p.now()))
 	assert.Assert(t, !p.Relayed(), "it continues to call the store itself")
 	all := update(0, 9, wire.Stored{Name: "k/a", Version: 5}, wire.Stored{Name: "k/b", Version: 7})
 	all.Whole = true
@@ -186,7 +186,7 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	began := time.Now()
 	for f.Down() {
-		f.Confirm(wire.Seen{Kind: "k", Revision: 6, Changed: 5}, clock.Millis(1<<40))
+		f.Confirm(wire.Progress{Kind: "k", Revision: 6, Changed: 5}, clock.Millis(1<<40))
 		assert.Assert(t, time.Since(began) < 5*time.Second)
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/serve/mesh/ask.go
+++ b/internal/serve/mesh/ask.go
@@ -23,7 +23,7 @@
 // the context ends first, the request is withdrawn. The session's reader calls
 // fetched when all pieces have read their inputs. RequestPieces returns a
 // LostError if the peer can't answer.
-func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Made, error) {
+func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Results, error) {
 	l := m.openLink(ctx, to)
 	if l == nil {
 		if ctx.Err() != nil {
@@ -32,7 +32,7 @@
 		return nil, &LostError{Peer: to}
 	}
 	pieces.CallID = m.lastCallID.Add(1)
-	request := &pendingRequest{answer: make(chan *wire.Made, 1), fetched: fetched}
+	request := &pendingRequest{answer: make(chan *wire.Results, 1), fetched: fetched}
 	m.mu.Lock()
 	if l.pending == nil {
 		m.mu.Unlock()
@@ -40,8 +40,8 @@
 	}
 	l.pending[pieces.CallID] = request
 	m.mu.Unlock()
-	l.session.Busy(1)
-	defer l.session.Busy(-1)
+	l.session.AddInFlight(1)
+	defer l.session.AddInFlight(-1)
 	if err := l.session.Send(&wire.Frame{Kind: wire.KindPieces, Pieces: pieces}); err != nil {
 		m.removePending(l, pieces.CallID)
 		return nil, &LostError{Peer: to}
@@ -58,7 +58,7 @@
 	case <-ctx.Done():
 		m.removePending(l, pieces.CallID)
 		// If the frame can't be sent, the session is ending, which withdraws the request.
-		_ = l.session.Send(&wire.Frame{Kind: wire.KindDropped, Dropped: &wire.Dropped{CallID: pieces.CallID}})
+		_ = l.session.Send(&wire.Frame{Kind: wire.KindCancelPieces, CancelPieces: &wire.CancelPieces{CallID: pieces.CallID}})
 		return nil, ctx.Err()
 	}
 }
@@ -110,10 +110,10 @@
 	m.checkRelease(frame)
 	from := s.Peer().Process
 	switch frame.Kind {
-	case wire.KindFetched:
-		m.handleFetched(s, frame.Fetched.CallID)
-	case wire.KindMade:
-		m.handleMade(s, frame.Made)
+	case wire.KindInputsRead:
+		m.handleFetched(s, frame.InputsRead.CallID)
+	case wire.KindResults:
+		m.handleMade(s, frame.Results)
 	case wire.KindTotal:
 		m.handleTotal(from, frame.Sums)
 	case wire.KindGroup:
@@ -121,7 +121,7 @@
 	case wire.KindUpdate:
 		m.handleUpdate(from, frame.Update)
 	case wire.KindLeave:
-		m.setLeaving(s.Peer(), !frame.Leave.Back)
+		m.setLeaving(s.Peer(), !frame.Leave.Resumed)
 	case wire.KindRenew:
 		m.requestResend(s)
 	default:
@@ -149,8 +149,8 @@
 	switch frame.Kind {
 	case wire.KindPieces:
 		m.piecesFunc(from, frame.Pieces, newReply(s, frame.Pieces.CallID))
-	case wire.KindDropped:
-		m.droppedFunc(from, frame.Dropped.CallID)
+	case wire.KindCancelPieces:
+		m.droppedFunc(from, frame.CancelPieces.CallID)
 	case wire.KindUnused:
 		m.unusedFunc(frame.Unused)
 	case wire.KindReport:
@@ -162,7 +162,7 @@
 	case wire.KindFollow:
 		m.handleFollow(s, frame.Follow)
 	case wire.KindLeave:
-		m.setLeaving(s.Peer(), !frame.Leave.Back)
+		m.setLeaving(s.Peer(), !frame.Leave.Resumed)
 	case wire.KindRenew:
 		m.requestResend(s)
 	default:
@@ -181,11 +181,11 @@
 func newReply(s *sess.Session, callID uint64) Reply {
 	return Reply{
 		FetchedFunc: func() {
-			_ = s.Send(&wire.Frame{Kind: wire.KindFetched, Fetched: &wire.Fetched{CallID: callID}})
+			_ = s.Send(&wire.Frame{Kind: wire.KindInputsRead, InputsRead: &wire.InputsRead{CallID: callID}})
 		},
-		MadeFunc: func(made *wire.Made) {
+		MadeFunc: func(made *wire.Results) {
 			made.CallID = callID
-			_ = s.Send(&wire.Frame{Kind: wire.KindMade, Made: made})
+			_ = s.Send(&wire.Frame{Kind: wire.KindResults, Results: made})
 		},
 	}
 }
@@ -207,7 +207,7 @@
 	}
 }
 
-func (m *Mesh) handleMade(s *sess.Session, made *wire.Made) {
+func (m *Mesh) handleMade(s *sess.Session, made *wire.Results) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pending := m.pendingOn(s)
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -117,8 +117,8 @@
 
 // isStale reports whether the store last confirmed some kind of objects longer ago
 // than bound.
-func isStale(seen []wire.Seen, bound clock.Millis) bool {
-	return slices.ContainsFunc(seen, func(s wire.Seen) bool { return s.Age > bound })
+func isStale(seen []wire.Progress, bound clock.Millis) bool {
+	return slices.ContainsFunc(seen, func(s wire.Progress) bool { return s.Age > bound })
 }
 
 func (m *Mesh) ifOpen(l *link) *link {
@@ -182,7 +182,7 @@
 
 // confirmProgress applies the progress of the upstream and requests missing
 // changes.
-func (m *Mesh) confirmProgress(from string, seen []wire.Seen, now clock.Millis) {
+func (m *Mesh) confirmProgress(from string, seen []wire.Progress, now clock.Millis) {
 	m.requestMissing(from, m.follower.ConfirmFunc(seen, now))
 }
 
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -13,7 +13,7 @@
 
 // pendingRequest is a request for pieces without an answer yet.
 type pendingRequest struct {
-	answer  chan *wire.Made
+	answer  chan *wire.Results
 	fetched func()
 }
 
@@ -132,7 +132,7 @@
 }
 
 func (m *Mesh) dial(member Member) (*sess.Session, error) {
-	s, err := sess.Dial(m.base, member.Address, m.newSessionOptions(m.handleLinkFrame, sess.WithOpening(openTimeout))...)
+	s, err := sess.Dial(m.base, member.Address, m.newSessionOptions(m.handleLinkFrame, sess.WithOpenTimeout(openTimeout))...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -66,20 +66,20 @@
 // reports that the inputs were read, MadeFunc sends the result.
 type Reply struct {
 	FetchedFunc func()
-	MadeFunc    func(*wire.Made)
+	MadeFunc    func(*wire.Results)
 }
 
 // Follower connects the mesh to this process's copy of the store, which is read
 // from the store itself or through a peer.
 type Follower struct {
 	// ProgressFunc returns, for each kind of objects, the revision that was read.
-	ProgressFunc func() []wire.Seen
+	ProgressFunc func() []wire.Progress
 	// SnapshotFunc returns all objects of a kind, nil before the first read.
 	SnapshotFunc func(kind string) *wire.Update
 	// ApplyFunc applies changes that a peer relays. ConfirmFunc takes the progress
 	// of that peer as of an instant. Both return the kinds that lack changes.
 	ApplyFunc   func(update *wire.Update, now clock.Millis) []string
-	ConfirmFunc func(seen []wire.Seen, now clock.Millis) []string
+	ConfirmFunc func(seen []wire.Progress, now clock.Millis) []string
 	// MaxPeerAge bounds the age of the last store answer at a peer that this
 	// process follows; MaxWatcherAge bounds it at this process while it is a
 	// watcher. Both are in milliseconds.
@@ -241,10 +241,10 @@
 		releaseFunc:      func() uint64 { return 0 },
 		newerReleaseFunc: func() {},
 		follower: Follower{
-			ProgressFunc:   func() []wire.Seen { return nil },
+			ProgressFunc:   func() []wire.Progress { return nil },
 			SnapshotFunc:   func(string) *wire.Update { return nil },
 			ApplyFunc:      func(*wire.Update, clock.Millis) []string { return nil },
-			ConfirmFunc:    func([]wire.Seen, clock.Millis) []string { return nil },
+			ConfirmFunc:    func([]wire.Progress, clock.Millis) []string { return nil },
 			DownFunc:       func() bool { return false },
 			NoUpstreamFunc: func() {},
 			MaxPeerAge:     defaultMaxPeerAge,
@@ -313,7 +313,7 @@
 func (m *Mesh) newSessionOptions(handler sess.Handler, more ...sess.Option) []sess.Option {
 	opts := []sess.Option{
 		sess.WithClock(m.clock), sess.WithHello(m.hello), sess.WithHandler(handler),
-		sess.WithBeats(idleHeartbeat, busyHeartbeat), sess.WithRelease(m.releaseFunc),
+		sess.WithHeartbeats(idleHeartbeat, busyHeartbeat), sess.WithRelease(m.releaseFunc),
 	}
 	return append(append(opts, m.sessionOptions...), more...)
 }
@@ -335,7 +335,7 @@
 // on. A process that is restarted during an outage of the store is reached by its
 // peers before it has read any endpoint; as an owner it would refuse all work of
 // its pools.
-func (m *Mesh) StartOwning() { m.setOwns(true, &wire.Leave{Back: true}) }
+func (m *Mesh) StartOwning() { m.setOwns(true, &wire.Leave{Resumed: true}) }
 
 // StopOwning announces to the peers that this process owns no pools from now on.
 func (m *Mesh) StopOwning() { m.setOwns(false, &wire.Leave{Reason: "planned stop"}) }
@@ -387,7 +387,7 @@
 // Handler returns the HTTP handler that accepts sessions from peers.
 func (m *Mesh) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, err := sess.Accept(m.base, w, r, m.newSessionOptions(m.handleInboundFrame, sess.WithOpened(m.addInbound))...)
+		s, err := sess.Accept(m.base, w, r, m.newSessionOptions(m.handleInboundFrame, sess.WithAccepted(m.addInbound))...)
 		if s == nil {
 			m.log.Debug("session not opened", "error", err)
 			return
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -293,7 +293,7 @@
 	late.Mesh = mesh.New(t.Context(), late.member, mesh.WithClock(clock.New()),
 		mesh.WithPieces(func(from string, _ *wire.Pieces, reply mesh.Reply) {
 			requesters <- from
-			reply.MadeFunc(&wire.Made{References: []string{"r"}})
+			reply.MadeFunc(&wire.Results{References: []string{"r"}})
 		}, func(string, uint64) {}))
 	server := httptest.NewServer(late.Handler())
 	t.Cleanup(func() { late.Stop(); server.Close() })
--- a/internal/serve/mesh/send.go
+++ b/internal/serve/mesh/send.go
@@ -19,7 +19,7 @@
 // send sends one round of reports and returns the number of destinations.
 func (m *Mesh) send(regular bool, now clock.Millis) int {
 	all := m.destinations()
-	var seen []wire.Seen
+	var seen []wire.Progress
 	if regular {
 		seen = m.follower.ProgressFunc()
 	}
@@ -107,7 +107,7 @@
 	t.membersSent, t.lastRegular, t.hasInterest = 0, 0, false
 }
 
-func (m *Mesh) sendTo(to destination, regular bool, seen []wire.Seen, now clock.Millis) {
+func (m *Mesh) sendTo(to destination, regular bool, seen []wire.Progress, now clock.Millis) {
 	if to.kind == wire.KindGroup && now-to.target.lastRegular < groupInterval {
 		regular = false
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	if regular {
-		message.Seen = seen
+		message.Progress = seen
 		m.addMembers(message, to, now)
 	}
 	message.Owns = m.mayOwn()
--- a/internal/serve/mesh/take.go
+++ b/internal/serve/mesh/take.go
@@ -69,7 +69,7 @@
 	m.handleEvents(message)
 	m.forwardChangedWork(changed)
 	if message.Regular && m.uplink.Load().upstream == from {
-		m.confirmProgress(from, message.Seen, now)
+		m.confirmProgress(from, message.Progress, now)
 	}
 	if message.Urgent {
 		m.triggerRound()
@@ -134,13 +134,13 @@
 	for _, load := range total.Pools {
 		pools = append(pools, sums.Pool{Load: load, At: now - load.Age})
 	}
-	arrivals := sums.PendingArrivalsOf(total.Inflow)
+	arrivals := sums.PendingArrivalsOf(total.PendingArrivals)
 	m.setPools(pools)
 	m.pendingArrivals.Store(&arrivals)
 	if total.HasTrials {
 		m.trials.Store(&total.Trials)
 	}
 	if m.uplink.Load().upstream == from {
-		m.confirmProgress(from, total.Seen, now)
+		m.confirmProgress(from, total.Progress, now)
 	}
 }
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -104,7 +104,7 @@
 		opts = append(opts, sess.WithTLS(config))
 	}
 	if l.peers.beatIdle > 0 {
-		opts = append(opts, sess.WithBeats(l.peers.beatIdle, l.peers.beatBusy))
+		opts = append(opts, sess.WithHeartbeats(l.peers.beatIdle, l.peers.beatBusy))
 	}
 	return sess.Dial(ctx, l.address, opts...)
 }
@@ -120,7 +120,7 @@
 	l.mu.Lock()
 	l.session, l.closing, l.endpoint, l.endpoints, l.leaving = s, false, endpoint, endpoints, peer.Leaving
 	l.resendCancels(s)
-	s.Busy(int64(len(l.open)))
+	s.AddInFlight(int64(len(l.open)))
 	for _, a := range l.open {
 		a.events.add(Event{Kind: EventSessionRestored, Attempt: a.attempt, Session: s.Number()})
 	}
@@ -206,7 +206,7 @@
 		return 0, err
 	}
 	l.open[call.ID] = openAttempt{events: events, attempt: attempt, incarnation: incarnation}
-	s.Busy(1)
+	s.AddInFlight(1)
 	return s.Number(), nil
 }
 
@@ -276,7 +276,7 @@
 	}
 	delete(l.open, id)
 	if l.session != nil {
-		l.session.Busy(-1)
+		l.session.AddInFlight(-1)
 	}
 	l.closeIfIdle()
 }
@@ -360,17 +360,17 @@
 func (l *Link) handleLeave(leave *wire.Leave) {
 	l.mu.Lock()
 	endpoint, endpoints := l.endpoint, l.endpoints
-	l.leaving = !leave.Back
+	l.leaving = !leave.Resumed
 	l.mu.Unlock()
 	if endpoint == nil {
 		return
 	}
-	endpoints.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Back)
+	endpoints.SetExclusion(endpoint.Name, pool.ExcludeLeaving, !leave.Resumed)
 	if leave.Closing {
 		l.mu.Lock()
 		l.closing = true
 		l.closeIfIdle()
 		l.mu.Unlock()
 	}
-	l.peers.log.Info("endpoint started or stopped accepting new work", "endpoint", endpoint.Name, "leaving", !leave.Back, "reason", leave.Reason)
+	l.peers.log.Info("endpoint started or stopped accepting new work", "endpoint", endpoint.Name, "leaving", !leave.Resumed, "reason", leave.Reason)
 }
--- a/internal/serve/peers/watch.go
+++ b/internal/serve/peers/watch.go
@@ -25,14 +25,14 @@
 	var watched []*sess.Session
 	for _, l := range p.byAddress {
 		if s := l.sessionInZone(zone); s != nil {
-			s.Busy(1)
+			s.AddInFlight(1)
 			watched = append(watched, s)
 		}
 	}
 	p.group.Go(func() {
 		_ = p.clock.Sleep(p.base, watchDuration)
 		for _, s := range watched {
-			s.Busy(-1)
+			s.AddInFlight(-1)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -194,7 +194,7 @@
 
 func (b *base) recordContact() {
 	for _, s := range b.peers.Sessions() {
-		b.contact.RecordPeer(s.Peer().AvailabilityZone, s.LastHeard())
+		b.contact.RecordPeer(s.Peer().AvailabilityZone, s.LastReceived())
 	}
 	if b.caller != nil {
 		b.contact.RecordPlatform(b.caller.Heard())
