--- a/internal/base/clock/clock_test.go
+++ b/internal/base/clock/clock_test.go
@@ -30,5 +30,5 @@
 	fake := clock.NewFake(0)
 	_, stop := fake.Clock().After(10)
 	stop()
-	assert.Equal(t, fake.Waiting(), 0)
+	assert.Equal(t, fake.Pending(), 0)
 }
--- a/internal/base/clock/fake.go
+++ b/internal/base/clock/fake.go
@@ -37,8 +37,8 @@
 	f.timers = kept
 }
 
-// Waiting returns how many timers have not fired yet.
-func (f *Fake) Waiting() int {
+// Pending returns how many timers have not fired yet.
+func (f *Fake) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.timers)
--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -28,47 +28,47 @@
 
 // Reasons for a refusal. docs/CALLERS.md lists each with its HTTP status.
 const (
-	BadRequest      Reason = "badRequest"
-	Unauthorized    Reason = "unauthorized"
-	Forbidden       Reason = "forbidden"
-	UnknownService  Reason = "unknownService"
-	BodyTooLarge    Reason = "bodyTooLarge"
-	TooManyOpen     Reason = "tooManyOpen"
-	NotReady        Reason = "notReady"
-	Isolated        Reason = "isolated"
-	Leaving         Reason = "leaving"
-	ZoneLeft        Reason = "zoneLeft"
-	Overloaded      Reason = "overloaded"
-	QueueFull       Reason = "queueFull"
-	ColdStart       Reason = "coldStart"
-	WontMakeIt      Reason = "wontMakeIt"
-	DeadlinePassed  Reason = "deadlinePassed"
-	NoEndpoint      Reason = "noEndpoint"
-	EndpointFailed  Reason = "endpointFailed"
-	AnswerBroken    Reason = "answerBroken"
-	KeyInUse        Reason = "keyInUse"
-	KeyDone         Reason = "keyDone"
-	KeyUnavailable  Reason = "keyUnavailable"
-	OutcomeUnknown  Reason = "outcomeUnknown"
-	Cancelled       Reason = "cancelled"
-	RetryBudget     Reason = "retryBudget"
-	WrongEndpoint   Reason = "wrongEndpoint"
-	OldRelease      Reason = "oldRelease"
-	DoubledFrame    Reason = "doubledFrame"
-	BackendRejected Reason = "backendRejected"
-	InputGone       Reason = "inputGone"
-	UnknownRoute    Reason = "unknownRoute"
-	Quarantined     Reason = "quarantined"
+	BadRequest          Reason = "badRequest"
+	Unauthorized        Reason = "unauthorized"
+	Forbidden           Reason = "forbidden"
+	UnknownService      Reason = "unknownService"
+	BodyTooLarge        Reason = "bodyTooLarge"
+	TooManyOpen         Reason = "tooManyOpen"
+	NotReady            Reason = "notReady"
+	Isolated            Reason = "isolated"
+	Leaving             Reason = "leaving"
+	ZoneEvacuated       Reason = "zoneLeft"
+	Overloaded          Reason = "overloaded"
+	QueueFull           Reason = "queueFull"
+	ColdStart           Reason = "coldStart"
+	DeadlineUnreachable Reason = "wontMakeIt"
+	DeadlinePassed      Reason = "deadlinePassed"
+	NoEndpoint          Reason = "noEndpoint"
+	EndpointFailed      Reason = "endpointFailed"
+	AnswerBroken        Reason = "answerBroken"
+	KeyInUse            Reason = "keyInUse"
+	KeyDone             Reason = "keyDone"
+	KeyUnavailable      Reason = "keyUnavailable"
+	OutcomeUnknown      Reason = "outcomeUnknown"
+	Cancelled           Reason = "cancelled"
+	RetryBudget         Reason = "retryBudget"
+	WrongEndpoint       Reason = "wrongEndpoint"
+	OldRelease          Reason = "oldRelease"
+	DuplicateFrame      Reason = "doubledFrame"
+	BackendRejected     Reason = "backendRejected"
+	InputLost           Reason = "inputGone"
+	UnknownRoute        Reason = "unknownRoute"
+	Quarantined         Reason = "quarantined"
 )
 
 // Reasons returns every reason, for documentation and metrics.
 func Reasons() []Reason {
 	return []Reason{
 		BadRequest, Unauthorized, Forbidden, UnknownService, BodyTooLarge, TooManyOpen, NotReady,
-		Isolated, Leaving, ZoneLeft, Overloaded, QueueFull, ColdStart, WontMakeIt, DeadlinePassed,
+		Isolated, Leaving, ZoneEvacuated, Overloaded, QueueFull, ColdStart, DeadlineUnreachable, DeadlinePassed,
 		NoEndpoint, EndpointFailed, AnswerBroken, KeyInUse, KeyDone, KeyUnavailable, OutcomeUnknown,
-		Cancelled, RetryBudget, WrongEndpoint, OldRelease, DoubledFrame, BackendRejected,
-		InputGone, UnknownRoute, Quarantined,
+		Cancelled, RetryBudget, WrongEndpoint, OldRelease, DuplicateFrame, BackendRejected,
+		InputLost, UnknownRoute, Quarantined,
 	}
 }
 
--- a/internal/cli/devel/bounds.go
+++ b/internal/cli/devel/bounds.go
@@ -107,14 +107,14 @@
 		return nil, err
 	}
 	var shares []float64
-	for _, span := range report.Spans[:min(spans, len(report.Spans))] {
+	for _, span := range report.Intervals[:min(spans, len(report.Intervals))] {
 		all := 0
-		for outcome, count := range span.ByEnd {
-			if outcome != losses.Left {
+		for outcome, count := range span.ByOutcome {
+			if outcome != losses.Excluded {
 				all += count
 			}
 		}
-		shares = append(shares, float64(span.ByEnd[losses.InTime])/float64(max(all, 1)))
+		shares = append(shares, float64(span.ByOutcome[losses.InTime])/float64(max(all, 1)))
 	}
 	return shares, nil
 }
--- a/internal/cli/devel/bounds_test.go
+++ b/internal/cli/devel/bounds_test.go
@@ -33,8 +33,8 @@
 	assert.NilError(t, os.WriteFile(model, []byte(`{"name":"m","seconds":4,
 		"pools":[{"name":"encode","engines":1,"slots":1}],
 		"routes":[{"name":"draft","perSecond":10,"worth":1,"objectiveMs":1,"uses":[{"pool":"encode","slotMs":200}]}]}`), 0o600))
-	report, err := json.Marshal(losses.Report{Spans: []losses.Span{
-		{ByEnd: map[losses.Outcome]int{losses.InTime: 3, losses.Left: 5, losses.Late: 1}},
+	report, err := json.Marshal(losses.Report{Intervals: []losses.Interval{
+		{ByOutcome: map[losses.Outcome]int{losses.InTime: 3, losses.Excluded: 5, losses.Late: 1}},
 	}})
 	assert.NilError(t, err)
 	served := filepath.Join(directory, "losses.json")
--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -191,7 +191,7 @@
 			return 0
 		}
 		var release uint64
-		for _, answer := range f.Ask(ctx, page.Hosts) {
+		for _, answer := range f.Statuses(ctx, page.Hosts) {
 			release = max(release, answer.Status.Release)
 		}
 		return release
@@ -227,7 +227,7 @@
 		return Waited{Release: release}, err
 	}
 	var last []apply.ProcessRelease
-	ask := c.Fleet.InForce(hosts, release)
+	ask := c.Fleet.ReleasesFunc(hosts, release)
 	err = c.Operator.WaitInForce(ctx, release, limit, func(ctx context.Context) []apply.ProcessRelease {
 		last = ask(ctx)
 		return seen(last)
--- a/internal/cli/state/losses.go
+++ b/internal/cli/state/losses.go
@@ -117,7 +117,7 @@
 }
 
 // outcomes in the order of the tables.
-var outcomes = []losses.Outcome{losses.InTime, losses.Late, losses.Refused, losses.Failed, losses.Left}
+var outcomes = []losses.Outcome{losses.InTime, losses.Late, losses.Refused, losses.Failed, losses.Excluded}
 
 func writeLosses(out io.Writer, report *losses.Report) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -125,7 +125,7 @@
 	for _, route := range report.Routes {
 		_, _ = fmt.Fprintf(table, "%s\t%d", route.Route, route.Attempts)
 		for _, outcome := range outcomes {
-			_, _ = fmt.Fprintf(table, "\t%d", route.ByEnd[outcome])
+			_, _ = fmt.Fprintf(table, "\t%d", route.ByOutcome[outcome])
 		}
 		_, _ = fmt.Fprintln(table)
 	}
@@ -138,11 +138,11 @@
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\n", phase.Route, phase.Phase, phase.P50Ms, phase.P90Ms, phase.P99Ms)
 	}
 	_, _ = fmt.Fprintln(table, "\nfrom ms\tin time\tlate\trefused\tfailed\tleft\tmost for")
-	for i := range report.Spans {
-		span := &report.Spans[i]
+	for i := range report.Intervals {
+		span := &report.Intervals[i]
 		_, _ = fmt.Fprintf(table, "%d", span.FromMs)
 		for _, outcome := range outcomes {
-			_, _ = fmt.Fprintf(table, "\t%d", span.ByEnd[outcome])
+			_, _ = fmt.Fprintf(table, "\t%d", span.ByOutcome[outcome])
 		}
 		_, _ = fmt.Fprintf(table, "\t%s\n", mostFor(span))
 	}
@@ -152,7 +152,7 @@
 }
 
 // mostFor returns the most frequent cause of a span.
-func mostFor(span *losses.Span) losses.Cause {
+func mostFor(span *losses.Interval) losses.Cause {
 	var causes []losses.Cause
 	for cause := range span.Causes {
 		causes = append(causes, cause)
--- a/internal/cli/state/status.go
+++ b/internal/cli/state/status.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	status := statusOf(config, client.Fleet.Ask(cmd.Context(), hosts))
+	status := statusOf(config, client.Fleet.Statuses(cmd.Context(), hosts))
 	return shared.Print(cmd.OutOrStdout(), status, func(out io.Writer) { writeStatus(out, &status) })
 }
 
--- a/internal/cli/zones/status.go
+++ b/internal/cli/zones/status.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	zones := tally(config, client.Fleet.Ask(cmd.Context(), hosts))
+	zones := tally(config, client.Fleet.Statuses(cmd.Context(), hosts))
 	return shared.Print(cmd.OutOrStdout(), zones, func(out io.Writer) { writeZones(out, zones) })
 }
 
--- a/internal/cli/zones/zones.go
+++ b/internal/cli/zones/zones.go
@@ -88,17 +88,17 @@
 		return nil, err
 	}
 	var endpoints []room.Endpoint
-	for _, answer := range client.Fleet.Ask(cmd.Context(), hosts) {
+	for _, answer := range client.Fleet.Statuses(cmd.Context(), hosts) {
 		endpoints = append(endpoints, endpointOf(&answer, config))
 	}
-	return room.After(endpoints, leaves), nil
+	return room.CheckRemoval(endpoints, leaves), nil
 }
 
 func endpointOf(answer *fleet.Answer, config *apply.Config) room.Endpoint {
 	host := &answer.Host
 	e := room.Endpoint{
 		Pool: host.Pool, Endpoint: host.Endpoint, AvailabilityZone: host.AvailabilityZone,
-		Out: isOut(host, config),
+		OutOfService: isOut(host, config),
 	}
 	if said := answer.Status.Endpoint; answer.Cause == nil && said != nil {
 		e.Known, e.Running, e.Queued, e.Limit, e.Cold = true, said.Running, said.Queued, said.Limit, said.Cold
@@ -131,8 +131,8 @@
 func (e *UnsafeError) Error() string {
 	text := "what remains does not bear the load; nothing was changed; --force does it nevertheless:"
 	for i := range e.Pools {
-		if p := &e.Pools[i]; !p.Bears {
-			text += fmt.Sprintf(" pool %s has %d calls for a limit of %d on %d endpoints;", p.Pool, p.Load, p.After, p.Endpoints)
+		if p := &e.Pools[i]; !p.Sufficient {
+			text += fmt.Sprintf(" pool %s has %d calls for a limit of %d on %d endpoints;", p.Pool, p.Load, p.LimitAfter, p.EndpointsAfter)
 		}
 	}
 	return text
@@ -143,10 +143,10 @@
 	for i := range pools {
 		p := &pools[i]
 		verdict := "bears the load"
-		if !p.Bears {
+		if !p.Sufficient {
 			verdict = "DOES NOT bear the load"
 		}
-		_, _ = fmt.Fprintf(out, "pool %s: %d calls, limit %d -> %d on %d endpoints, %s\n", p.Pool, p.Load, p.Before, p.After, p.Endpoints, verdict)
+		_, _ = fmt.Fprintf(out, "pool %s: %d calls, limit %d -> %d on %d endpoints, %s\n", p.Pool, p.Load, p.LimitBefore, p.LimitAfter, p.EndpointsAfter, verdict)
 		if p.Unknown > 0 {
 			_, _ = fmt.Fprintf(out, "  %d endpoints could not be asked and count as bearing nothing\n", p.Unknown)
 		}
@@ -158,7 +158,7 @@
 // and JSON output stays one document.
 func allow(cmd *cobra.Command, pools []room.Pool, force bool) error {
 	writePools(cmd.ErrOrStderr(), pools)
-	if force || room.Bears(pools) {
+	if force || room.AllSufficient(pools) {
 		return nil
 	}
 	return exit.With(exit.Unsafe, &UnsafeError{Pools: pools})
--- a/internal/flow/retry/retry.go
+++ b/internal/flow/retry/retry.go
@@ -45,11 +45,11 @@
 // ClassOf returns the class of a reason.
 func ClassOf(reason fault.Reason) Class {
 	switch reason {
-	case fault.Leaving, fault.ZoneLeft, fault.WrongEndpoint, fault.OldRelease, fault.NotReady, fault.Isolated:
+	case fault.Leaving, fault.ZoneEvacuated, fault.WrongEndpoint, fault.OldRelease, fault.NotReady, fault.Isolated:
 		return ClassMoved
 	case fault.Overloaded, fault.QueueFull, fault.ColdStart, fault.TooManyOpen:
 		return ClassFull
-	case fault.EndpointFailed, fault.AnswerBroken, fault.OutcomeUnknown, fault.NoEndpoint, fault.DoubledFrame:
+	case fault.EndpointFailed, fault.AnswerBroken, fault.OutcomeUnknown, fault.NoEndpoint, fault.DuplicateFrame:
 		return ClassFailed
 	default:
 		return ClassFinal
@@ -103,7 +103,7 @@
 	case f.Left <= 0:
 		d.Reason = fault.DeadlinePassed
 	case f.Left < f.Need:
-		d.Reason = fault.WontMakeIt
+		d.Reason = fault.DeadlineUnreachable
 	case f.Attempts >= MaxAttempts || !f.HasAlternative:
 	case class == ClassMoved:
 		d.Retry = true
--- a/internal/flow/retry/retry_test.go
+++ b/internal/flow/retry/retry_test.go
@@ -90,7 +90,7 @@
 		{
 			"too little time for another attempt",
 			func(f *retry.Failure) { f.Reason, f.Left = fault.QueueFull, 50 },
-			retry.Decision{Class: retry.ClassFull, Reason: fault.WontMakeIt, Ran: fault.NotRun},
+			retry.Decision{Class: retry.ClassFull, Reason: fault.DeadlineUnreachable, Ran: fault.NotRun},
 		},
 		{
 			"rejected by the back end",
--- a/internal/flow/stage/event.go
+++ b/internal/flow/stage/event.go
@@ -195,6 +195,6 @@
 		return
 	}
 	m.cancelExcept(nil)
-	m.enqueue(Action{Kind: Retried, Reason: fault.WontMakeIt})
+	m.enqueue(Action{Kind: Retried, Reason: fault.DeadlineUnreachable})
 	m.send(now, false, false)
 }
--- a/internal/flow/stage/stage.go
+++ b/internal/flow/stage/stage.go
@@ -133,7 +133,7 @@
 // Begin starts the first attempt.
 func (m *Machine) Begin(now clock.Millis) {
 	if m.config.Plan.TooLate {
-		m.fail(fault.RefusalError{Reason: fault.WontMakeIt, Ran: fault.NotRun})
+		m.fail(fault.RefusalError{Reason: fault.DeadlineUnreachable, Ran: fault.NotRun})
 		return
 	}
 	if m.config.Hedges != nil {
--- a/internal/guard/admit/admit.go
+++ b/internal/guard/admit/admit.go
@@ -176,7 +176,7 @@
 	}
 	if g.cannotMeetDeadline(now, &item) {
 		g.low *= lowDecay
-		return Decision[T]{Reason: fault.WontMakeIt}
+		return Decision[T]{Reason: fault.DeadlineUnreachable}
 	}
 	if g.queue.Len() == 0 && g.Running() < g.effectiveLimit(now) {
 		g.queue.Charge(item.Organisation, item.Weight, item.Cost)
@@ -202,7 +202,7 @@
 func (g *Gate[T]) enqueue(now clock.Millis, item fair.Item[T]) Decision[T] {
 	wait := g.expectedWait(g.queue.CostAhead(&item))
 	if now+wait+g.meanTime(item.Cost) >= item.Expires {
-		return Decision[T]{Reason: g.refusalReason(fault.WontMakeIt), RetryAfter: g.retryAfter()}
+		return Decision[T]{Reason: g.refusalReason(fault.DeadlineUnreachable), RetryAfter: g.retryAfter()}
 	}
 	evicted, hasEvicted, fits := g.queue.Push(item)
 	if !fits {
--- a/internal/guard/admit/admit_test.go
+++ b/internal/guard/admit/admit_test.go
@@ -34,7 +34,7 @@
 	t.Run("work that cannot meet its deadline is refused at once", func(t *testing.T) {
 		d := warmGate(4).Offer(1000, newItem(1, 1050))
 		assert.Equal(t, d.Verdict, admit.Refused)
-		assert.Equal(t, d.Reason, fault.WontMakeIt)
+		assert.Equal(t, d.Reason, fault.DeadlineUnreachable)
 	})
 	t.Run("work that would wait past its deadline is refused", func(t *testing.T) {
 		g := warmGate(64)
@@ -42,7 +42,7 @@
 		for i := range 4 + 8 {
 			assert.Assert(t, g.Offer(1000, newItem(i, 1<<40)).Verdict != admit.Refused)
 		}
-		assert.Equal(t, g.Offer(1000, newItem(1, 1250)).Reason, fault.WontMakeIt)
+		assert.Equal(t, g.Offer(1000, newItem(1, 1250)).Reason, fault.DeadlineUnreachable)
 		assert.Equal(t, g.Offer(1000, newItem(1, 2000)).Verdict, admit.Queued)
 	})
 	t.Run("queued work that can no longer meet its deadline is dropped", func(t *testing.T) {
--- a/internal/guard/drain/drain.go
+++ b/internal/guard/drain/drain.go
@@ -66,7 +66,7 @@
 	case CauseLeaving, CauseEndpoint:
 		return fault.Leaving
 	case CauseZone:
-		return fault.ZoneLeft
+		return fault.ZoneEvacuated
 	case CauseIsolated:
 		return fault.Isolated
 	case CauseFailing:
--- a/internal/guard/drain/drain_test.go
+++ b/internal/guard/drain/drain_test.go
@@ -16,7 +16,7 @@
 	var d drain.Drain
 	d.Set(drain.CauseZone, true)
 	d.Set(drain.CauseEndpoint, true)
-	assert.Equal(t, d.Reason(), fault.ZoneLeft)
+	assert.Equal(t, d.Reason(), fault.ZoneEvacuated)
 	d.Set(drain.CauseZone, false)
 	assert.Equal(t, d.Reason(), fault.Leaving)
 	d.Set(drain.CauseEndpoint, false)
--- a/internal/link/sess/silent_test.go
+++ b/internal/link/sess/silent_test.go
@@ -110,7 +110,7 @@
 	s.Busy(1)
 	// tick lets time pass at once, and waits until the session waits again.
 	tick := func(span clock.Millis) {
-		wait(t, func() bool { return fake.Waiting() == 1 })
+		wait(t, func() bool { return fake.Pending() == 1 })
 		fake.Advance(span)
 	}
 	ended := func() bool {
@@ -123,11 +123,11 @@
 	}
 	tick(busy) // asks for a sign of life
 	tick(20 * busy)
-	wait(t, func() bool { return ended() || fake.Waiting() == 1 })
+	wait(t, func() bool { return ended() || fake.Pending() == 1 })
 	assert.Assert(t, !ended(), "%v", s.Err())
 	for !ended() {
 		tick(busy)
-		wait(t, func() bool { return ended() || fake.Waiting() == 1 })
+		wait(t, func() bool { return ended() || fake.Pending() == 1 })
 	}
 	var silent *sess.SilentError
 	assert.Assert(t, errors.As(s.Err(), &silent), "%v", s.Err())
--- a/internal/ops/admin/admin.go
+++ b/internal/ops/admin/admin.go
@@ -58,8 +58,8 @@
 	SilentMs clock.Millis `json:"silentMs"`
 }
 
-// ShowSessions describes open sessions.
-func ShowSessions(c *clock.Clock, open []*sess.Session) []Session {
+// DescribeSessions describes open sessions.
+func DescribeSessions(c *clock.Clock, open []*sess.Session) []Session {
 	shown := make([]Session, 0, len(open))
 	for _, s := range open {
 		peer := s.Peer()
--- a/internal/ops/fleet/fleet.go
+++ b/internal/ops/fleet/fleet.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Ask asks the hosts for their status, several at a time. The answers come in
+// Statuses asks the hosts for their status, several at a time. The answers come in
 // the order of the hosts.
-func (f *Fleet) Ask(ctx context.Context, hosts []store.Host) []Answer {
+func (f *Fleet) Statuses(ctx context.Context, hosts []store.Host) []Answer {
 	answers := make([]Answer, len(hosts))
 	f.each(hosts, func(i int, host store.Host) {
 		answers[i].Host = host
@@ -131,9 +131,9 @@
 	return found
 }
 
-// InForce asks the hosts which release they have in force. A host that has the
+// ReleasesFunc asks the hosts which release they have in force. A host that has the
 // release once is not asked again, because a release never goes back.
-func (f *Fleet) InForce(hosts []store.Host, release uint64) func(context.Context) []apply.ProcessRelease {
+func (f *Fleet) ReleasesFunc(hosts []store.Host, release uint64) func(context.Context) []apply.ProcessRelease {
 	known := make([]apply.ProcessRelease, len(hosts))
 	return func(ctx context.Context) []apply.ProcessRelease {
 		var ask []store.Host
@@ -143,7 +143,7 @@
 				ask, at = append(ask, hosts[i]), append(at, i)
 			}
 		}
-		for i, answer := range f.Ask(ctx, ask) {
+		for i, answer := range f.Statuses(ctx, ask) {
 			known[at[i]] = apply.ProcessRelease{Process: answer.Host.Name, Release: answer.Status.Release, Cause: answer.Cause}
 		}
 		return known
--- a/internal/ops/losses/cause.go
+++ b/internal/ops/losses/cause.go
@@ -18,9 +18,9 @@
 	Late    Outcome = "late"
 	Refused Outcome = "refused"
 	Failed  Outcome = "failed"
-	// Left: the caller went away or asked for what the configuration forbids, so
+	// Excluded: the caller went away or asked for what the configuration forbids, so
 	// that it was owed nothing.
-	Left Outcome = "left"
+	Excluded Outcome = "left"
 )
 
 // Cause is why an attempt was not answered in time. Refusals have the reason
@@ -29,14 +29,14 @@
 
 // Causes of late answers, and of failures without a reason of our own.
 const (
-	CauseCameBack Cause = "cameBack"       // its earlier attempts were refused
-	CauseFailed   Cause = "stageFailed"    // a stage ended without results
-	CauseAgain    Cause = "stageMadeAgain" // a result was lost, stages ran twice
-	CauseOwner    Cause = "ownerLost"      // the owner of a pool ended meanwhile
-	CausePutOff   Cause = "stagePutOff"    // a stage with large results began later
-	CauseStage    Cause = "stage"          // the longest phase was a stage
-	CausePrompt   Cause = "generation"     // the longest phase was the endpoint's
-	CauseEndpoint Cause = "endpointsOwn"   // the endpoint's own failure, passed on
+	CauseEarlierRefusal Cause = "cameBack"       // its earlier attempts were refused
+	CauseFailed         Cause = "stageFailed"    // a stage ended without results
+	CauseRepeatedStage  Cause = "stageMadeAgain" // a result was lost, stages ran twice
+	CauseOwner          Cause = "ownerLost"      // the owner of a pool ended meanwhile
+	CauseDeferred       Cause = "stagePutOff"    // a stage with large results began later
+	CauseStage          Cause = "stage"          // the longest phase was a stage
+	CauseGeneration     Cause = "generation"     // the longest phase was the endpoint's
+	CauseEndpoint       Cause = "endpointsOwn"   // the endpoint's own failure, passed on
 )
 
 // attempt is what is kept of one attempt of a caller.
@@ -74,7 +74,7 @@
 	reason := fault.Reason(line.Value("reason"))
 	switch {
 	case reason == fault.Cancelled || reason == fault.Unauthorized || reason == fault.UnknownRoute:
-		a.outcome, a.cause = Left, Cause(reason)
+		a.outcome, a.cause = Excluded, Cause(reason)
 	case reason != "" && status == 503:
 		a.outcome, a.cause = Refused, Cause(reason)
 	case reason != "":
@@ -104,13 +104,13 @@
 	spans := spansOf(line.Value("spans"))
 	switch {
 	case took <= objective:
-		a.cause = CauseCameBack
+		a.cause = CauseEarlierRefusal
 	case anyFailed(spans):
 		a.cause = CauseFailed
 	case anyTwice(spans):
-		a.cause = CauseAgain
+		a.cause = CauseRepeatedStage
 	case a.stages < took-a.stages:
-		a.cause = CausePrompt
+		a.cause = CauseGeneration
 	default:
 		a.cause, a.pool = CauseStage, "stage "+strconv.Itoa(longest(spans))
 	}
@@ -123,11 +123,11 @@
 // the logs.
 func (a *attempt) mind(n notes) {
 	switch {
-	case a.outcome != Late || a.cause == CauseCameBack:
+	case a.outcome != Late || a.cause == CauseEarlierRefusal:
 	case n.owner:
 		a.cause, a.pool = CauseOwner, ""
 	case n.putOff && a.cause == CauseStage && a.late < putOffMost:
-		a.cause, a.pool = CausePutOff, ""
+		a.cause, a.pool = CauseDeferred, ""
 	}
 }
 
--- a/internal/ops/losses/chart.go
+++ b/internal/ops/losses/chart.go
@@ -25,17 +25,17 @@
 		XAxis:      gochart.XAxis{Name: "second"},
 		YAxis:      gochart.YAxis{Range: &gochart.ContinuousRange{Min: 0, Max: float64(mostLost(report) + 1)}},
 	}
-	below := make([]float64, len(report.Spans))
+	below := make([]float64, len(report.Intervals))
 	for _, cause := range causesByCount(report) {
 		line := gochart.ContinuousSeries{Name: string(cause)}
-		for i, span := range report.Spans {
+		for i, span := range report.Intervals {
 			below[i] += float64(span.Causes[cause])
 			line.XValues = append(line.XValues, float64(span.FromMs)/float64(clock.Second))
 			line.YValues = append(line.YValues, below[i])
 		}
 		graph.Series = append(graph.Series, line)
 	}
-	if len(graph.Series) == 0 || len(report.Spans) == 1 {
+	if len(graph.Series) == 0 || len(report.Intervals) == 1 {
 		// The library draws no line without two points.
 		graph.Series = []gochart.Series{gochart.ContinuousSeries{XValues: []float64{0, 1}, YValues: []float64{0, float64(mostLost(report))}}}
 	}
@@ -46,7 +46,7 @@
 // mostLost returns the largest sum of causes within one span.
 func mostLost(report *Report) int {
 	most := 0
-	for _, span := range report.Spans {
+	for _, span := range report.Intervals {
 		lost := 0
 		for _, count := range span.Causes {
 			lost += count
@@ -59,7 +59,7 @@
 // causesByCount returns all causes, the most frequent first.
 func causesByCount(report *Report) []Cause {
 	counts := make(map[Cause]int)
-	for _, span := range report.Spans {
+	for _, span := range report.Intervals {
 		for cause, count := range span.Causes {
 			counts[cause] += count
 		}
--- a/internal/ops/losses/losses.go
+++ b/internal/ops/losses/losses.go
@@ -34,10 +34,10 @@
 
 // Report is what the logs tell.
 type Report struct {
-	Routes []Route `json:"routes"`
-	Causes []Count `json:"causes"`
-	Spans  []Span  `json:"spans"`
-	Phases []Phase `json:"phases"`
+	Routes    []Route    `json:"routes"`
+	Causes    []Count    `json:"causes"`
+	Intervals []Interval `json:"spans"`
+	Phases    []Phase    `json:"phases"`
 	// Lines were read, Skipped could not be read as key=value pairs, Dropped were
 	// never written because their process logged too much, and LeftOut are ends of
 	// requests beyond what is kept.
@@ -49,9 +49,9 @@
 
 // Route sums the attempts on one route by outcome.
 type Route struct {
-	Route    string          `json:"route"`
-	Attempts int             `json:"attempts"`
-	ByEnd    map[Outcome]int `json:"byOutcome"`
+	Route     string          `json:"route"`
+	Attempts  int             `json:"attempts"`
+	ByOutcome map[Outcome]int `json:"byOutcome"`
 }
 
 // Count is how often a cause ended attempts on a route.
@@ -66,11 +66,11 @@
 	LateMs clock.Millis `json:"lateMs,omitempty"`
 }
 
-// Span sums the attempts that ended within a span of time.
-type Span struct {
+// Interval sums the attempts that ended within a span of time.
+type Interval struct {
 	// FromMs is its beginning, counted from the first end of all.
-	FromMs clock.Millis    `json:"fromMs"`
-	ByEnd  map[Outcome]int `json:"byOutcome"`
+	FromMs    clock.Millis    `json:"fromMs"`
+	ByOutcome map[Outcome]int `json:"byOutcome"`
 	// Causes of the attempts not answered in time.
 	Causes map[Cause]int `json:"causes"`
 }
@@ -191,7 +191,7 @@
 	slices.SortFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.at, b.at) })
 	r.report.Routes = routesOf(attempts)
 	r.report.Causes = causesOf(attempts)
-	r.report.Spans = spansOfTime(attempts, max(every, 1))
+	r.report.Intervals = spansOfTime(attempts, max(every, 1))
 	r.report.Phases = phasesOf(attempts)
 	return &r.report
 }
@@ -201,10 +201,10 @@
 	for i := range attempts {
 		a := &attempts[i]
 		if byName[a.route] == nil {
-			byName[a.route] = &Route{Route: a.route, ByEnd: make(map[Outcome]int)}
+			byName[a.route] = &Route{Route: a.route, ByOutcome: make(map[Outcome]int)}
 		}
 		byName[a.route].Attempts++
-		byName[a.route].ByEnd[a.outcome]++
+		byName[a.route].ByOutcome[a.outcome]++
 	}
 	routes := make([]Route, 0, len(byName))
 	for _, route := range byName {
@@ -250,18 +250,18 @@
 // maxSpans bounds the spans of a report: beyond it the last one takes the rest.
 const maxSpans = 10_000
 
-func spansOfTime(attempts []attempt, every clock.Millis) []Span {
-	var spans []Span
+func spansOfTime(attempts []attempt, every clock.Millis) []Interval {
+	var spans []Interval
 	for i := range attempts {
 		a := &attempts[i]
 		at := min(int((a.at-attempts[0].at)/int64(every)), maxSpans-1)
 		for len(spans) <= at {
-			spans = append(spans, Span{
-				FromMs: every * clock.Millis(len(spans)), ByEnd: make(map[Outcome]int), Causes: make(map[Cause]int),
+			spans = append(spans, Interval{
+				FromMs: every * clock.Millis(len(spans)), ByOutcome: make(map[Outcome]int), Causes: make(map[Cause]int),
 			})
 		}
-		spans[at].ByEnd[a.outcome]++
-		if a.outcome != InTime && a.outcome != Left {
+		spans[at].ByOutcome[a.outcome]++
+		if a.outcome != InTime && a.outcome != Excluded {
 			spans[at].Causes[a.cause]++
 		}
 	}
--- a/internal/ops/losses/losses_test.go
+++ b/internal/ops/losses/losses_test.go
@@ -38,13 +38,13 @@
 		{"refused while starting", endLine(1, "a", "route=r status=503 reason=notReady"), losses.Refused, "notReady", ""},
 		{"failed", endLine(1, "a", "route=r status=502 reason=endpointFailed"), losses.Failed, "endpointFailed", ""},
 		{"the endpoint's own failure", endLine(1, "a", "route=r status=500 reason="), losses.Failed, losses.CauseEndpoint, ""},
-		{"the caller left", endLine(1, "a", "route=r status=0 reason=cancelled"), losses.Left, "cancelled", ""},
-		{"wrong key", endLine(1, "a", "route=r status=401 reason=unauthorized"), losses.Left, "unauthorized", ""},
-		{"came back too late", endLine(1, "a", late+"sinceFirstMs=900 firstMs=1200 stagesMs=1100"), losses.Late, losses.CauseCameBack, ""},
-		{"slow to its first event", endLine(1, "a", late+"firstMs=2400 stagesMs=900"), losses.Late, losses.CausePrompt, ""},
+		{"the caller left", endLine(1, "a", "route=r status=0 reason=cancelled"), losses.Excluded, "cancelled", ""},
+		{"wrong key", endLine(1, "a", "route=r status=401 reason=unauthorized"), losses.Excluded, "unauthorized", ""},
+		{"came back too late", endLine(1, "a", late+"sinceFirstMs=900 firstMs=1200 stagesMs=1100"), losses.Late, losses.CauseEarlierRefusal, ""},
+		{"slow to its first event", endLine(1, "a", late+"firstMs=2400 stagesMs=900"), losses.Late, losses.CauseGeneration, ""},
 		{"a slow stage", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 1@300+1500 2@1800+500"`), losses.Late, losses.CauseStage, "stage 1"},
 		{"a stage failed", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300! 0@300+1500"`), losses.Late, losses.CauseFailed, ""},
-		{"stages ran twice", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 0@300+1500"`), losses.Late, losses.CauseAgain, ""},
+		{"stages ran twice", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 0@300+1500"`), losses.Late, losses.CauseRepeatedStage, ""},
 		{
 			"the owner was lost, told by a line that comes later in the file",
 			endLine(1, "a", late+"firstMs=2400 stagesMs=2300") + "time=2026-03-01T10:00:00.500Z msg=\"owner lost\" process=gw-1 request=a pool=enc\n",
@@ -53,7 +53,7 @@
 		{
 			"a stage was put off",
 			"time=2026-03-01T10:00:00.500Z msg=\"stage put off\" process=gw-1 request=a\n" + endLine(1, "a", late+`firstMs=2000 stagesMs=1900 spans="0@0+1900"`),
-			losses.Late, losses.CausePutOff, "",
+			losses.Late, losses.CauseDeferred, "",
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 			assert.Equal(t, got.Outcome, tt.outcome)
 			assert.Equal(t, got.Cause, tt.cause)
 			assert.Equal(t, got.Pool, tt.pool)
-			assert.Equal(t, report.Routes[0].ByEnd[tt.outcome], 1)
+			assert.Equal(t, report.Routes[0].ByOutcome[tt.outcome], 1)
 		})
 	}
 }
@@ -72,8 +72,8 @@
 	report := read(t, endLine(1, "a", "route=r status=200 reason= objectiveMs=1900 firstMs=1800 stagesMs=1700")+
 		endLine(4, "b", "route=plain status=200 reason= objectiveMs=300 tookMs=60"))
 	assert.Equal(t, len(report.Causes), 0)
-	assert.Equal(t, len(report.Spans), 2)
-	assert.Equal(t, report.Spans[1].ByEnd[losses.InTime], 1)
+	assert.Equal(t, len(report.Intervals), 2)
+	assert.Equal(t, report.Intervals[1].ByOutcome[losses.InTime], 1)
 	assert.Equal(t, report.Phases[0].Phase, "firstEvent")
 	assert.Equal(t, int64(report.Phases[0].P50Ms), int64(1800))
 }
@@ -117,8 +117,8 @@
 			ends += route.Attempts
 		}
 		inSpans := 0
-		for _, span := range report.Spans {
-			for _, count := range span.ByEnd {
+		for _, span := range report.Intervals {
+			for _, count := range span.ByOutcome {
 				inSpans += count
 			}
 		}
--- a/internal/ops/record/record.go
+++ b/internal/ops/record/record.go
@@ -43,10 +43,10 @@
 	Level   string    `json:"level"`
 	Message string    `json:"message"`
 	Process string    `json:"process"`
-	// About says that the line names an endpoint of the request and not the
+	// Related says that the line names an endpoint of the request and not the
 	// request itself.
-	About bool   `json:"about,omitempty"`
-	Pairs []Pair `json:"pairs"`
+	Related bool   `json:"about,omitempty"`
+	Pairs   []Pair `json:"pairs"`
 }
 
 // Value returns the value of a key, "" without it.
@@ -111,7 +111,7 @@
 			return l.Value(keyEndpoint) != "" && l.Value(keyEndpoint) == line.Value(keyEndpoint)
 		})
 		if used && !line.Time.Before(first) && !line.Time.After(last) {
-			line.About = true
+			line.Related = true
 			found = append(found, line)
 		}
 	}
--- a/internal/ops/record/record_test.go
+++ b/internal/ops/record/record_test.go
@@ -67,7 +67,7 @@
 			return // a line longer than any process writes
 		}
 		for _, line := range history.Lines {
-			if !line.About && line.Value(logs.KeyRequest) != request {
+			if !line.Related && line.Value(logs.KeyRequest) != request {
 				t.Fatalf("%+v", line)
 			}
 		}
--- a/internal/ops/room/room.go
+++ b/internal/ops/room/room.go
@@ -22,8 +22,8 @@
 	Queued  int
 	Limit   int
 	Cold    bool
-	// Out says that operators took it, or its zone, out already.
-	Out bool
+	// OutOfService says that operators took it, or its zone, out already.
+	OutOfService bool
 }
 
 // Pool is the verdict on one pool.
@@ -31,20 +31,20 @@
 	Pool string `json:"pool"`
 	// Load is the running and queued calls of all endpoints.
 	Load int `json:"load"`
-	// Before and After are the limits of the endpoints in service.
-	Before int `json:"limitBefore"`
-	After  int `json:"limitAfter"`
-	// Endpoints in service afterwards.
-	Endpoints int `json:"endpointsAfter"`
+	// LimitBefore and After are the limits of the endpoints in service.
+	LimitBefore int `json:"limitBefore"`
+	LimitAfter  int `json:"limitAfter"`
+	// EndpointsAfter in service afterwards.
+	EndpointsAfter int `json:"endpointsAfter"`
 	// Unknown counts endpoints that could not be asked.
 	Unknown int `json:"unknown,omitempty"`
-	// Bears says whether what remains bears the load.
-	Bears bool `json:"bears"`
+	// Sufficient says whether what remains bears the load.
+	Sufficient bool `json:"bears"`
 }
 
-// After returns a verdict for each pool that loses an endpoint when those for
+// CheckRemoval returns a verdict for each pool that loses an endpoint when those for
 // which leaves is true are taken out, ordered by name.
-func After(endpoints []Endpoint, leaves func(*Endpoint) bool) []Pool {
+func CheckRemoval(endpoints []Endpoint, leaves func(*Endpoint) bool) []Pool {
 	pools := make(map[string]*Pool)
 	touched := make(map[string]bool)
 	for i := range endpoints {
@@ -55,14 +55,14 @@
 			pools[e.Pool] = p
 		}
 		p.add(e, leaves(e))
-		touched[e.Pool] = touched[e.Pool] || (leaves(e) && !e.Out)
+		touched[e.Pool] = touched[e.Pool] || (leaves(e) && !e.OutOfService)
 	}
 	var verdicts []Pool
 	for name, p := range pools {
 		if !touched[name] {
 			continue
 		}
-		p.Bears = p.Endpoints > 0 && float64(p.Load) <= fullShare*float64(p.After)
+		p.Sufficient = p.EndpointsAfter > 0 && float64(p.Load) <= fullShare*float64(p.LimitAfter)
 		verdicts = append(verdicts, *p)
 	}
 	sort.Slice(verdicts, func(i, j int) bool { return verdicts[i].Pool < verdicts[j].Pool })
@@ -75,21 +75,21 @@
 		p.Unknown++
 		return
 	}
-	if e.Out {
+	if e.OutOfService {
 		return
 	}
-	p.Before += e.Limit
+	p.LimitBefore += e.Limit
 	if leaves {
 		return
 	}
-	p.After += e.Limit
-	p.Endpoints++
+	p.LimitAfter += e.Limit
+	p.EndpointsAfter++
 }
 
-// Bears reports whether every pool bears its load.
-func Bears(pools []Pool) bool {
+// AllSufficient reports whether every pool bears its load.
+func AllSufficient(pools []Pool) bool {
 	for i := range pools {
-		if !pools[i].Bears {
+		if !pools[i].Sufficient {
 			return false
 		}
 	}
--- a/internal/ops/room/room_test.go
+++ b/internal/ops/room/room_test.go
@@ -28,7 +28,7 @@
 		"too little remains": {[]room.Endpoint{warm("a", 6), warm("b", 6), warm("c", 6)}, false, 16},
 		"nothing remains":    {[]room.Endpoint{warm("a", 0)}, false, 0},
 		"another zone is out": {
-			[]room.Endpoint{warm("a", 4), {Pool: "engines", AvailabilityZone: "b", Known: true, Limit: 8, Out: true}, warm("c", 4)}, false, 8,
+			[]room.Endpoint{warm("a", 4), {Pool: "engines", AvailabilityZone: "b", Known: true, Limit: 8, OutOfService: true}, warm("c", 4)}, false, 8,
 		},
 		"agents that say nothing bear nothing": {
 			[]room.Endpoint{warm("a", 4), warm("b", 4), {Pool: "engines", AvailabilityZone: "c"}}, false, 8,
@@ -39,17 +39,17 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			pools := room.After(c.endpoints, inZone("a"))
+			pools := room.CheckRemoval(c.endpoints, inZone("a"))
 			assert.Equal(t, len(pools), 1)
-			assert.Equal(t, pools[0].After, c.after)
-			assert.Equal(t, room.Bears(pools), c.bears)
+			assert.Equal(t, pools[0].LimitAfter, c.after)
+			assert.Equal(t, room.AllSufficient(pools), c.bears)
 		})
 	}
 }
 
 func TestPoolsThatLoseNothingAreNotNamed(t *testing.T) {
 	endpoints := []room.Endpoint{{Pool: "full", AvailabilityZone: "b", Known: true, Running: 9, Limit: 1}}
-	assert.Equal(t, len(room.After(endpoints, inZone("a"))), 0)
+	assert.Equal(t, len(room.CheckRemoval(endpoints, inZone("a"))), 0)
 }
 
 // Taking out more must never make a verdict better.
@@ -61,8 +61,8 @@
 				Known: rapid.Bool().Draw(t, "known"), Running: rapid.IntRange(0, 9).Draw(t, "running"), Limit: rapid.IntRange(0, 9).Draw(t, "limit"),
 			}
 		}), 1, 12).Draw(t, "endpoints")
-		both := room.After(endpoints, func(e *room.Endpoint) bool { return e.AvailabilityZone != "c" })
-		if room.Bears(both) && !room.Bears(room.After(endpoints, inZone("a"))) {
+		both := room.CheckRemoval(endpoints, func(e *room.Endpoint) bool { return e.AvailabilityZone != "c" })
+		if room.AllSufficient(both) && !room.AllSufficient(room.CheckRemoval(endpoints, inZone("a"))) {
 			t.Fatal("bears two zones less but not one")
 		}
 	})
--- a/internal/serve/agent/load_test.go
+++ b/internal/serve/agent/load_test.go
@@ -152,7 +152,7 @@
 		return endpoint.Slots.State().Running == 1
 	})
 	refuse := p.refusal(p.send(wire.Call{Idempotent: true, TimeLeft: 100}))
-	assert.Equal(t, refuse.Reason, fault.WontMakeIt)
+	assert.Equal(t, refuse.Reason, fault.DeadlineUnreachable)
 	assert.Equal(t, refuse.Ran, fault.NotRun)
 	assert.Equal(t, endpoint.Slots.State().Running, 1)
 }
--- a/internal/serve/agent/offer.go
+++ b/internal/serve/agent/offer.go
@@ -73,10 +73,10 @@
 	if state == fence.Unseen {
 		return false
 	}
-	a.meter.dropped.WithLabelValues(string(fault.DoubledFrame)).Inc()
+	a.meter.dropped.WithLabelValues(string(fault.DuplicateFrame)).Inc()
 	if state == fence.Refused {
 		a.fence.Set(now, c.ID, fence.Refused)
-		refuse := a.newRefusal(fault.DoubledFrame, fault.NotRun, "the attempt was refused before")
+		refuse := a.newRefusal(fault.DuplicateFrame, fault.NotRun, "the attempt was refused before")
 		refuse.ID = c.ID
 		a.send(s, &wire.Frame{Kind: wire.KindRefuse, Refuse: refuse})
 	}
--- a/internal/serve/agent/once_test.go
+++ b/internal/serve/agent/once_test.go
@@ -78,11 +78,11 @@
 		c := newBooking("k")
 		c.ID = p.send(c)
 		refuse := p.refusal(c.ID)
-		assert.Equal(t, refuse.Reason, fault.ZoneLeft)
+		assert.Equal(t, refuse.Reason, fault.ZoneEvacuated)
 		assert.Equal(t, refuse.Ran, fault.NotRun)
 		setZone(holder, spread.ZoneIn)
 		p.send(c)
-		assert.Equal(t, p.refusal(c.ID).Reason, fault.DoubledFrame)
+		assert.Equal(t, p.refusal(c.ID).Reason, fault.DuplicateFrame)
 		assert.Equal(t, service.Runs("k"), 0)
 		end, _ := p.result(p.send(newBooking("k"))) // the key itself is free
 		assert.Assert(t, end != nil)
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -213,7 +213,7 @@
 	if a.closed {
 		return
 	}
-	late := func(at *attempt) { a.refuseQueued(now, at, fault.WontMakeIt) }
+	late := func(at *attempt) { a.refuseQueued(now, at, fault.DeadlineUnreachable) }
 	for {
 		at, ticket, ok := a.gate.Next(now, late)
 		if !ok {
--- a/internal/serve/agent/status.go
+++ b/internal/serve/agent/status.go
@@ -19,7 +19,7 @@
 		AvailabilityZone: a.settings.AvailabilityZone, Incarnation: a.incarnation.String(),
 		Version: build.Version(), Release: a.holder.Number(), Ready: !refuses, NotReady: string(reason),
 		Leaving: a.leaving(), Open: load.Running + load.Queued,
-		Sessions: admin.ShowSessions(a.clock, a.openSessions()), UptimeMs: a.clock.Since(a.started),
+		Sessions: admin.DescribeSessions(a.clock, a.openSessions()), UptimeMs: a.clock.Since(a.started),
 		Endpoint: &admin.Endpoint{
 			Pool: a.settings.Pool, Endpoint: a.settings.Endpoint,
 			Running: load.Running, Queued: load.Queued, Limit: load.Limit, Cold: load.Cold,
--- a/internal/serve/agent/stop_test.go
+++ b/internal/serve/agent/stop_test.go
@@ -65,7 +65,7 @@
 	p := dial(t, address).awaitReady()
 	setZone(holder, spread.ZoneLeft)
 	refuse := p.refusal(p.send(wire.Call{Idempotent: true}))
-	assert.Equal(t, refuse.Reason, fault.ZoneLeft)
+	assert.Equal(t, refuse.Reason, fault.ZoneEvacuated)
 	assert.Equal(t, refuse.Ran, fault.NotRun)
 	setZone(holder, spread.ZoneReturning)
 	end, refuse := p.result(p.send(wire.Call{Idempotent: true}))
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -56,7 +56,7 @@
 		a.mu.Lock()
 		now := a.clock.Now()
 		a.applyShared(now)
-		a.gate.Expire(now, func(at *attempt) { a.refuseQueued(now, at, fault.WontMakeIt) })
+		a.gate.Expire(now, func(at *attempt) { a.refuseQueued(now, at, fault.DeadlineUnreachable) })
 		a.keep.Sweep(now)
 		a.startQueued(now)
 		a.mu.Unlock()
--- a/internal/serve/entry/leave.go
+++ b/internal/serve/entry/leave.go
@@ -22,7 +22,7 @@
 		return false, string(refused.Reason)
 	}
 	if e.zoneLeft() {
-		return false, string(fault.ZoneLeft)
+		return false, string(fault.ZoneEvacuated)
 	}
 	return true, ""
 }
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -78,7 +78,7 @@
 // was taken out is no reason here: the balancer lags, and the entry goes on to
 // run what still comes at endpoints in other zones.
 func (e *Entry) refuseIsolated() *fault.RefusalError {
-	if reason, refuses := e.sharing.node.RefusalReason(); refuses && reason != fault.ZoneLeft {
+	if reason, refuses := e.sharing.node.RefusalReason(); refuses && reason != fault.ZoneEvacuated {
 		return fault.Refuse(reason, "this process takes no new work")
 	}
 	return nil
--- a/internal/serve/entry/status.go
+++ b/internal/serve/entry/status.go
@@ -12,7 +12,7 @@
 		Process: e.settings.Process, Role: "entry", Host: e.settings.Host,
 		AvailabilityZone: e.settings.AvailabilityZone, Incarnation: e.incarnation.String(),
 		Version: build.Version(), Release: e.holder.Number(), Ready: ready, NotReady: why,
-		Leaving: e.Leaving(), Open: e.Open(), Sessions: admin.ShowSessions(e.clock, e.Sessions()),
+		Leaving: e.Leaving(), Open: e.Open(), Sessions: admin.DescribeSessions(e.clock, e.Sessions()),
 		UptimeMs: e.clock.Since(e.began),
 	}
 }
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -191,10 +191,10 @@
 	advance := func(duration clock.Millis) {
 		for range duration / 10 {
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if fake.Waiting() >= kinds {
+				if fake.Pending() >= kinds {
 					return poll.Success()
 				}
-				return poll.Continue("%d feeds wait", fake.Waiting())
+				return poll.Continue("%d feeds wait", fake.Pending())
 			}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 			fake.Advance(10)
 		}
--- a/internal/serve/feed/peer_test.go
+++ b/internal/serve/feed/peer_test.go
@@ -129,7 +129,7 @@
 	p := newRelayedFeed(t)
 	p.waitUntil(t, func() bool { return p.follows.Load() == 1 })
 	p.confirm(t)
-	p.waitUntil(t, func() bool { return p.fake.Waiting() == 1 })
+	p.waitUntil(t, func() bool { return p.fake.Pending() == 1 })
 	p.fake.Advance(1300)
 	assert.Equal(t, p.follows.Load(), int64(1))
 	p.fake.Advance(200)
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -295,7 +295,7 @@
 		t.Replaced(now)
 		return attemptResult{outcome: notRun, err: temporaryRefusal(fault.WrongEndpoint, retryAfterFull)}
 	case http.StatusConflict:
-		return attemptResult{outcome: inputsGone, err: temporaryRefusal(fault.InputGone, retryAfterFull)}
+		return attemptResult{outcome: inputsGone, err: temporaryRefusal(fault.InputLost, retryAfterFull)}
 	case http.StatusBadRequest:
 		return attemptResult{outcome: notRun, err: fault.Refuse(fault.BadRequest, "the endpoint refused the request")}
 	}
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -180,7 +180,7 @@
 
 func isInputGone(err error) bool {
 	var refused *fault.RefusalError
-	return errors.As(err, &refused) && refused.Reason == fault.InputGone
+	return errors.As(err, &refused) && refused.Reason == fault.InputLost
 }
 
 // recordResults stores the locations of a stage's results and releases those that are no
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -65,7 +65,7 @@
 	g.Log.Info("request given up", "request", req.Request, "route", req.route.Name, "estimateMs", int64(remaining),
 		"timeLeftMs", int64(r.Left))
 	return &fault.RefusalError{
-		Reason: fault.WontMakeIt, Ran: fault.NotRun, RetryAfter: jitter(retryAfterFull), Detail: "not enough time left for the stages",
+		Reason: fault.DeadlineUnreachable, Ran: fault.NotRun, RetryAfter: jitter(retryAfterFull), Detail: "not enough time left for the stages",
 	}
 }
 
--- a/internal/serve/gate/run.go
+++ b/internal/serve/gate/run.go
@@ -65,7 +65,7 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		refused = fault.Refuse(fault.Cancelled, "the caller closed the connection")
 	case ctx.Err() != nil:
-		refused = fault.Refuse(fault.WontMakeIt, "the request's deadline passed")
+		refused = fault.Refuse(fault.DeadlineUnreachable, "the request's deadline passed")
 	}
 	if req.mayHaveRun {
 		return ambiguousRefusal(refused)
@@ -81,7 +81,7 @@
 	reason := refused.Reason
 	switch reason {
 	case fault.Cancelled, fault.AnswerBroken, fault.EndpointFailed:
-	case fault.WontMakeIt, fault.DeadlinePassed:
+	case fault.DeadlineUnreachable, fault.DeadlinePassed:
 		reason = fault.DeadlinePassed
 	default:
 		reason = fault.OutcomeUnknown
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -156,7 +156,7 @@
 		case err != nil:
 			return nil, err
 		case made.Reason == fault.Leaving:
-		case made.Reason == fault.ZoneLeft:
+		case made.Reason == fault.ZoneEvacuated:
 			tried[pieces.Pool] = true
 			g.Log.Info("shard dissolved", "request", req.Request, "pool", pieces.Pool, "try", attempt)
 		case made.Reason != "":
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -297,7 +297,7 @@
 		e.memory.Release(item.Group.ResultBytes)
 		switch result.Failure {
 		case spell.FailedInput:
-			h.failJob(job, fault.InputGone)
+			h.failJob(job, fault.InputLost)
 		case spell.FailedLate:
 			h.failJob(job, fault.DeadlinePassed)
 		case spell.FailedRoom:
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -323,7 +323,7 @@
 	var queued []*Job
 	q.queued.Each(func(g *batch.Group) { queued = append(queued, g.Owner.(*Job)) })
 	for _, job := range queued {
-		h.failJob(job, fault.ZoneLeft)
+		h.failJob(job, fault.ZoneEvacuated)
 	}
 	h.Log.Info("shard dissolved", "pool", q.name, "jobs", len(queued))
 }
--- a/internal/serve/runs/runs.go
+++ b/internal/serve/runs/runs.go
@@ -170,7 +170,7 @@
 		return false
 	}
 	switch refusal.Reason {
-	case fault.WontMakeIt, fault.QueueFull, fault.Overloaded, fault.ColdStart, fault.DeadlinePassed, fault.NoEndpoint:
+	case fault.DeadlineUnreachable, fault.QueueFull, fault.Overloaded, fault.ColdStart, fault.DeadlinePassed, fault.NoEndpoint:
 		return true
 	default:
 		return false
--- a/internal/serve/runs/runs_test.go
+++ b/internal/serve/runs/runs_test.go
@@ -190,7 +190,7 @@
 	before := a.calls.Load()
 	_, err := fx.runs.Pipeline(t.Context(), fx.request(20), &fx.manifest.Pipelines[0], json.RawMessage(`1`), nil)
 	refused := refusalOf(t, err)
-	assert.Equal(t, refused.Reason, fault.WontMakeIt)
+	assert.Equal(t, refused.Reason, fault.DeadlineUnreachable)
 	assert.Equal(t, refused.Ran, fault.NotRun)
 	assert.Equal(t, a.calls.Load(), before)
 }
--- a/internal/share/avail/avail_test.go
+++ b/internal/share/avail/avail_test.go
@@ -66,7 +66,7 @@
 	}{
 		{"no configuration yet", avail.Place{}, nil, fault.NotReady},
 		{"zone in", avail.Place{AvailabilityZone: "za"}, release(2), ""},
-		{"zone left", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneLeft}), fault.ZoneLeft},
+		{"zone left", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneLeft}), fault.ZoneEvacuated},
 		{"other zone left", avail.Place{AvailabilityZone: "zb"}, release(2, head.Zone{Name: "za", State: head.ZoneLeft}), ""},
 		{"zone returning", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneReturning}), ""},
 		{"endpoint left", avail.Place{AvailabilityZone: "za", Pool: "p", Endpoint: "left"}, release(2), fault.Leaving},
--- a/internal/share/avail/place.go
+++ b/internal/share/avail/place.go
@@ -19,7 +19,7 @@
 		return fault.NotReady, true
 	}
 	if release.ZoneEvacuated(p.AvailabilityZone) {
-		return fault.ZoneLeft, true
+		return fault.ZoneEvacuated, true
 	}
 	if p.Endpoint != "" && release.EndpointDisabled(p.Pool, p.Endpoint) {
 		return fault.Leaving, true
