--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock is the one source of time in jujubescale. Instants and spans
+// Package clock is the only source of time in jujubescale. Instants and spans
 // are whole milliseconds of a monotonic clock, so that a step of the wall
-// clock never moves a deadline or a lease.
+// clock does not shift a deadline or a lease.
 package clock
 
 import (
@@ -9,7 +9,8 @@
 )
 
 // Millis is an instant on a Clock, or a span between two instants, in
-// milliseconds. Instants of two processes can't be compared: send spans.
+// milliseconds. Instants of different processes can't be compared, so messages
+// between processes carry spans.
 type Millis int64
 
 // Units of time in milliseconds.
@@ -25,7 +26,8 @@
 // FromDuration converts a span of the standard library, rounding down.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Clock tells the time and waits. Its function fields are the seam for tests.
+// Clock returns the current instant and starts timers. Tests replace its
+// function fields.
 type Clock struct {
 	// NowFunc returns the current instant.
 	NowFunc func() Millis
@@ -34,7 +36,7 @@
 	AfterFunc func(Millis) (<-chan struct{}, func())
 }
 
-// Option changes a Clock while it is built.
+// Option configures a Clock in New.
 type Option func(*Clock)
 
 // WithNow replaces the source of the current instant.
@@ -45,8 +47,8 @@
 	return func(c *Clock) { c.AfterFunc = after }
 }
 
-// New returns a clock that runs on the monotonic clock of the machine.
-// Instants start near zero when the process starts.
+// New returns a clock that reads the monotonic clock of the machine. Its
+// instants count from the call of New and begin at 1.
 func New(opts ...Option) *Clock {
 	start := time.Now()
 	c := &Clock{
@@ -68,14 +70,15 @@
 // Now returns the current instant.
 func (c *Clock) Now() Millis { return c.NowFunc() }
 
-// Since returns the span from an instant to now.
+// Since returns the span from an instant to the current one.
 func (c *Clock) Since(from Millis) Millis { return c.Now() - from }
 
 // After returns a channel that closes once the span has passed, and a
 // function that releases the timer early.
 func (c *Clock) After(span Millis) (<-chan struct{}, func()) { return c.AfterFunc(span) }
 
-// Sleep waits for the span or the end of the context, whose error it returns.
+// Sleep waits until the span has passed. If the context ends first, Sleep
+// returns the error of the context.
 func (c *Clock) Sleep(ctx context.Context, span Millis) error {
 	done, stop := c.After(span)
 	defer stop()
--- a/internal/base/clock/clock_test.go
+++ b/internal/base/clock/clock_test.go
@@ -26,7 +26,7 @@
 	assert.ErrorIs(t, clock.New().Sleep(ctx, clock.Hour), context.Canceled)
 }
 
-func TestStoppedTimerIsForgotten(t *testing.T) {
+func TestStoppedTimerIsRemoved(t *testing.T) {
 	fake := clock.NewFake(0)
 	_, stop := fake.Clock().After(10)
 	stop()
--- a/internal/base/clock/fake.go
+++ b/internal/base/clock/fake.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Fake is a clock that moves only when told, for tests and for pure packages
-// that are driven without a network.
+// Fake drives a clock that moves only on Advance. Tests and simulations that
+// run without a network use it.
 type Fake struct {
 	mu     sync.Mutex
 	now    Millis
@@ -15,13 +15,13 @@
 	done chan struct{}
 }
 
-// NewFake returns a fake that stands at the given instant.
+// NewFake returns a fake whose current instant is now.
 func NewFake(now Millis) *Fake { return &Fake{now: now} }
 
-// Clock returns the clock that this fake drives.
+// Clock returns a clock that the fake drives.
 func (f *Fake) Clock() *Clock { return New(WithNow(f.read), WithAfter(f.after)) }
 
-// Advance moves the clock forward and closes the timers that are due.
+// Advance moves the clock forward and fires the timers that are due.
 func (f *Fake) Advance(span Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +37,7 @@
 	f.timers = kept
 }
 
-// Pending returns how many timers have not fired yet.
+// Pending returns the number of timers that have neither fired nor been stopped.
 func (f *Fake) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds the typed errors that cross package borders: the
-// refusals a caller sees and the faults found in configuration. Match them
-// with errors.As.
+// Package fault holds the typed errors that several packages share: refusals
+// that are returned to callers, and invalid values in configuration. Match
+// them with errors.As.
 package fault
 
 import (
@@ -10,20 +10,21 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Ran says whether the refused work may have run at an endpoint.
+// Ran states whether refused work ran at an endpoint.
 type Ran string
 
-// The three things that can be known about refused work.
+// Values of Ran.
 const (
-	// NotRun is said only by the process that can prove it.
+	// NotRun means that the work did not run. Only a process that can prove it
+	// sets this value.
 	NotRun Ran = "notRun"
-	// MayHaveRun is said whenever no proof exists.
+	// MayHaveRun means that there is no proof that the work did not run.
 	MayHaveRun Ran = "mayHaveRun"
-	// DidRun means that the work ran and its answer could not be given whole.
+	// DidRun means that the work ran, but no complete answer could be returned.
 	DidRun Ran = "ran"
 )
 
-// Reason is the closed set of reasons for a refusal.
+// Reason is the reason for a refusal. The set of reasons is closed.
 type Reason string
 
 // Reasons for a refusal. docs/CALLERS.md lists each with its HTTP status.
@@ -61,7 +62,7 @@
 	Quarantined         Reason = "quarantined"
 )
 
-// Reasons returns every reason, for documentation and metrics.
+// Reasons returns all reasons, for documentation and metrics.
 func Reasons() []Reason {
 	return []Reason{
 		BadRequest, Unauthorized, Forbidden, UnknownService, BodyTooLarge, TooManyOpen, NotReady,
@@ -72,8 +73,9 @@
 	}
 }
 
-// RefusalError says why work was not answered, whether it ran, and when to come
-// back. RetryAfter is in milliseconds; zero means that no time is known.
+// RefusalError describes refused work: the reason, whether it ran, and after
+// how many milliseconds a retry makes sense. A RetryAfter of zero means that no
+// such time is known.
 type RefusalError struct {
 	Reason     Reason
 	Ran        Ran
@@ -90,13 +92,13 @@
 	return fmt.Sprintf("refused: %s (%s): %s", r.Reason, r.Ran, r.Detail)
 }
 
-// Refuse returns a refusal of work that provably did not run.
+// Refuse returns a refusal of work that is known not to have run.
 func Refuse(reason Reason, detail string) *RefusalError {
 	return &RefusalError{Reason: reason, Ran: NotRun, Detail: detail}
 }
 
-// InvalidError is one fault in a document: where, what stands there, and what is
-// allowed there.
+// InvalidError is one invalid value in a document, with its path and the values
+// that are allowed at that path.
 type InvalidError struct {
 	Path    string
 	Value   string
@@ -108,12 +110,12 @@
 	return fmt.Sprintf("%s: %q is not allowed; allowed: %s", i.Path, i.Value, i.Allowed)
 }
 
-// InvalidListError is every fault found in one document.
+// InvalidListError holds all faults found in one document.
 type InvalidListError struct {
 	Faults []InvalidError
 }
 
-// Error implements error with one line a fault.
+// Error implements error. The text has one line for each fault.
 func (l *InvalidListError) Error() string {
 	lines := make([]string, 0, len(l.Faults))
 	for i := range l.Faults {
--- a/internal/base/rules/doc.go
+++ b/internal/base/rules/doc.go
@@ -1,3 +1,3 @@
-// Package rules holds the tests that keep the repository to its own rules:
-// which package may import which, and that pages link to pages that exist.
+// Package rules holds tests that check rules of the repository, such as which
+// package may import which, and that links between pages resolve.
 package rules
--- a/internal/base/rules/rules_test.go
+++ b/internal/base/rules/rules_test.go
@@ -26,7 +26,8 @@
 	return string(raw)
 }
 
-// files lists the files below the root whose names end so.
+// files returns the paths, relative to the root, of all files that end with the
+// suffix. Hidden folders are skipped.
 func files(t *testing.T, suffix string) []string {
 	t.Helper()
 	var found []string
@@ -48,8 +49,9 @@
 	return found
 }
 
-// mayImport reads the table of docs/ARCHITECTURE.md.
-func mayImport(t *testing.T) map[string][]string {
+// allowedImports returns which areas each area may import, as the table in
+// docs/ARCHITECTURE.md lists them.
+func allowedImports(t *testing.T) map[string][]string {
 	t.Helper()
 	row := regexp.MustCompile(`(?m)^\| ([a-z0-9]+) \| [^|]+ \|([a-z0-9 ]*)\|$`)
 	allowed := make(map[string][]string)
@@ -60,32 +62,34 @@
 	return allowed
 }
 
-// A package that imports one above it soon can't be tested without sockets or
-// stand-ins, and the picture on the page is wrong.
+// Guards against imports of a package from a higher layer. With them, a package
+// could no longer be tested without sockets or stand-ins, and the diagram in
+// docs/ARCHITECTURE.md would be wrong.
 func TestAreasImportOnlyWhatTheArchitectureAllows(t *testing.T) {
-	allowed := mayImport(t)
+	allowed := allowedImports(t)
 	for _, name := range files(t, ".go") {
 		parts := strings.Split(filepath.ToSlash(name), "/")
 		if parts[0] != "internal" || strings.HasSuffix(name, "_test.go") {
 			continue
 		}
 		area := parts[1]
-		may, known := allowed[area]
+		imports, known := allowed[area]
 		assert.Assert(t, known, "%s: docs/ARCHITECTURE.md does not list area %s", name, area)
 		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, name), nil, parser.ImportsOnly)
 		assert.NilError(t, err)
 		for _, spec := range parsed.Imports {
 			path, internal := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
 			to, _, _ := strings.Cut(path, "/")
-			if internal && to != area && !slices.Contains(may, to) {
+			if internal && to != area && !slices.Contains(imports, to) {
 				t.Errorf("%s imports %s, which area %s may not", name, path, area)
 			}
 		}
 	}
 }
 
-// Only the developers' tool and helpers of tests lean on stand-ins.
-func TestDaemonsAndClientDoNotNeedStandIns(t *testing.T) {
+// Guards against stand-ins in the daemons and in the operators' client. Only the
+// developers' tool and test helpers may import them.
+func TestDaemonsAndClientDoNotImportStandIns(t *testing.T) {
 	for _, name := range files(t, ".go") {
 		if strings.HasSuffix(name, "_test.go") || !strings.HasPrefix(name, "internal/cli/") ||
 			strings.HasPrefix(name, "internal/cli/devel/") || strings.HasPrefix(name, "internal/cli/desk/") {
@@ -98,8 +102,8 @@
 
 var link = regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
 
-// A reader follows a link on a page and finds nothing.
-func TestLinksOfPagesLeadSomewhere(t *testing.T) {
+// Guards against links to pages that don't exist.
+func TestLinksOfPagesResolve(t *testing.T) {
 	for _, page := range files(t, ".md") {
 		for _, match := range link.FindAllStringSubmatch(read(t, page), -1) {
 			target := filepath.Join(root, filepath.Dir(page), match[1])
@@ -109,7 +113,7 @@
 	}
 }
 
-// A page that nothing links to is not found by anyone.
+// Guards against pages that readers can't find because no page links to them.
 func TestPagesAreLinkedFromTheReadme(t *testing.T) {
 	readme := read(t, "README.md")
 	for _, page := range files(t, ".md") {
@@ -120,17 +124,17 @@
 	}
 }
 
-// The README's two commands are what a newcomer types first; CI runs the
-// second one as it stands there.
+// New users run the two commands of README.md first, and CI runs the second one
+// exactly as it is written there.
 func TestReadmeBeginsWithItsTwoCommands(t *testing.T) {
 	top, _, _ := strings.Cut(read(t, "README.md"), "\n## ")
 	assert.Assert(t, strings.Contains(top, "\n    go run ./cmd/jujubedev up\n"))
 	assert.Assert(t, strings.Contains(top, "\n    go test "))
 }
 
-// A test that is known to be red is renamed or mended, and its entry stays: CI
-// would pass over a test that nobody looks at. Each entry tells how to see the
-// fault again.
+// CI ignores failures of the tests in KNOWN-RED.txt. Guards against entries that
+// remain after a test was renamed or fixed. Each entry states how to reproduce
+// the failure.
 func TestKnownRedNamesTestsThatExist(t *testing.T) {
 	for _, line := range strings.Split(read(t, "KNOWN-RED.txt"), "\n") {
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -149,7 +153,7 @@
 	}
 }
 
-// A page tells an operator to watch a metric under a name that it lost.
+// Guards against pages that still name a metric after it was renamed or removed.
 func TestMetricsNamedOnPagesExist(t *testing.T) {
 	named := regexp.MustCompile("`(jujubescale_[a-z_]*[a-z])")
 	known := read(t, "docs/METRICS.md")
@@ -160,26 +164,26 @@
 	}
 }
 
-// wireWords are names that the users' platform speaks. They are decoded in
-// platform/ once; elsewhere they would bind the product to one platform.
-var wireWords = regexp.MustCompile(`X-Jujubescale-|X-Api-Key|/-/[a-z]|\bKv-[A-Z]|"evacuations"|` +
+// platformNames matches names of the protocol of the users' platform. Only
+// platform/ decodes them; elsewhere they would tie the product to one platform.
+var platformNames = regexp.MustCompile(`X-Jujubescale-|X-Api-Key|/-/[a-z]|\bKv-[A-Z]|"evacuations"|` +
 	`\b(pathPrefix|apiKeys|coldPerS|coldLeftMs|headroomMb|sloMs|gapTargetMs|kvCapacity|itemMs|handleS|leftMs|hasMore|allowStale)\b`)
 
-// A name of the platform slips into a decision. The next platform calls it
-// something else, and the decision has to be written again.
-func TestNamesOfThePlatformStandInItsFolderOnly(t *testing.T) {
+// Guards against names of the platform's protocol outside platform/. Code that
+// uses them would have to be rewritten for another platform.
+func TestPlatformNamesOccurOnlyInPlatformFolder(t *testing.T) {
 	for _, name := range files(t, ".go") {
 		if strings.HasPrefix(name, "platform/") || strings.HasSuffix(name, "rules_test.go") {
 			continue
 		}
 		for number, line := range strings.Split(read(t, name), "\n") {
-			assert.Check(t, !wireWords.MatchString(line), "%s:%d: %s", name, number+1, line)
+			assert.Check(t, !platformNames.MatchString(line), "%s:%d: %s", name, number+1, line)
 		}
 	}
 }
 
-// The adapter grows until decisions stand in it. It only translates, so that it
-// stays a small part of the code; stand-ins for tests don't count.
+// Guards against decisions in the platform adapter, which only translates
+// between formats and is therefore a small part of the code.
 func TestAdapterStaysSmall(t *testing.T) {
 	adapter, all := 0, 0
 	for _, name := range files(t, ".go") {
--- a/internal/base/token/token.go
+++ b/internal/base/token/token.go
@@ -1,5 +1,4 @@
-// Package token makes the identifiers that processes, requests and attempts
-// carry.
+// Package token creates the identifiers of processes, requests and attempts.
 package token
 
 import (
@@ -8,15 +7,15 @@
 	"strconv"
 )
 
-// Incarnation tells two runs of a process under one address apart. It is
-// random, never zero, and new at each start.
+// Incarnation identifies one run of a process, because successive runs can have
+// the same address. It is random, never zero, and new at each start.
 type Incarnation uint64
 
-// NewIncarnation draws an incarnation.
+// NewIncarnation returns a random incarnation.
 func NewIncarnation() Incarnation {
 	for {
-		if drawn := Incarnation(rand.Uint64()); drawn != 0 {
-			return drawn
+		if incarnation := Incarnation(rand.Uint64()); incarnation != 0 {
+			return incarnation
 		}
 	}
 }
@@ -26,7 +25,7 @@
 
 const requestBytes = 12
 
-// NewRequestID draws the identifier of a request: 24 hexadecimal digits.
+// NewRequestID returns a random request identifier of 24 hexadecimal digits.
 func NewRequestID() string {
 	var raw [requestBytes]byte
 	high, low := rand.Uint64(), rand.Uint32()
@@ -39,8 +38,8 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// Attempt names one try of one stage of one request. It is comparable and
-// serves as a key.
+// Attempt identifies one attempt at one stage of one request; Try is the number
+// of the attempt. It is comparable, so that it can be the key of a map.
 type Attempt struct {
 	Request string `cbor:"request"`
 	Stage   int    `cbor:"stage"`
