--- a/internal/ops/losses/cause.go
+++ b/internal/ops/losses/cause.go
@@ -9,7 +9,7 @@
 	"github.com/jujubescale/jujubescale/internal/ops/record"
 )
 
-// Outcome is what a caller got.
+// Outcome tells how an attempt of a caller ended.
 type Outcome string
 
 // Outcomes of an attempt.
@@ -18,30 +18,30 @@
 	Late    Outcome = "late"
 	Refused Outcome = "refused"
 	Failed  Outcome = "failed"
-	// Excluded: the caller went away or asked for what the configuration forbids, so
-	// that it was owed nothing.
+	// Excluded means that the attempt is not counted as a loss, because the caller
+	// cancelled it or the configuration does not allow it.
 	Excluded Outcome = "left"
 )
 
-// Cause is why an attempt was not answered in time. Refusals have the reason
-// that their callers were told.
+// Cause is why an attempt was not answered in time. The cause of a refusal is
+// the reason that was returned to the caller.
 type Cause string
 
-// Causes of late answers, and of failures without a reason of our own.
+// Causes of late answers, and of failures that an endpoint reported itself.
 const (
-	CauseEarlierRefusal Cause = "cameBack"       // its earlier attempts were refused
+	CauseEarlierRefusal Cause = "cameBack"       // the caller's earlier attempts were refused
 	CauseFailed         Cause = "stageFailed"    // a stage ended without results
-	CauseRepeatedStage  Cause = "stageMadeAgain" // a result was lost, stages ran twice
-	CauseOwner          Cause = "ownerLost"      // the owner of a pool ended meanwhile
-	CauseDeferred       Cause = "stagePutOff"    // a stage with large results began later
+	CauseRepeatedStage  Cause = "stageMadeAgain" // a result was lost, so that stages ran twice
+	CauseOwner          Cause = "ownerLost"      // the owner of a pool was lost
+	CauseDeferred       Cause = "stagePutOff"    // a stage with large results was started later
 	CauseStage          Cause = "stage"          // the longest phase was a stage
-	CauseGeneration     Cause = "generation"     // the longest phase was the endpoint's
-	CauseEndpoint       Cause = "endpointsOwn"   // the endpoint's own failure, passed on
+	CauseGeneration     Cause = "generation"     // generation at the endpoint was the longest phase
+	CauseEndpoint       Cause = "endpointsOwn"   // the endpoint answered with a failure
 )
 
-// attempt is what is kept of one attempt of a caller.
+// attempt holds the data of one attempt of a caller.
 type attempt struct {
-	at      int64 // when it ended, in Unix milliseconds
+	at      int64 // end of the attempt, in Unix milliseconds
 	route   string
 	outcome Outcome
 	cause   Cause
@@ -51,26 +51,27 @@
 	first   clock.Millis
 }
 
-// notes are what lines before the end of a request tell of it.
+// notes holds events that other log lines than the last one report for a request.
 type notes struct {
-	owner  bool
-	putOff bool
+	ownerLost bool
+	deferred  bool
 }
 
-// span is one stage of a request, as its last line tells it.
+// span is one run of a stage, from the last log line of a request.
 type span struct {
 	stage  int
 	took   clock.Millis
 	failed bool
 }
 
-// outcomeOf judges the end of a request.
+// outcomeOf returns the attempt that the last log line of a request describes,
+// with its outcome and cause.
 func outcomeOf(line *record.Line) attempt {
 	a := attempt{
 		at: line.Time.UnixMilli(), route: line.Value("route"), pool: line.Value("pool"),
 		stages: millis(line, "stagesMs"), first: millis(line, "firstMs"),
 	}
-	status, _ := strconv.Atoi(line.Value("status")) // 0 where no answer was begun
+	status, _ := strconv.Atoi(line.Value("status")) // 0 if no answer was started
 	reason := fault.Reason(line.Value("reason"))
 	switch {
 	case reason == fault.Cancelled || reason == fault.Unauthorized || reason == fault.UnknownRoute:
@@ -82,20 +83,21 @@
 	case status >= 400:
 		a.outcome, a.cause = Failed, CauseEndpoint
 	default:
-		a.judgeTime(line)
+		a.compareWithObjective(line)
 	}
 	return a
 }
 
-// judgeTime compares the time of a whole answer with its objective.
-func (a *attempt) judgeTime(line *record.Line) {
+// compareWithObjective sets outcome and cause of a complete answer from the time
+// that it took and its objective. The time includes earlier refused attempts.
+func (a *attempt) compareWithObjective(line *record.Line) {
 	took := a.first
 	if took == 0 {
 		took = millis(line, "tookMs")
 	}
-	before := millis(line, "sinceFirstMs")
+	sinceFirst := millis(line, "sinceFirstMs")
 	objective := millis(line, "objectiveMs")
-	a.late = before + took - objective
+	a.late = sinceFirst + took - objective
 	if a.late <= 0 || objective == 0 {
 		a.outcome, a.late = InTime, 0
 		return
@@ -107,7 +109,7 @@
 		a.cause = CauseEarlierRefusal
 	case anyFailed(spans):
 		a.cause = CauseFailed
-	case anyTwice(spans):
+	case anyRepeated(spans):
 		a.cause = CauseRepeatedStage
 	case a.stages < took-a.stages:
 		a.cause = CauseGeneration
@@ -116,27 +118,29 @@
 	}
 }
 
-// putOffMost is the longest lateness that putting a stage off explains.
-const putOffMost = 500 * clock.Millis(1)
+// maxDeferredLateMs is the longest lateness that is attributed to deferring a stage.
+const maxDeferredLateMs = 500 * clock.Millis(1)
 
-// mind takes up what other lines told of the request: they may stand anywhere in
-// the logs.
-func (a *attempt) mind(n notes) {
+// refineCause replaces the cause of a late answer by one that other log lines of
+// the request show. They can be anywhere in the logs, also after the last line of
+// the request.
+func (a *attempt) refineCause(n notes) {
 	switch {
 	case a.outcome != Late || a.cause == CauseEarlierRefusal:
-	case n.owner:
+	case n.ownerLost:
 		a.cause, a.pool = CauseOwner, ""
-	case n.putOff && a.cause == CauseStage && a.late < putOffMost:
+	case n.deferred && a.cause == CauseStage && a.late < maxDeferredLateMs:
 		a.cause, a.pool = CauseDeferred, ""
 	}
 }
 
 func millis(line *record.Line, key string) clock.Millis {
-	number, _ := strconv.ParseInt(line.Value(key), 10, 64) // 0 where the line lacks it
+	number, _ := strconv.ParseInt(line.Value(key), 10, 64) // 0 without the key
 	return clock.Millis(number)
 }
 
-// spansOf reads "0@0+266 1@268+412!"; what it can't read is left out.
+// spansOf parses spans such as "0@0+266 1@268+412!": stage, start and duration
+// in ms, and "!" for a failure. It skips fields that are malformed.
 func spansOf(text string) []span {
 	var spans []span
 	for _, field := range strings.Fields(text) {
@@ -149,11 +153,11 @@
 		if err != nil {
 			continue
 		}
-		long, err := strconv.ParseInt(strings.TrimSuffix(took, "!"), 10, 64)
+		duration, err := strconv.ParseInt(strings.TrimSuffix(took, "!"), 10, 64)
 		if err != nil {
 			continue
 		}
-		spans = append(spans, span{stage: number, took: clock.Millis(long), failed: strings.HasSuffix(took, "!")})
+		spans = append(spans, span{stage: number, took: clock.Millis(duration), failed: strings.HasSuffix(took, "!")})
 	}
 	return spans
 }
@@ -167,7 +171,8 @@
 	return false
 }
 
-func anyTwice(spans []span) bool {
+// anyRepeated reports whether a stage has more than one span.
+func anyRepeated(spans []span) bool {
 	seen := make(map[int]bool, len(spans))
 	for _, s := range spans {
 		if seen[s.stage] {
@@ -178,7 +183,7 @@
 	return false
 }
 
-// longest returns the stage that took the most time, -1 without any.
+// longest returns the stage with the longest span, or -1 without spans.
 func longest(spans []span) int {
 	stage, most := -1, clock.Millis(-1)
 	for _, s := range spans {
@@ -189,13 +194,13 @@
 	return stage
 }
 
-// droppedIn reads how many lines a process says to have dropped.
-func droppedIn(line string) int {
+// droppedCount returns the number of dropped lines that a log line reports.
+func droppedCount(line string) int {
 	_, text, _ := strings.Cut(line, "lines=")
 	end := strings.IndexFunc(text, func(r rune) bool { return r < '0' || r > '9' })
 	if end >= 0 {
 		text = text[:end]
 	}
-	number, _ := strconv.Atoi(text) // 0 where the line says no number
+	number, _ := strconv.Atoi(text) // 0 without a valid number
 	return number
 }
--- a/internal/ops/losses/chart.go
+++ b/internal/ops/losses/chart.go
@@ -16,8 +16,8 @@
 	chartPadding = 60
 )
 
-// Chart draws the attempts that were not answered in time as SVG: over time, one
-// line a cause on top of those before, so that the uppermost one is their sum.
+// Chart writes an SVG chart of the attempts that were not answered in time. The
+// causes are stacked: each has one line, and the uppermost line is their sum.
 func Chart(w io.Writer, report *Report) error {
 	graph := gochart.Chart{
 		Title: "attempts not answered in time, by cause", Width: chartWidth, Height: chartHeight,
@@ -25,25 +25,25 @@
 		XAxis:      gochart.XAxis{Name: "second"},
 		YAxis:      gochart.YAxis{Range: &gochart.ContinuousRange{Min: 0, Max: float64(mostLost(report) + 1)}},
 	}
-	below := make([]float64, len(report.Intervals))
+	stacked := make([]float64, len(report.Intervals))
 	for _, cause := range causesByCount(report) {
 		line := gochart.ContinuousSeries{Name: string(cause)}
 		for i, span := range report.Intervals {
-			below[i] += float64(span.Causes[cause])
+			stacked[i] += float64(span.Causes[cause])
 			line.XValues = append(line.XValues, float64(span.FromMs)/float64(clock.Second))
-			line.YValues = append(line.YValues, below[i])
+			line.YValues = append(line.YValues, stacked[i])
 		}
 		graph.Series = append(graph.Series, line)
 	}
 	if len(graph.Series) == 0 || len(report.Intervals) == 1 {
-		// The library draws no line without two points.
+		// The library needs at least one line with two points.
 		graph.Series = []gochart.Series{gochart.ContinuousSeries{XValues: []float64{0, 1}, YValues: []float64{0, float64(mostLost(report))}}}
 	}
 	graph.Elements = []gochart.Renderable{gochart.Legend(&graph)}
 	return graph.Render(gochart.SVG, w)
 }
 
-// mostLost returns the largest sum of causes within one span.
+// mostLost returns the largest number of losses in one interval.
 func mostLost(report *Report) int {
 	most := 0
 	for _, span := range report.Intervals {
@@ -56,7 +56,7 @@
 	return most
 }
 
-// causesByCount returns all causes, the most frequent first.
+// causesByCount returns all causes, ordered by descending frequency.
 func causesByCount(report *Report) []Cause {
 	counts := make(map[Cause]int)
 	for _, span := range report.Intervals {
--- a/internal/ops/losses/losses.go
+++ b/internal/ops/losses/losses.go
@@ -1,8 +1,9 @@
-// Package losses tells from the logs of all processes which requests were not
+// Package losses reports from the logs of all processes which requests were not
 // answered in time, when, and for which main cause.
 //
-// It keeps some two hundred bytes of each attempt and bounds their number, so that
-// the logs of a long day can be read in one pass, in any order of lines.
+// It keeps about two hundred bytes for each attempt and bounds their number, so
+// that it can read the logs of a whole day in one pass. The lines may be in any
+// order.
 package losses
 
 import (
@@ -21,61 +22,63 @@
 )
 
 const (
-	// maxLine bounds one line; longer ones are skipped, because no process writes
-	// them.
+	// maxLine is the longest accepted line in bytes. No process writes longer lines;
+	// Read fails on one.
 	maxLine = 1 << 20
-	// maxAttempts bounds what is kept; ends beyond it are counted as left out.
+	// maxAttempts bounds the attempts that are kept; further ones are only counted.
 	maxAttempts = 1 << 20
-	// longestPhase bounds the histograms of phases, in milliseconds, and digits is
-	// how exact they are.
-	longestPhase = 600_000
-	digits       = 3
+	// maxPhaseMs is the largest value in the histograms of phases, and digits is
+	// the number of significant digits that they keep.
+	maxPhaseMs = 600_000
+	digits     = 3
 )
 
-// Report is what the logs tell.
+// Report holds the losses found in the logs.
 type Report struct {
 	Routes    []Route    `json:"routes"`
 	Causes    []Count    `json:"causes"`
 	Intervals []Interval `json:"spans"`
 	Phases    []Phase    `json:"phases"`
-	// Lines were read, Skipped could not be read as key=value pairs, Dropped were
-	// never written because their process logged too much, and LeftOut are ends of
-	// requests beyond what is kept.
+	// Lines counts the lines read and Skipped those that are not key=value pairs.
+	// Dropped counts lines that processes did not write because they exceeded their
+	// log rate. LeftOut counts attempts above the bound.
 	Lines   int `json:"lines"`
 	Skipped int `json:"skipped"`
 	Dropped int `json:"dropped"`
 	LeftOut int `json:"leftOut"`
 }
 
-// Route sums the attempts on one route by outcome.
+// Route counts the attempts on one route by outcome.
 type Route struct {
 	Route     string          `json:"route"`
 	Attempts  int             `json:"attempts"`
 	ByOutcome map[Outcome]int `json:"byOutcome"`
 }
 
-// Count is how often a cause ended attempts on a route.
+// Count is the number of attempts on a route with the same outcome and cause.
 type Count struct {
 	Route   string  `json:"route"`
 	Outcome Outcome `json:"outcome"`
 	Cause   Cause   `json:"cause"`
-	// Pool that bound, or the stage that took longest; may be empty.
+	// Pool is the pool that limited the request, or the stage that took longest. It
+	// may be empty.
 	Pool  string `json:"pool,omitempty"`
 	Count int    `json:"count"`
-	// LateMs is by how much late answers missed their objective, in all.
+	// LateMs is the sum of the times by which late answers missed their objective.
 	LateMs clock.Millis `json:"lateMs,omitempty"`
 }
 
-// Interval sums the attempts that ended within a span of time.
+// Interval counts the attempts that ended within one time interval.
 type Interval struct {
-	// FromMs is its beginning, counted from the first end of all.
+	// FromMs is the start of the interval, relative to the end of the first attempt.
 	FromMs    clock.Millis    `json:"fromMs"`
 	ByOutcome map[Outcome]int `json:"byOutcome"`
-	// Causes of the attempts not answered in time.
+	// Causes counts the attempts that were not answered in time.
 	Causes map[Cause]int `json:"causes"`
 }
 
-// Phase is how long one phase of the answered requests of a route took.
+// Phase holds percentiles of the duration of one phase of the answered requests
+// of a route.
 type Phase struct {
 	Route string       `json:"route"`
 	Phase string       `json:"phase"`
@@ -84,44 +87,45 @@
 	P99Ms clock.Millis `json:"p99Ms"`
 }
 
-// Messages of log lines that matter here.
+// Messages of the log lines that are evaluated.
 const (
-	ended   = "request ended"
-	putOff  = "stage put off"
-	owner   = "owner lost"
-	dropped = "log lines dropped"
+	requestEnded  = "request ended"
+	stageDeferred = "stage put off"
+	ownerLost     = "owner lost"
+	linesDropped  = "log lines dropped"
 )
 
-// Read reads logs and returns what they tell; every is the length of a Span.
+// Read reads logs and returns the losses found in them; every is the length of an
+// Interval. It fails if reading fails or a line is too long.
 func Read(from io.Reader, every clock.Millis) (*Report, error) {
-	r := reader{notes: make(map[string]notes), ends: make(map[string]attempt), words: make(map[string]string)}
+	r := reader{notes: make(map[string]notes), attempts: make(map[string]attempt), names: make(map[string]string)}
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
 	for scanner.Scan() {
 		r.report.Lines++
-		r.line(scanner.Bytes())
+		r.addLine(scanner.Bytes())
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
-	return r.sum(every), nil
+	return r.buildReport(every), nil
 }
 
 type reader struct {
-	report Report
-	notes  map[string]notes
-	ends   map[string]attempt
-	// words holds one copy of each route and pool.
-	words map[string]string
+	report   Report
+	notes    map[string]notes
+	attempts map[string]attempt
+	// names holds one copy of each route and pool name.
+	names map[string]string
 }
 
-// line takes one line, of which most concern no loss.
-func (r *reader) line(raw []byte) {
-	if bytes.Contains(raw, []byte(dropped)) {
-		r.report.Dropped += droppedIn(string(raw))
+// addLine evaluates one line. Most lines are irrelevant and are not parsed.
+func (r *reader) addLine(raw []byte) {
+	if bytes.Contains(raw, []byte(linesDropped)) {
+		r.report.Dropped += droppedCount(string(raw))
 		return
 	}
-	if !concerns(raw) {
+	if !mayBeRelevant(raw) {
 		return
 	}
 	line, ok := record.Parse(string(raw))
@@ -131,16 +135,16 @@
 	}
 	request := line.Value(logs.KeyRequest)
 	switch line.Message {
-	case ended:
-		r.end(request, &line)
-	case putOff, owner:
-		r.note(request, line.Message)
+	case requestEnded:
+		r.addAttempt(request, &line)
+	case stageDeferred, ownerLost:
+		r.addNote(request, line.Message)
 	}
 }
 
-// concerns reports whether a line may be one that matters here.
-func concerns(raw []byte) bool {
-	for _, message := range []string{ended, putOff, owner} {
+// mayBeRelevant reports whether a line contains a message that is evaluated.
+func mayBeRelevant(raw []byte) bool {
+	for _, message := range []string{requestEnded, stageDeferred, ownerLost} {
 		if bytes.Contains(raw, []byte(message)) {
 			return true
 		}
@@ -148,50 +152,51 @@
 	return false
 }
 
-// end takes the end of a request.
-func (r *reader) end(request string, line *record.Line) {
-	if len(r.ends) >= maxAttempts {
+// addAttempt adds the attempt that the last log line of a request describes.
+func (r *reader) addAttempt(request string, line *record.Line) {
+	if len(r.attempts) >= maxAttempts {
 		r.report.LeftOut++
 		return
 	}
 	a := outcomeOf(line)
-	a.route, a.pool = r.word(a.route), r.word(a.pool)
-	r.ends[request] = a
+	a.route, a.pool = r.intern(a.route), r.intern(a.pool)
+	r.attempts[request] = a
 }
 
-// note takes what happened to a request on its way. Beyond the bound it is left
-// out: it only refines a cause.
-func (r *reader) note(request, message string) {
+// addNote adds an event of a request. Events above the bound are ignored, because
+// they only refine a cause.
+func (r *reader) addNote(request, message string) {
 	if len(r.notes) >= maxAttempts {
 		return
 	}
 	n := r.notes[request]
-	n.putOff = n.putOff || message == putOff
-	n.owner = n.owner || message == owner
+	n.deferred = n.deferred || message == stageDeferred
+	n.ownerLost = n.ownerLost || message == ownerLost
 	r.notes[request] = n
 }
 
-// word returns the one copy of a word that is kept.
-func (r *reader) word(text string) string {
-	known, found := r.words[text]
+// intern returns the shared copy of a route or pool name, so that attempts do not
+// keep the log lines in memory.
+func (r *reader) intern(name string) string {
+	shared, found := r.names[name]
 	if !found {
-		known = strings.Clone(text)
-		r.words[known] = known
+		shared = strings.Clone(name)
+		r.names[shared] = shared
 	}
-	return known
+	return shared
 }
 
-// sum adds up what was read.
-func (r *reader) sum(every clock.Millis) *Report {
-	attempts := make([]attempt, 0, len(r.ends))
-	for request, a := range r.ends {
-		a.mind(r.notes[request])
+// buildReport returns the report on all lines that were read.
+func (r *reader) buildReport(every clock.Millis) *Report {
+	attempts := make([]attempt, 0, len(r.attempts))
+	for request, a := range r.attempts {
+		a.refineCause(r.notes[request])
 		attempts = append(attempts, a)
 	}
 	slices.SortFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.at, b.at) })
 	r.report.Routes = routesOf(attempts)
 	r.report.Causes = causesOf(attempts)
-	r.report.Intervals = spansOfTime(attempts, max(every, 1))
+	r.report.Intervals = intervalsOf(attempts, max(every, 1))
 	r.report.Phases = phasesOf(attempts)
 	return &r.report
 }
@@ -247,37 +252,39 @@
 	return counts
 }
 
-// maxSpans bounds the spans of a report: beyond it the last one takes the rest.
-const maxSpans = 10_000
+// maxIntervals bounds the intervals of a report. The last one counts all later
+// attempts.
+const maxIntervals = 10_000
 
-func spansOfTime(attempts []attempt, every clock.Millis) []Interval {
-	var spans []Interval
+func intervalsOf(attempts []attempt, every clock.Millis) []Interval {
+	var intervals []Interval
 	for i := range attempts {
 		a := &attempts[i]
-		at := min(int((a.at-attempts[0].at)/int64(every)), maxSpans-1)
-		for len(spans) <= at {
-			spans = append(spans, Interval{
-				FromMs: every * clock.Millis(len(spans)), ByOutcome: make(map[Outcome]int), Causes: make(map[Cause]int),
+		at := min(int((a.at-attempts[0].at)/int64(every)), maxIntervals-1)
+		for len(intervals) <= at {
+			intervals = append(intervals, Interval{
+				FromMs: every * clock.Millis(len(intervals)), ByOutcome: make(map[Outcome]int), Causes: make(map[Cause]int),
 			})
 		}
-		spans[at].ByOutcome[a.outcome]++
+		intervals[at].ByOutcome[a.outcome]++
 		if a.outcome != InTime && a.outcome != Excluded {
-			spans[at].Causes[a.cause]++
+			intervals[at].Causes[a.cause]++
 		}
 	}
-	return spans
+	return intervals
 }
 
-// phasesOf returns percentiles of the phases of answered requests with stages.
+// phasesOf returns the percentiles of each phase of the answered requests whose
+// time to the first event is known.
 func phasesOf(attempts []attempt) []Phase {
 	type key struct{ route, phase string }
 	byKey := make(map[key]*hdrhistogram.Histogram)
 	add := func(route, phase string, took clock.Millis) {
 		k := key{route: route, phase: phase}
 		if byKey[k] == nil {
-			byKey[k] = hdrhistogram.New(1, longestPhase, digits)
+			byKey[k] = hdrhistogram.New(1, maxPhaseMs, digits)
 		}
-		_ = byKey[k].RecordValue(int64(min(max(took, 1), longestPhase))) // always within its bounds
+		_ = byKey[k].RecordValue(int64(min(max(took, 1), maxPhaseMs))) // can't fail: the value is within the bounds
 	}
 	for i := range attempts {
 		a := &attempts[i]
--- a/internal/ops/losses/losses_test.go
+++ b/internal/ops/losses/losses_test.go
@@ -11,7 +11,7 @@
 	"github.com/jujubescale/jujubescale/internal/ops/losses"
 )
 
-// endLine is the last line of a request, with what a test adds to it.
+// endLine returns the last log line of a request with the additional pairs in more.
 func endLine(second int, request, more string) string {
 	return fmt.Sprintf("time=2026-03-01T10:00:%02d.000Z level=info msg=\"request ended\" process=gw-1 request=%s %s\n", second, request, more)
 }
@@ -23,9 +23,9 @@
 	return report
 }
 
-// A caller complains that answers are late. Each case is a log as processes
-// write it, and the one cause that on-call engineers should look at first.
-func TestMainCauseOfAnEnd(t *testing.T) {
+// Guards against a misleading cause in the report on late or failed requests. Each
+// case is a log as processes write it, with the cause that explains it best.
+func TestMainCause(t *testing.T) {
 	const late = "route=r status=200 reason= objectiveMs=1900 "
 	for _, tt := range []struct {
 		name    string
@@ -37,21 +37,21 @@
 		{"refused for load", endLine(1, "a", "route=r status=503 reason=overloaded pool=enc"), losses.Refused, "overloaded", "enc"},
 		{"refused while starting", endLine(1, "a", "route=r status=503 reason=notReady"), losses.Refused, "notReady", ""},
 		{"failed", endLine(1, "a", "route=r status=502 reason=endpointFailed"), losses.Failed, "endpointFailed", ""},
-		{"the endpoint's own failure", endLine(1, "a", "route=r status=500 reason="), losses.Failed, losses.CauseEndpoint, ""},
-		{"the caller left", endLine(1, "a", "route=r status=0 reason=cancelled"), losses.Excluded, "cancelled", ""},
+		{"endpoint answered a failure", endLine(1, "a", "route=r status=500 reason="), losses.Failed, losses.CauseEndpoint, ""},
+		{"cancelled by the caller", endLine(1, "a", "route=r status=0 reason=cancelled"), losses.Excluded, "cancelled", ""},
 		{"wrong key", endLine(1, "a", "route=r status=401 reason=unauthorized"), losses.Excluded, "unauthorized", ""},
-		{"came back too late", endLine(1, "a", late+"sinceFirstMs=900 firstMs=1200 stagesMs=1100"), losses.Late, losses.CauseEarlierRefusal, ""},
-		{"slow to its first event", endLine(1, "a", late+"firstMs=2400 stagesMs=900"), losses.Late, losses.CauseGeneration, ""},
-		{"a slow stage", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 1@300+1500 2@1800+500"`), losses.Late, losses.CauseStage, "stage 1"},
-		{"a stage failed", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300! 0@300+1500"`), losses.Late, losses.CauseFailed, ""},
-		{"stages ran twice", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 0@300+1500"`), losses.Late, losses.CauseRepeatedStage, ""},
+		{"late because of an earlier refusal", endLine(1, "a", late+"sinceFirstMs=900 firstMs=1200 stagesMs=1100"), losses.Late, losses.CauseEarlierRefusal, ""},
+		{"slow generation of the first event", endLine(1, "a", late+"firstMs=2400 stagesMs=900"), losses.Late, losses.CauseGeneration, ""},
+		{"slow stage", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 1@300+1500 2@1800+500"`), losses.Late, losses.CauseStage, "stage 1"},
+		{"stage failed", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300! 0@300+1500"`), losses.Late, losses.CauseFailed, ""},
+		{"stage ran twice", endLine(1, "a", late+`firstMs=2400 stagesMs=2300 spans="0@0+300 0@300+1500"`), losses.Late, losses.CauseRepeatedStage, ""},
 		{
-			"the owner was lost, told by a line that comes later in the file",
+			"owner lost, reported by a later line of the log",
 			endLine(1, "a", late+"firstMs=2400 stagesMs=2300") + "time=2026-03-01T10:00:00.500Z msg=\"owner lost\" process=gw-1 request=a pool=enc\n",
 			losses.Late, losses.CauseOwner, "",
 		},
 		{
-			"a stage was put off",
+			"stage deferred",
 			"time=2026-03-01T10:00:00.500Z msg=\"stage put off\" process=gw-1 request=a\n" + endLine(1, "a", late+`firstMs=2000 stagesMs=1900 spans="0@0+1900"`),
 			losses.Late, losses.CauseDeferred, "",
 		},
@@ -78,9 +78,9 @@
 	assert.Equal(t, int64(report.Phases[0].P50Ms), int64(1800))
 }
 
-// A process logs more than it may, and a collector cuts lines. What is missing is
-// said, so that nobody takes the sums for the whole.
-func TestWhatIsMissingIsCounted(t *testing.T) {
+// A process drops lines above its log rate, and a collector truncates lines.
+// Guards against a report that looks complete although lines are missing.
+func TestMissingLinesAreCounted(t *testing.T) {
 	report := read(t, "level=warn msg=\"log lines dropped\" lines=41\n"+
 		"request ended without anything else\n\x00\xff\n"+endLine(1, "a", "route=r status=200"))
 	assert.Equal(t, report.Dropped, 41)
@@ -110,18 +110,18 @@
 	f.Fuzz(func(t *testing.T, log string) {
 		report, err := losses.Read(strings.NewReader(log), 1)
 		if err != nil {
-			return // a line beyond the bound
+			return // a line is too long
 		}
-		ends := 0
+		onRoutes := 0
 		for _, route := range report.Routes {
-			ends += route.Attempts
+			onRoutes += route.Attempts
 		}
-		inSpans := 0
-		for _, span := range report.Intervals {
-			for _, count := range span.ByOutcome {
-				inSpans += count
+		inIntervals := 0
+		for _, interval := range report.Intervals {
+			for _, count := range interval.ByOutcome {
+				inIntervals += count
 			}
 		}
-		assert.Equal(t, ends, inSpans)
+		assert.Equal(t, onRoutes, inIntervals)
 	})
 }
--- a/internal/ops/trail/trail.go
+++ b/internal/ops/trail/trail.go
@@ -1,6 +1,6 @@
-// Package trail writes log lines without ever holding up who logs: lines wait
-// in a bounded queue, and beyond the queue or the allowed rate they are counted
-// and dropped. What was dropped is said in a line of its own.
+// Package trail writes log lines without blocking the code that logs. Lines wait
+// in a bounded queue. Lines that exceed the queue or the allowed rate are dropped
+// and counted, and the count is written as a log line.
 package trail
 
 import (
@@ -13,16 +13,17 @@
 )
 
 const (
-	// defaultLines is how many lines a second are written in the long run, and
-	// defaultBurst how many at once. A process serves some 30 requests a second
-	// at four to six lines each; the bound holds under several times that load.
+	// defaultLines is the sustained rate in lines per second, and defaultBurst the
+	// number of lines that may be written at once. A process serves about 30
+	// requests per second with four to six lines each; the limit is several times
+	// that load.
 	defaultLines = 600
 	defaultBurst = 1200
-	// queueLines is how many lines wait for a reader that stalls.
+	// queueLines is the number of lines that are queued while the output blocks.
 	queueLines = 1024
 )
 
-// Writer is an io.Writer that never blocks. Each Write is one line.
+// Writer is an io.Writer that never blocks. Each call of Write writes one line.
 type Writer struct {
 	lines   chan []byte
 	limit   *rate.Limiter
@@ -31,8 +32,8 @@
 	done    chan struct{}
 }
 
-// New starts a writer to out that ends with the context, after it has written
-// what still waits.
+// New starts a writer to out. When the context ends, the writer writes the queued
+// lines and stops.
 func New(ctx context.Context, out io.Writer) *Writer {
 	w := &Writer{
 		lines: make(chan []byte, queueLines), done: make(chan struct{}),
@@ -45,10 +46,10 @@
 	return w
 }
 
-// Done closes once the writer has ended.
+// Done returns a channel that closes once the writer has stopped.
 func (w *Writer) Done() <-chan struct{} { return w.done }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (w *Writer) Dropped() int64 { return w.total.Load() }
 
 // Write implements io.Writer. It always succeeds.
@@ -74,27 +75,28 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(out, line)
+			w.writeLine(out, line)
 		case <-ctx.Done():
-			w.rest(out)
+			w.flush(out)
 			return
 		}
 	}
 }
 
-func (w *Writer) rest(out io.Writer) {
+func (w *Writer) flush(out io.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(out, line)
+			w.writeLine(out, line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line. A log that can't be written has nowhere to say so.
-func (w *Writer) put(out io.Writer, line []byte) {
+// writeLine writes a line and the count of lines dropped before it. It ignores
+// errors, because there is no other place to report them.
+func (w *Writer) writeLine(out io.Writer, line []byte) {
 	_, _ = out.Write(line)
 	if dropped := w.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(out, "level=warn msg=\"log lines dropped\" lines=%d\n", dropped)
--- a/internal/ops/trail/trail_test.go
+++ b/internal/ops/trail/trail_test.go
@@ -11,22 +11,21 @@
 	"github.com/jujubescale/jujubescale/internal/ops/trail"
 )
 
-// stuck is an output that takes nothing until it is opened.
-type stuck struct {
+// blockedOutput is an output whose writes block until open is closed.
+type blockedOutput struct {
 	open chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.open
-	return s.Buffer.Write(p)
+func (b *blockedOutput) Write(p []byte) (int, error) {
+	<-b.open
+	return b.Buffer.Write(p)
 }
 
-// Whoever reads the log stalls while a crowd of requests is logged. A process
-// that waited for its log would stop serving, and callers would see every
-// request hang.
-func TestStalledReaderHoldsUpNobody(t *testing.T) {
-	out := &stuck{open: make(chan struct{})}
+// The reader of the log stalls while many requests are logged. Guards against a
+// process that blocks on its log, because all its requests would hang.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
+	out := &blockedOutput{open: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := trail.New(ctx, out)
 	const lines = 100_000
