--- a/internal/ops/admin/admin.go
+++ b/internal/ops/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' port of a daemon: metrics, health,
-// status, and what is known of a request. It only reads; operators change the
+// Package admin serves the operators' port of a daemon: metrics, health, status,
+// and the state of single requests. The port is read-only; operators change the
 // system through the platform's object API.
 package admin
 
@@ -20,69 +20,69 @@
 	"github.com/jujubescale/jujubescale/internal/link/sess"
 )
 
-// Status is what a daemon says of itself.
+// Status is the status of a daemon.
 type Status struct {
 	Process          string `json:"process"`
 	Role             string `json:"role"`
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Incarnation in hexadecimal.
+	// Incarnation is in hexadecimal.
 	Incarnation string `json:"incarnation"`
 	Version     string `json:"version"`
-	// Release is the number of the configuration in force, 0 before the first.
+	// Release is the number of the configuration in force, or 0 if none is.
 	Release uint64 `json:"release"`
-	// Ready says that the daemon takes new work; NotReady says why it does not.
+	// Ready is true if the daemon accepts new work; otherwise NotReady is the cause.
 	Ready    bool   `json:"ready"`
 	NotReady string `json:"notReady,omitempty"`
-	// Leaving says that a planned stop has begun.
+	// Leaving is true once a planned stop has begun.
 	Leaving bool `json:"leaving,omitempty"`
-	// Open counts the requests or attempts that are not finished.
+	// Open counts the unfinished requests of an entry or attempts of an agent.
 	Open int `json:"open"`
-	// Sessions with other processes.
+	// Sessions are the open sessions with other processes.
 	Sessions []Session `json:"sessions,omitempty"`
-	// Endpoint is set by an agent.
+	// Endpoint is set only by agents.
 	Endpoint *Endpoint `json:"endpoint,omitempty"`
 	// UptimeMs is the time since the start, in milliseconds.
 	UptimeMs clock.Millis `json:"uptimeMs"`
 }
 
-// Session is one connection to another process of the system.
+// Session is an open session with another process of the system.
 type Session struct {
 	Process string `json:"process"`
-	// Incarnation in hexadecimal.
+	// Incarnation is in hexadecimal.
 	Incarnation      string `json:"incarnation"`
 	AvailabilityZone string `json:"availabilityZone,omitempty"`
 	Pool             string `json:"pool,omitempty"`
 	Endpoint         string `json:"endpoint,omitempty"`
-	// SilentMs is the time since the last message came, in milliseconds.
+	// SilentMs is the time since the last message was received, in milliseconds.
 	SilentMs clock.Millis `json:"silentMs"`
 }
 
-// DescribeSessions describes open sessions.
+// DescribeSessions returns the descriptions of open sessions.
 func DescribeSessions(c *clock.Clock, open []*sess.Session) []Session {
-	shown := make([]Session, 0, len(open))
+	sessions := make([]Session, 0, len(open))
 	for _, s := range open {
 		peer := s.Peer()
-		shown = append(shown, Session{
+		sessions = append(sessions, Session{
 			Process: peer.Process, Incarnation: peer.Incarnation.String(), AvailabilityZone: peer.AvailabilityZone,
 			Pool: peer.Pool, Endpoint: peer.Endpoint, SilentMs: c.Since(s.LastHeard()),
 		})
 	}
-	return shown
+	return sessions
 }
 
-// Endpoint is what an agent knows of the endpoint beside it.
+// Endpoint is the state of an agent's own endpoint.
 type Endpoint struct {
 	Pool     string `json:"pool"`
 	Endpoint string `json:"endpoint"`
 	Running  int    `json:"running"`
 	Queued   int    `json:"queued"`
-	// Limit is the number of calls that the agent admits at once.
+	// Limit is the number of calls that the agent admits concurrently.
 	Limit int  `json:"limit"`
 	Cold  bool `json:"cold,omitempty"`
 }
 
-// Request is what a daemon remembers of one request.
+// Request is a daemon's record of one request.
 type Request struct {
 	RequestID    string       `json:"requestId"`
 	Process      string       `json:"process"`
@@ -91,12 +91,12 @@
 	State        string       `json:"state"`
 	Reason       fault.Reason `json:"reason,omitempty"`
 	Ran          fault.Ran    `json:"ran,omitempty"`
-	// AgeMs is the time since the request came, in milliseconds.
+	// AgeMs is the time since the request arrived, in milliseconds.
 	AgeMs    clock.Millis `json:"ageMs"`
 	Attempts []Attempt    `json:"attempts,omitempty"`
 }
 
-// Attempt is one try of one stage.
+// Attempt is one attempt at one stage of a request.
 type Attempt struct {
 	Stage    int          `json:"stage"`
 	Try      int          `json:"try"`
@@ -112,20 +112,20 @@
 type Admin struct {
 	// StatusFunc returns the daemon's status.
 	StatusFunc func() Status
-	// RequestFunc returns what is known of a request, or nil.
+	// RequestFunc returns the record of a request, or nil if there is none.
 	RequestFunc func(id string) *Request
 
 	gatherer prometheus.Gatherer
 	tokens   []string
 }
 
-// Option changes an Admin while it is built.
+// Option configures an Admin in New.
 type Option func(*Admin)
 
 // WithStatus sets the source of the status.
 func WithStatus(status func() Status) Option { return func(a *Admin) { a.StatusFunc = status } }
 
-// WithRequest sets the source of what is known of a request.
+// WithRequest sets the source of the records of requests.
 func WithRequest(request func(id string) *Request) Option {
 	return func(a *Admin) { a.RequestFunc = request }
 }
@@ -136,7 +136,7 @@
 }
 
 // WithTokenHashes sets the SHA-256 hashes, in hexadecimal, of the bearer tokens
-// that are accepted; without any, no token is asked for.
+// that are accepted. Without hashes, no token is needed.
 func WithTokenHashes(hashes []string) Option { return func(a *Admin) { a.tokens = hashes } }
 
 // New returns the operators' port of a daemon.
@@ -173,11 +173,12 @@
 	return router
 }
 
-// authorise lets nobody through without one of the tokens, to any path. Hashes
-// are compared, so the time of the comparison tells nothing about a token.
+// authorise requires one of the tokens for every path, if tokens are configured.
+// It compares hashes, so that the duration of the comparison reveals nothing
+// about a token.
 func (a *Admin) authorise(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if len(a.tokens) > 0 && !a.knows(r.Header.Get("Authorization")) {
+		if len(a.tokens) > 0 && !a.validToken(r.Header.Get("Authorization")) {
 			writeJSON(w, http.StatusUnauthorized, problem{Reason: fault.Unauthorized, Detail: "an operator's bearer token is needed"})
 			return
 		}
@@ -185,7 +186,7 @@
 	})
 }
 
-func (a *Admin) knows(header string) bool {
+func (a *Admin) validToken(header string) bool {
 	bearer, found := strings.CutPrefix(header, "Bearer ")
 	if !found {
 		return false
@@ -207,13 +208,13 @@
 	id := chi.URLParam(r, "id")
 	found := a.RequestFunc(id)
 	if found == nil {
-		writeJSON(w, http.StatusNotFound, problem{Detail: "this process remembers no request of that id"})
+		writeJSON(w, http.StatusNotFound, problem{Detail: "this process has no record of a request with that id"})
 		return
 	}
 	writeJSON(w, http.StatusOK, found)
 }
 
-// problem is the answer to what can't be served.
+// problem is the body of an error response.
 type problem struct {
 	Reason fault.Reason `json:"reason,omitempty"`
 	Detail string       `json:"detail"`
@@ -222,5 +223,5 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a reader that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/ops/admin/admin_test.go
+++ b/internal/ops/admin/admin_test.go
@@ -29,9 +29,9 @@
 	return []string{admin.PathMetrics, admin.PathHealth, admin.PathReady, admin.PathStatus, admin.PathRequest + "5f"}
 }
 
-// Someone who is no operator reaches the operators' port. Whatever it asks
-// for, it learns nothing, neither that the process is healthy.
-func TestWithoutTokenNothingIsServed(t *testing.T) {
+// Guards against paths of the operators' port that are served without a valid
+// token, including the health check.
+func TestEveryPathNeedsToken(t *testing.T) {
 	sum := sha256.Sum256([]byte("right"))
 	handler := admin.New(
 		admin.WithTokenHashes([]string{hex.EncodeToString(sum[:])}),
--- a/internal/ops/build/build.go
+++ b/internal/ops/build/build.go
@@ -1,4 +1,4 @@
-// Package build tells which version of jujubescale is running.
+// Package build returns the version of the running jujubescale program.
 package build
 
 import "runtime/debug"
@@ -10,8 +10,9 @@
 	revisionLength = 12
 )
 
-// Version returns the version that the Go toolchain recorded: the module's, or
-// the revision that it was built from.
+// Version returns the module version that the Go toolchain recorded in the
+// binary. Without one, it returns the source revision, with "+changed" if the
+// source had uncommitted changes, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/ops/fleet/fleet.go
+++ b/internal/ops/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet asks the daemons on the platform's list of hosts, at their
-// operators' ports, what they say of themselves.
+// Package fleet queries the operators' ports of the daemons on the platform's
+// list of hosts.
 package fleet
 
 import (
@@ -25,12 +25,12 @@
 	defaultPort    = 7001
 	defaultTimeout = 2 * clock.Second
 	hostsPage      = 500
-	// parallel bounds the requests on their way at once.
-	parallel  = 64
-	maxAnswer = 4 << 20
+	// maxParallel bounds the number of concurrent requests.
+	maxParallel    = 64
+	maxAnswerBytes = 4 << 20
 )
 
-// Fleet asks daemons.
+// Fleet queries daemons.
 type Fleet struct {
 	// HostsFunc reads one page of the platform's list.
 	HostsFunc func(ctx context.Context, query store.HostQuery) (store.HostPage, error)
@@ -43,17 +43,18 @@
 	client  *http.Client
 }
 
-// Option changes a Fleet while it is built.
+// Option configures a Fleet in New.
 type Option func(*Fleet)
 
-// WithPort sets the usual operators' port.
+// WithPort sets the operators' port of hosts whose entry on the list has no
+// operators' address.
 func WithPort(port int) Option { return func(f *Fleet) { f.port = port } }
 
 // WithToken sets the operator's bearer token.
 func WithToken(token string) Option { return func(f *Fleet) { f.token = token } }
 
-// WithTLS asks over TLS. The daemons' certificates must be valid for the name,
-// or for the address that is asked when it is empty.
+// WithTLS enables TLS. The daemons' certificates must be valid for the server
+// name, or for the address of the daemon if the name is empty.
 func WithTLS(source *certs.Source, server string) Option {
 	return func(f *Fleet) { f.source, f.server = source, server }
 }
@@ -61,7 +62,7 @@
 // WithTimeout bounds one request.
 func WithTimeout(timeout clock.Millis) Option { return func(f *Fleet) { f.timeout = timeout } }
 
-// New returns a fleet on a platform's list of hosts.
+// New returns a fleet of the daemons on the platform's list of hosts.
 func New(platform *store.Store, opts ...Option) *Fleet {
 	f := &Fleet{HostsFunc: platform.Hosts, port: defaultPort, timeout: defaultTimeout}
 	for _, opt := range opts {
@@ -74,20 +75,20 @@
 func (f *Fleet) dialTLS(ctx context.Context, network, address string) (net.Conn, error) {
 	name := f.server
 	if name == "" {
-		name, _, _ = net.SplitHostPort(address) // the transport always gives host and port
+		name, _, _ = net.SplitHostPort(address) // the transport always passes host and port
 	}
 	dialer := tls.Dialer{Config: f.source.Client(name)}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Answer is what one daemon said. Cause is set when it could not be asked.
+// Answer is the status of one daemon. Cause is the error if the query failed.
 type Answer struct {
 	Host   store.Host
 	Status admin.Status
 	Cause  error
 }
 
-// Hosts reads the whole list of hosts of a role; an empty role means all.
+// Hosts returns all hosts with a role. An empty role means all roles.
 func (f *Fleet) Hosts(ctx context.Context, role string) ([]store.Host, error) {
 	var hosts []store.Host
 	query := store.HostQuery{Role: role, Limit: hostsPage}
@@ -104,22 +105,23 @@
 	}
 }
 
-// Statuses asks the hosts for their status, several at a time. The answers come in
-// the order of the hosts.
+// Statuses queries the status of the hosts concurrently. The answers are in the
+// order of the hosts.
 func (f *Fleet) Statuses(ctx context.Context, hosts []store.Host) []Answer {
 	answers := make([]Answer, len(hosts))
-	f.each(hosts, func(i int, host store.Host) {
+	f.forEach(hosts, func(i int, host store.Host) {
 		answers[i].Host = host
 		answers[i].Cause = f.get(ctx, host, admin.PathStatus, &answers[i].Status)
 	})
 	return answers
 }
 
-// Request asks the hosts what they remember of a request.
+// Request queries the hosts for their records of a request. It ignores hosts that
+// have none or can't be queried.
 func (f *Fleet) Request(ctx context.Context, hosts []store.Host, id string) []admin.Request {
 	var mu sync.Mutex
 	var found []admin.Request
-	f.each(hosts, func(_ int, host store.Host) {
+	f.forEach(hosts, func(_ int, host store.Host) {
 		var request admin.Request
 		if f.get(ctx, host, admin.PathRequest+url.PathEscape(id), &request) != nil {
 			return
@@ -131,39 +133,41 @@
 	return found
 }
 
-// ReleasesFunc asks the hosts which release they have in force. A host that has the
-// release once is not asked again, because a release never goes back.
+// ReleasesFunc returns a function that queries which release each host has in
+// force. The function doesn't query a host again once it has the given release or
+// a newer one, because the release in force never decreases.
 func (f *Fleet) ReleasesFunc(hosts []store.Host, release uint64) func(context.Context) []apply.ProcessRelease {
 	known := make([]apply.ProcessRelease, len(hosts))
 	return func(ctx context.Context) []apply.ProcessRelease {
-		var ask []store.Host
-		var at []int
+		var behind []store.Host
+		var indexes []int
 		for i := range hosts {
 			if known[i].Release < release {
-				ask, at = append(ask, hosts[i]), append(at, i)
+				behind, indexes = append(behind, hosts[i]), append(indexes, i)
 			}
 		}
-		for i, answer := range f.Statuses(ctx, ask) {
-			known[at[i]] = apply.ProcessRelease{Process: answer.Host.Name, Release: answer.Status.Release, Cause: answer.Cause}
+		for i, answer := range f.Statuses(ctx, behind) {
+			known[indexes[i]] = apply.ProcessRelease{Process: answer.Host.Name, Release: answer.Status.Release, Cause: answer.Cause}
 		}
 		return known
 	}
 }
 
-func (f *Fleet) each(hosts []store.Host, ask func(int, store.Host)) {
-	slots := make(chan struct{}, parallel)
+// forEach calls query for each host, at most maxParallel at a time.
+func (f *Fleet) forEach(hosts []store.Host, query func(int, store.Host)) {
+	slots := make(chan struct{}, maxParallel)
 	var group sync.WaitGroup
 	for i := range hosts {
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			ask(i, hosts[i])
+			query(i, hosts[i])
 		})
 	}
 	group.Wait()
 }
 
-// StatusError says that a daemon refused to answer.
+// StatusError reports a response of a daemon with another status than 200.
 type StatusError struct {
 	Host   string
 	Status int
@@ -190,7 +194,7 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
--- a/internal/ops/logs/logs.go
+++ b/internal/ops/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs makes the logger of a process: one line of key=value pairs for
-// each event. The message names the event; everything that varies is a pair of
-// its own, so that lines can be searched by field.
+// Package logs creates the logger of a process, which writes one line of
+// key=value pairs for each event. The message names the event; all variable data
+// is in separate pairs, so that lines can be searched by field.
 package logs
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// Keys that every part of the product uses for the same thing.
+// Log keys that all packages share.
 const (
 	KeyProcess          = "process"
 	KeyAvailabilityZone = "availabilityZone"
@@ -20,7 +20,7 @@
 	KeyError            = "error"
 )
 
-// LevelError says that there is no such level.
+// LevelError reports an unknown log level.
 type LevelError struct {
 	Level string
 }
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("log level %q is not allowed; allowed: debug, info, warn, error", e.Level)
 }
 
-// New returns a logger that writes to out what is at the level or above. The
-// pairs are added to each line.
+// New returns a logger that writes events at the level or above to out, with the
+// pairs added to each line. It returns a LevelError for an unknown level.
 func New(out io.Writer, level string, pairs ...any) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil || parsed == log.FatalLevel {
--- a/internal/ops/logs/logs_test.go
+++ b/internal/ops/logs/logs_test.go
@@ -26,8 +26,8 @@
 	// Output: level=info msg="request refused" process=entry-1 request=5f reason=queueFull
 }
 
-// A caller sends a body with line breaks, and a log reader would take the rest
-// for lines of their own.
+// Guards against forged log lines: data of a caller contains line breaks, and the
+// text after a break would look like a line of its own.
 func TestOneLineForEachEvent(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := logs.New(&out, "debug")
--- a/internal/ops/record/record.go
+++ b/internal/ops/record/record.go
@@ -1,6 +1,6 @@
-// Package record finds one request in the logs of all processes: the lines that
-// name it, and what the processes came to believe about its endpoints at that
-// time.
+// Package record collects the history of one request from the logs of all
+// processes: the lines about the request, and the changes of its endpoints'
+// state that the processes logged at that time.
 package record
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// maxLine bounds one line; longer ones are skipped, because no process writes
-	// them.
+	// maxLine is the longest accepted line in bytes. No process writes longer lines;
+	// Read fails on one.
 	maxLine = 1 << 20
-	// before is how long before the request an endpoint's changes still matter:
-	// longer than any of them takes to reach all processes.
-	before = 5 * time.Second
-	// maxContext bounds the lines about endpoints that are kept while reading, some
-	// 30 MB; what comes after that many is left out.
-	maxContext = 1 << 16
-	// keyEndpoint names the endpoint that a line is about.
+	// lookBack is the time before a request in which changes of its endpoints are
+	// included. It is longer than a change takes to reach all processes.
+	lookBack = 5 * time.Second
+	// maxEndpointLines bounds the lines about endpoints that Read keeps, about 30 MB.
+	// Further lines are ignored.
+	maxEndpointLines = 1 << 16
+	// keyEndpoint is the log key of an endpoint.
 	keyEndpoint = "endpoint"
 )
 
@@ -37,19 +37,19 @@
 	Value string `json:"value"`
 }
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Level   string    `json:"level"`
 	Message string    `json:"message"`
 	Process string    `json:"process"`
-	// Related says that the line names an endpoint of the request and not the
-	// request itself.
+	// Related is true if the line is about an endpoint of the request and not about
+	// the request itself.
 	Related bool   `json:"about,omitempty"`
 	Pairs   []Pair `json:"pairs"`
 }
 
-// Value returns the value of a key, "" without it.
+// Value returns the value of a key, or "" if the line doesn't have the key.
 func (l *Line) Value(key string) string {
 	for _, pair := range l.Pairs {
 		if pair.Key == key {
@@ -59,24 +59,25 @@
 	return ""
 }
 
-// History is what logs tell of one request, in the order of time.
+// History holds the log lines about one request, ordered by time.
 type History struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// Skipped counts lines that could not be read as key=value pairs.
+	// Skipped counts the lines that could not be parsed.
 	Skipped int `json:"skipped"`
 }
 
-// Read reads logs, in any order, and returns the history of a request. What
-// stands before the time of a line, as some collectors write, is passed over.
+// Read reads log lines in any order and returns the history of a request. It
+// ignores text before the time of a line, such as the prefix that some log
+// collectors add.
 func Read(from io.Reader, request string) (History, error) {
 	history := History{Request: request}
-	var context []Line
+	var changes []Line
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
 	for scanner.Scan() {
-		names := bytes.Contains(scanner.Bytes(), []byte(request))
-		if !names && !bytes.Contains(scanner.Bytes(), []byte(endpointChanged)) {
+		hasRequest := bytes.Contains(scanner.Bytes(), []byte(request))
+		if !hasRequest && !bytes.Contains(scanner.Bytes(), []byte(endpointChanged)) {
 			continue
 		}
 		line, ok := Parse(scanner.Text())
@@ -85,28 +86,29 @@
 			history.Skipped++
 		case line.Value(logs.KeyRequest) == request:
 			history.Lines = append(history.Lines, line)
-		case line.Message == endpointChanged && len(context) < maxContext:
-			context = append(context, line)
+		case line.Message == endpointChanged && len(changes) < maxEndpointLines:
+			changes = append(changes, line)
 		}
 	}
-	history.Lines = append(history.Lines, about(history.Lines, context)...)
+	history.Lines = append(history.Lines, relatedChanges(history.Lines, changes)...)
 	slices.SortStableFunc(history.Lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 	return history, scanner.Err()
 }
 
-// endpointChanged is the message of a changed belief about an endpoint.
+// endpointChanged is the message of lines that report a change of an endpoint's
+// state as a process sees it.
 const endpointChanged = "endpoint changed"
 
-// about returns the lines on endpoints that the request was sent to, from a
-// little before it began to its end.
-func about(own, context []Line) []Line {
+// relatedChanges returns the changes of the endpoints that the lines of a request
+// name, from lookBack before its first line to its last line.
+func relatedChanges(own, changes []Line) []Line {
 	var found []Line
 	if len(own) == 0 {
 		return nil
 	}
-	order := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	first, last := slices.MinFunc(own, order).Time.Add(-before), slices.MaxFunc(own, order).Time
-	for _, line := range context {
+	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
+	first, last := slices.MinFunc(own, byTime).Time.Add(-lookBack), slices.MaxFunc(own, byTime).Time
+	for _, line := range changes {
 		used := slices.ContainsFunc(own, func(l Line) bool {
 			return l.Value(keyEndpoint) != "" && l.Value(keyEndpoint) == line.Value(keyEndpoint)
 		})
@@ -118,7 +120,8 @@
 	return found
 }
 
-// Parse reads one line; false if it holds no time and message.
+// Parse parses one line of key=value pairs. It returns false if the line is
+// malformed or has no time or message.
 func Parse(text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -138,7 +141,7 @@
 	switch key {
 	case "time":
 		at, err := time.Parse(time.RFC3339Nano, value)
-		if err == nil { // a line without a time is counted as skipped
+		if err == nil { // Parse rejects a line without a valid time
 			l.Time = at
 		}
 	case "level":
--- a/internal/ops/record/record_test.go
+++ b/internal/ops/record/record_test.go
@@ -41,9 +41,9 @@
 	// 1 <nil>
 }
 
-// What the product's own logger writes is read back whole, also values with
-// spaces and quotes.
-func TestOwnLinesAreRead(t *testing.T) {
+// Guards against lines of the product's own logger that can't be parsed, or are
+// parsed only in part, because values contain spaces and quotes.
+func TestLinesOfOwnLoggerAreParsed(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := logs.New(&out, "info", logs.KeyProcess, "gw-1")
 	assert.NilError(t, err)
@@ -56,15 +56,15 @@
 	assert.Equal(t, history.Lines[0].Process, "gw-1")
 }
 
-// Whatever stands in a log, reading it ends, and nothing that was read belongs
-// to another request.
+// Guards against logs on which Read panics or hangs, and against lines of other
+// requests in a history.
 func FuzzRead(f *testing.F) {
 	f.Add(lines, "5f")
 	f.Add("time=x level= msg=\"", "")
 	f.Fuzz(func(t *testing.T, text, request string) {
 		history, err := record.Read(strings.NewReader(text), request)
 		if err != nil {
-			return // a line longer than any process writes
+			return // a line is too long
 		}
 		for _, line := range history.Lines {
 			if !line.Related && line.Value(logs.KeyRequest) != request {
--- a/internal/ops/room/room.go
+++ b/internal/ops/room/room.go
@@ -1,52 +1,53 @@
-// Package room works out whether what remains bears the load when endpoints
-// are taken out. It is pure: what agents say goes in, a verdict for each pool
-// comes out.
+// Package room computes whether the remaining endpoints of each pool can carry
+// the load when other endpoints are taken out of service. It does no I/O.
 package room
 
 import "sort"
 
-// fullShare is the share of the remaining limits that the load may take. Above
-// it queues grow faster than they drain, so a stop at the very limit would
-// already cost deadlines.
-const fullShare = 0.85
+// maxLoadShare is the largest share of the remaining limits that the load may
+// use. Above it, queues grow faster than they drain, so that a load close to the
+// limits would already miss deadlines.
+const maxLoadShare = 0.85
 
-// Endpoint is what is known of one endpoint.
+// Endpoint is the state of one endpoint.
 type Endpoint struct {
 	Pool             string
 	Endpoint         string
 	AvailabilityZone string
-	// Known is false when its agent could not be asked: it then counts as
-	// bearing nothing.
+	// Known is false if its agent could not be asked. The endpoint then counts as
+	// having no capacity.
 	Known   bool
 	Running int
 	Queued  int
 	Limit   int
 	Cold    bool
-	// OutOfService says that operators took it, or its zone, out already.
+	// OutOfService is true if operators have already taken the endpoint, or its
+	// zone, out of service.
 	OutOfService bool
 }
 
-// Pool is the verdict on one pool.
+// Pool is the result for one pool.
 type Pool struct {
 	Pool string `json:"pool"`
-	// Load is the running and queued calls of all endpoints.
+	// Load is the number of running and queued calls of all endpoints.
 	Load int `json:"load"`
 	// LimitBefore and After are the limits of the endpoints in service.
 	LimitBefore int `json:"limitBefore"`
 	LimitAfter  int `json:"limitAfter"`
-	// EndpointsAfter in service afterwards.
+	// EndpointsAfter counts the endpoints that remain in service.
 	EndpointsAfter int `json:"endpointsAfter"`
-	// Unknown counts endpoints that could not be asked.
+	// Unknown counts the endpoints whose agents could not be asked.
 	Unknown int `json:"unknown,omitempty"`
-	// Sufficient says whether what remains bears the load.
+	// Sufficient is true if the remaining capacity suffices for the load.
 	Sufficient bool `json:"bears"`
 }
 
-// CheckRemoval returns a verdict for each pool that loses an endpoint when those for
-// which leaves is true are taken out, ordered by name.
-func CheckRemoval(endpoints []Endpoint, leaves func(*Endpoint) bool) []Pool {
+// CheckRemoval returns the results, ordered by name, for the pools that lose an
+// endpoint in service when the endpoints for which removed returns true are taken
+// out of service.
+func CheckRemoval(endpoints []Endpoint, removed func(*Endpoint) bool) []Pool {
 	pools := make(map[string]*Pool)
-	touched := make(map[string]bool)
+	affected := make(map[string]bool)
 	for i := range endpoints {
 		e := &endpoints[i]
 		p := pools[e.Pool]
@@ -54,22 +55,22 @@
 			p = &Pool{Pool: e.Pool}
 			pools[e.Pool] = p
 		}
-		p.add(e, leaves(e))
-		touched[e.Pool] = touched[e.Pool] || (leaves(e) && !e.OutOfService)
+		p.add(e, removed(e))
+		affected[e.Pool] = affected[e.Pool] || (removed(e) && !e.OutOfService)
 	}
-	var verdicts []Pool
+	var results []Pool
 	for name, p := range pools {
-		if !touched[name] {
+		if !affected[name] {
 			continue
 		}
-		p.Sufficient = p.EndpointsAfter > 0 && float64(p.Load) <= fullShare*float64(p.LimitAfter)
-		verdicts = append(verdicts, *p)
+		p.Sufficient = p.EndpointsAfter > 0 && float64(p.Load) <= maxLoadShare*float64(p.LimitAfter)
+		results = append(results, *p)
 	}
-	sort.Slice(verdicts, func(i, j int) bool { return verdicts[i].Pool < verdicts[j].Pool })
-	return verdicts
+	sort.Slice(results, func(i, j int) bool { return results[i].Pool < results[j].Pool })
+	return results
 }
 
-func (p *Pool) add(e *Endpoint, leaves bool) {
+func (p *Pool) add(e *Endpoint, removed bool) {
 	p.Load += e.Running + e.Queued
 	if !e.Known {
 		p.Unknown++
@@ -79,14 +80,14 @@
 		return
 	}
 	p.LimitBefore += e.Limit
-	if leaves {
+	if removed {
 		return
 	}
 	p.LimitAfter += e.Limit
 	p.EndpointsAfter++
 }
 
-// AllSufficient reports whether every pool bears its load.
+// AllSufficient reports whether the remaining capacity of every pool suffices.
 func AllSufficient(pools []Pool) bool {
 	for i := range pools {
 		if !pools[i].Sufficient {
