--- a/internal/serve/entry/leave.go
+++ b/internal/serve/entry/leave.go
@@ -23,7 +23,7 @@
 		return false, string(refused.Reason)
 	}
 	if e.zoneEvacuated() {
-		return false, string(fault.ZoneLeft)
+		return false, string(fault.ZoneEvacuated)
 	}
 	return true, ""
 }
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -82,7 +82,7 @@
 // reacts with a delay, and the entry still runs these requests at endpoints in
 // other zones.
 func (e *Entry) refuseIsolated() *fault.RefusalError {
-	if reason, refuses := e.sharing.node.RefusalReason(); refuses && reason != fault.ZoneLeft {
+	if reason, refuses := e.sharing.node.RefusalReason(); refuses && reason != fault.ZoneEvacuated {
 		return fault.Refuse(reason, "this process accepts no new requests")
 	}
 	return nil
