--- a/internal/bench/plan/check.go
+++ b/internal/bench/plan/check.go
@@ -20,7 +20,7 @@
 
 // Fill fills the defaults of an experiment and checks it.
 func Fill(e *Experiment) error {
-	step.Default(steps(), e)
+	step.ApplyDefaults(steps(), e)
 	return step.Check(steps(), e)
 }
 
--- a/internal/cli/proc/process.go
+++ b/internal/cli/proc/process.go
@@ -97,7 +97,7 @@
 
 // Source reads the files of one kind of connections; nil when none are set.
 func (p *Process) Source(files config.TLS) (*certs.Source, error) {
-	if !files.Set() {
+	if !files.IsSet() {
 		return nil, nil
 	}
 	failed := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
--- a/internal/conf/check/check.go
+++ b/internal/conf/check/check.go
@@ -28,7 +28,7 @@
 
 // Fill fills the defaults of a manifest and checks it.
 func Fill(m *manif.Manifest) error {
-	step.Default(Steps(), m)
+	step.ApplyDefaults(Steps(), m)
 	return step.Check(Steps(), m)
 }
 
--- a/internal/conf/check/service.go
+++ b/internal/conf/check/service.go
@@ -111,7 +111,7 @@
 	if fixed == "" {
 		fixed = "/"
 	}
-	if len(value) > manif.MaxPath || !strings.HasPrefix(value, "/") ||
+	if len(value) > manif.MaxPathBytes || !strings.HasPrefix(value, "/") ||
 		path.Clean(fixed) != fixed || strings.ContainsAny(fixed, "*?#% \\") {
 		report.Add(at, value, allowed)
 	}
--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -17,8 +17,8 @@
 	CAFile string `json:"caFile,omitempty"`
 }
 
-// Set reports whether any file is named.
-func (t TLS) Set() bool { return t != TLS{} }
+// IsSet reports whether any file is named.
+func (t TLS) IsSet() bool { return t != TLS{} }
 
 // Process is what both daemons need to know.
 type Process struct {
--- a/internal/conf/config/fuzz_test.go
+++ b/internal/conf/config/fuzz_test.go
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := decode.Strict[config.Entry](raw)
 		if err == nil {
-			step.Default(config.EntrySteps(), e)
+			step.ApplyDefaults(config.EntrySteps(), e)
 			err = step.Check(config.EntrySteps(), e)
 		}
 		if err == nil {
--- a/internal/conf/config/gateway.go
+++ b/internal/conf/config/gateway.go
@@ -107,7 +107,7 @@
 // checkGatewayStop lets a planned stop outlast the time in which the balancer
 // still sends new connections; their requests would be cut otherwise.
 func checkGatewayStop(g *Gateway, report *step.Report) {
-	report.Between("graceSeconds", g.GraceSeconds, 0.1, maxGrace)
+	report.FloatRange("graceSeconds", g.GraceSeconds, 0.1, maxGrace)
 	most := int64(g.GraceSeconds * float64(clock.Second))
 	report.Range("balancerLagMs", int64(g.BalancerLagMs), 1, max(most-1, 1))
 }
@@ -125,16 +125,16 @@
 }
 
 func checkGatewayBounds(g *Gateway, report *step.Report) {
-	report.Between("memoryMb", g.MemoryMb, 0, maxSpare)
-	report.Between("processorShare", g.ProcessorShare, 0, maxProcessors)
+	report.FloatRange("memoryMb", g.MemoryMb, 0, maxSpare)
+	report.FloatRange("processorShare", g.ProcessorShare, 0, maxProcessors)
 	report.Range("maxFds", int64(g.MaxFds), leastFds, 10*maxCount)
 	report.Range("changeMs", int64(g.ChangeMs), int64(leastChange), int64(maxChange))
 	report.Range("leaveMs", int64(g.LeaveMs), int64(leastChange), int64(maxChange))
-	report.Between("extraShare", g.ExtraShare, 0, maxShare)
-	report.Between("extraSpare", g.ExtraSpare, 0, maxSpare)
-	report.Between("extraWindowSeconds", g.ExtraWindowSeconds, 1, maxGrace)
-	report.Between("coldShare", g.ColdShare, 0, maxShare)
-	report.Between("coldSpare", g.ColdSpare, 0, maxSpare)
-	report.Between("rolloutShare", g.RolloutShare, 0, 1)
-	report.Between("rolloutSpare", g.RolloutSpare, 0, maxSpare)
+	report.FloatRange("extraShare", g.ExtraShare, 0, maxShare)
+	report.FloatRange("extraSpare", g.ExtraSpare, 0, maxSpare)
+	report.FloatRange("extraWindowSeconds", g.ExtraWindowSeconds, 1, maxGrace)
+	report.FloatRange("coldShare", g.ColdShare, 0, maxShare)
+	report.FloatRange("coldSpare", g.ColdSpare, 0, maxSpare)
+	report.FloatRange("rolloutShare", g.RolloutShare, 0, 1)
+	report.FloatRange("rolloutSpare", g.RolloutSpare, 0, maxSpare)
 }
--- a/internal/conf/config/step.go
+++ b/internal/conf/config/step.go
@@ -127,7 +127,7 @@
 	}
 	address, err := netip.ParseAddrPort(p.Operators)
 	open := p.OperatorsTLS.CAFile == "" && len(p.OperatorTokenHashes) == 0
-	if open && err == nil && (p.OperatorsTLS.Set() || !address.Addr().IsLoopback()) {
+	if open && err == nil && (p.OperatorsTLS.IsSet() || !address.Addr().IsLoopback()) {
 		report.Add("operatorTokenHashes", "", "at least one entry, unless operatorsTls.caFile is set: otherwise anyone could read this process")
 	}
 }
@@ -250,13 +250,13 @@
 		report.Add(path, value, "IP:PORT with an IP number")
 		return
 	}
-	if !tls.Set() && !address.Addr().IsLoopback() && !allowPlain {
+	if !tls.IsSet() && !address.Addr().IsLoopback() && !allowPlain {
 		report.Add(path, value, "a loopback address, or any with TLS files or with allowPlain")
 	}
 }
 
 func checkMutual(report *step.Report, path string, tls TLS) {
-	if !tls.Set() {
+	if !tls.IsSet() {
 		return
 	}
 	checkFile(report, path+".certFile", tls.CertFile)
@@ -265,7 +265,7 @@
 }
 
 func checkServerTLS(report *step.Report, path string, tls TLS) {
-	if !tls.Set() {
+	if !tls.IsSet() {
 		return
 	}
 	checkFile(report, path+".certFile", tls.CertFile)
@@ -276,7 +276,7 @@
 }
 
 func checkClientTLS(report *step.Report, path string, tls TLS, url string) {
-	if !tls.Set() {
+	if !tls.IsSet() {
 		return
 	}
 	if !strings.HasPrefix(url, "https://") {
--- a/internal/conf/delta/delta.go
+++ b/internal/conf/delta/delta.go
@@ -91,7 +91,7 @@
 		return
 	}
 	if !reflect.DeepEqual(from, to) {
-		c.add(path, from, to)
+		c.addChange(path, from, to)
 	}
 }
 
@@ -126,12 +126,12 @@
 		if j := slices.Index(right, name); j >= 0 {
 			c.compare(at, from[i], to[j])
 		} else {
-			c.add(at, from[i], nil)
+			c.addChange(at, from[i], nil)
 		}
 	}
 	for j, name := range right {
 		if !slices.Contains(left, name) {
-			c.add(path+"["+name+"]", nil, to[j])
+			c.addChange(path+"["+name+"]", nil, to[j])
 		}
 	}
 	c.order(path, left, right)
@@ -147,11 +147,11 @@
 	}
 	before, after := both(left, right), both(right, left)
 	if !slices.Equal(before, after) {
-		c.add(path+" order", before, after)
+		c.addChange(path+" order", before, after)
 	}
 }
 
-func (c *comparison) add(path string, from, to any) {
+func (c *comparison) addChange(path string, from, to any) {
 	change := Change{Path: path, Kind: Changed, From: encode(from), To: encode(to)}
 	switch {
 	case from == nil:
--- a/internal/conf/layer/layer.go
+++ b/internal/conf/layer/layer.go
@@ -116,7 +116,7 @@
 	if err := report.Err(); err != nil {
 		return nil, err
 	}
-	step.Default(steps, settings)
+	step.ApplyDefaults(steps, settings)
 	if err := step.Check(steps, settings); err != nil {
 		return nil, err
 	}
--- a/internal/conf/manif/bound.go
+++ b/internal/conf/manif/bound.go
@@ -14,7 +14,7 @@
 	MaxModels         = 64
 	MaxAdapters       = 64
 	MaxTokens         = 16
-	MaxPath           = 256
+	MaxPathBytes      = 256
 	MaxCost           = 1_000_000_000
 	MaxLimit          = 100_000
 	MaxWeight         = 1_000
--- a/internal/conf/schema/page.go
+++ b/internal/conf/schema/page.go
@@ -48,7 +48,7 @@
 }
 
 func table(page *bytes.Buffer, root, title string, file File, fields []layer.Field) error {
-	schema, err := Make(root, file)
+	schema, err := Generate(root, file)
 	if err != nil {
 		return err
 	}
--- a/internal/conf/schema/schema.go
+++ b/internal/conf/schema/schema.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Make returns the bytes of a schema. The comments of the structs are read from
+// Generate returns the bytes of a schema. It reads the comments of the structs from
 // the source below root.
-func Make(root string, file File) ([]byte, error) {
+func Generate(root string, file File) ([]byte, error) {
 	reflector := jsonschema.Reflector{ExpandedStruct: true}
 	if err := addComments(&reflector, root); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 // Write writes every schema, and the page of the settings, below root.
 func Write(root string) error {
 	for _, file := range Files() {
-		raw, err := Make(root, file)
+		raw, err := Generate(root, file)
 		if err != nil {
 			return err
 		}
--- a/internal/conf/schema/schema_test.go
+++ b/internal/conf/schema/schema_test.go
@@ -21,7 +21,7 @@
 func TestCommittedSchemasAgreeWithTheStructs(t *testing.T) {
 	for _, file := range schema.Files() {
 		t.Run(file.Path, func(t *testing.T) {
-			want, err := schema.Make(root, file)
+			want, err := schema.Generate(root, file)
 			assert.NilError(t, err)
 			got, err := os.ReadFile(filepath.Join(root, file.Path))
 			assert.NilError(t, err)
--- a/internal/conf/step/step.go
+++ b/internal/conf/step/step.go
@@ -19,8 +19,8 @@
 	Check func(doc *T, report *Report)
 }
 
-// Default runs the defaults of all steps in order.
-func Default[T any](steps []Step[T], doc *T) {
+// ApplyDefaults runs the defaults of all steps in order.
+func ApplyDefaults[T any](steps []Step[T], doc *T) {
 	for _, s := range steps {
 		if s.Default != nil {
 			s.Default(doc)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Between adds a fault unless a number lies within two bounds.
-func (r *Report) Between(path string, value, least, most float64) {
+// FloatRange adds a fault unless a number lies within two bounds.
+func (r *Report) FloatRange(path string, value, least, most float64) {
 	if !(value >= least && value <= most) {
 		r.Add(path, fmt.Sprint(value), fmt.Sprintf("%v to %v", least, most))
 	}
--- a/internal/conf/table/table.go
+++ b/internal/conf/table/table.go
@@ -57,8 +57,8 @@
 	Timeout clock.Millis
 	// Objective is the time within which an answer is worth most.
 	Objective clock.Millis
-	// Gap is the longest pause between two events of a stream that is on time.
-	Gap clock.Millis
+	// MaxGap is the longest pause between two events of a stream that is on time.
+	MaxGap clock.Millis
 	// Priority ranks routes; 0 goes first.
 	Priority int
 	// Attempts is the largest number of endpoints that a request is sent to.
@@ -121,10 +121,10 @@
 	CallTime clock.Millis
 	// PieceTime is what one piece adds to it, in milliseconds; it differs by stage.
 	PieceTime float64
-	// Room is the memory for results, in bytes.
-	Room int64
-	// Keep is how long a result outlives its call.
-	Keep clock.Millis
+	// ResultMemory is the memory for results, in bytes.
+	ResultMemory int64
+	// Retention is how long a result outlives its call.
+	Retention clock.Millis
 }
 
 // Pool is one service and what each of its endpoints bears.
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -105,7 +105,7 @@
 		shards = append(shards, q)
 	}
 	q := reach.Merge(shards)
-	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.Room
+	q.Bounds, q.ResultMemory = batch.BoundsOf(batching), batching.ResultMemory
 	q.PendingArrivals = inflow.AddClasses(g.arrivals.PoolPieces(name, g.Clock.Now()), g.mesh.PendingArrivals(name))
 	return q
 }
@@ -114,7 +114,7 @@
 // else from the owner's last report. If there is no report yet, known is false.
 func (g *Gate) shardQueue(shard *view.Shard, batching *table.Batching) (q *reach.Queue, known bool) {
 	load, staleness, known := g.shardLoad(shard)
-	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.Room}
+	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.ResultMemory}
 	if known {
 		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.Fill, load.Waiting
 		q.Staleness = float64(staleness)
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -309,7 +309,7 @@
 		return
 	}
 	stored := memory.Result{Reference: result.Reference, Bytes: item.Group.ResultBytes}
-	e.memory.Add(stored, now+pool.Keep)
+	e.memory.Add(stored, now+pool.Retention)
 	if job.ended {
 		e.memory.MarkUnused(stored)
 		return
--- a/internal/serve/host/engines.go
+++ b/internal/serve/host/engines.go
@@ -36,7 +36,7 @@
 
 // limitsOf returns the limits of the result memory of a pool's engines.
 func limitsOf(pool *table.Batching) memory.Limits {
-	return memory.Limits{Capacity: pool.Room, Retention: pool.Keep}
+	return memory.Limits{Capacity: pool.ResultMemory, Retention: pool.Retention}
 }
 
 // engine returns the engine of an endpoint and creates it if necessary. It returns
--- a/internal/serve/host/host_test.go
+++ b/internal/serve/host/host_test.go
@@ -147,7 +147,7 @@
 	h := &testHost{t: t}
 	h.retries.Store(100)
 	routes := table.New(table.Content{Pools: []table.Pool{{
-		Name: pool, Batching: &table.Batching{Calls: 1, Queue: 2, Pieces: 4, CallTime: callTime, PieceTime: 1, Room: 1000, Keep: 4000},
+		Name: pool, Batching: &table.Batching{Calls: 1, Queue: 2, Pieces: 4, CallTime: callTime, PieceTime: 1, ResultMemory: 1000, Retention: 4000},
 	}}})
 	endpoints := view.New()
 	var entries []view.Entry
