--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -1,105 +1,105 @@
-// Package config holds the settings of the daemons: one plain struct each,
-// read from a JSON file, the environment and flags, in this order of growing
-// precedence. Unlike the manifest, settings differ from host to host and take
-// effect only at the start of a process.
+// Package config defines the settings of the daemons, one struct for each daemon.
+// They are read from a JSON file, the environment and flags, in order of increasing
+// precedence. Unlike the manifest, settings can differ between hosts, and they take
+// effect only when a process starts.
 package config
 
 import "github.com/jujubescale/jujubescale/internal/base/clock"
 
-// TLS names the PEM files of one kind of connections. Files that are replaced
+// TLS holds the paths of the PEM files for one kind of connection. Replaced files
 // are read again without a restart.
 type TLS struct {
-	// CertFile holds the certificate chain that this process shows.
+	// CertFile contains the certificate chain that this process presents.
 	CertFile string `json:"certFile,omitempty"`
-	// KeyFile holds the key of the certificate.
+	// KeyFile contains the private key of the certificate.
 	KeyFile string `json:"keyFile,omitempty"`
-	// CAFile holds the authorities whose certificates the other end must show.
+	// CAFile contains the certificate authorities that must have signed the certificate of the other side.
 	CAFile string `json:"caFile,omitempty"`
 }
 
-// IsSet reports whether any file is named.
+// IsSet reports whether the path of any file is set.
 func (t TLS) IsSet() bool { return t != TLS{} }
 
-// Process is what both daemons need to know.
+// Process holds the settings that all daemons have in common.
 type Process struct {
-	// Process is the name of this process, unique in the deployment.
+	// Process is the name of this process; it is unique in the deployment.
 	Process string `json:"process" jsonschema:"pattern=^[A-Za-z0-9][A-Za-z0-9._:-]{0\\,126}$"`
-	// Host is the name of the host as in the platform's list; the process name when absent.
+	// Host is the name of the host in the platform's list of hosts; the default is the name of the process.
 	Host string `json:"host,omitempty"`
 	// AvailabilityZone of the host.
 	AvailabilityZone string `json:"availabilityZone" jsonschema:"pattern=^[a-z][a-z0-9-]{0\\,62}$"`
 	// PlatformURL is the base URL of the platform's object API.
 	PlatformURL string `json:"platformUrl"`
-	// PlatformTLS is for an https platform: caFile says who may sign its certificate, certFile and keyFile what is shown to it.
+	// PlatformTLS applies if platformUrl is an https URL: caFile contains the authorities that may sign the platform's certificate, certFile and keyFile the client certificate that this process presents.
 	PlatformTLS TLS `json:"platformTls,omitzero"`
-	// Operators is the address (IP:port) of the operators' port.
+	// Operators is the address (IP:port) on which this process serves operators.
 	Operators string `json:"operators"`
-	// OperatorsTLS is for the operators' port: with caFile an operator must show a certificate.
+	// OperatorsTLS applies to the operators' port; with caFile, operators must present a client certificate.
 	OperatorsTLS TLS `json:"operatorsTls,omitzero"`
-	// OperatorTokenHashes are SHA-256 hashes of bearer tokens in hexadecimal; with any, an operator must show a token.
+	// OperatorTokenHashes are SHA-256 hashes of bearer tokens, in hexadecimal; if there are any, operators must send one of the tokens.
 	OperatorTokenHashes []string `json:"operatorTokenHashes,omitempty" jsonschema:"maxItems=64"`
-	// ProcessesTLS is for sessions between entries and agents; both sides show certificates.
+	// ProcessesTLS applies to sessions between processes of the deployment; both sides present certificates.
 	ProcessesTLS TLS `json:"processesTls,omitzero"`
-	// AllowPlain lets ports on other addresses than loopback do without TLS, for networks that encrypt by themselves.
+	// AllowPlain allows ports without TLS on addresses other than loopback, for networks that encrypt the traffic themselves.
 	AllowPlain bool `json:"allowPlain,omitempty"`
-	// LogLevel is the least level that is logged: debug, info, warn or error.
+	// LogLevel is the lowest level that is logged: debug, info, warn or error.
 	LogLevel string `json:"logLevel,omitempty" jsonschema:"enum=debug,enum=info,enum=warn,enum=error,default=info"`
-	// PlatformCalls is how many calls a second this process may make to the platform; a large fleet stays below by itself, since all entries together make at most 500.
+	// PlatformCalls is the maximum number of calls per second from this process to the platform; in a large fleet the actual rate is lower, because all entries together make at most 500 calls per second.
 	PlatformCalls int `json:"platformCalls,omitempty" jsonschema:"minimum=0,maximum=10000,default=200"`
-	// DrainMs is the longest time that a planned stop may take, in milliseconds.
+	// DrainMs is the maximum duration of a planned stop, in milliseconds.
 	DrainMs clock.Millis `json:"drainMs,omitempty" jsonschema:"minimum=0,maximum=3600000,default=30000"`
 }
 
-// Entry is the settings of jujubed entry.
+// Entry holds the settings of jujubed entry.
 type Entry struct {
 	Process
-	// Callers is the address (IP:port) that callers reach, mostly through the balancer.
+	// Callers is the address (IP:port) on which this process accepts callers, usually through the balancer.
 	Callers string `json:"callers"`
-	// Sessions is the address (IP:port) that other entries reach to share the configuration; without it only the platform and agents show a newer one.
+	// Sessions is the address (IP:port) on which other entries connect to share the configuration; without it, this process gets newer configurations only from the platform and from agents.
 	Sessions string `json:"sessions,omitempty"`
-	// Peers are addresses (IP:port) of other entries' sessions, which a start asks besides the platform and when the platform can't be used.
+	// Peers are session addresses (IP:port) of other entries; at its start, this process requests the configuration from them as well as from the platform, so that it can start while the platform is unreachable.
 	Peers []string `json:"peers,omitempty" jsonschema:"maxItems=64"`
-	// CallersTLS is for callers; with caFile a caller must show a certificate besides its token.
+	// CallersTLS applies to the callers' port; with caFile, callers must present a client certificate in addition to their token.
 	CallersTLS TLS `json:"callersTls,omitzero"`
-	// BalancerIdleMs is the time after which the balancer closes its idle connections to this process, in milliseconds.
+	// BalancerIdleMs is the idle timeout of the balancer for its connections to this process, in milliseconds.
 	BalancerIdleMs clock.Millis `json:"balancerIdleMs,omitempty" jsonschema:"minimum=0,maximum=3600000,default=60000"`
-	// CallersIdleMs is the time after which this process closes callers' idle connections, in milliseconds; above balancerIdleMs.
+	// CallersIdleMs is the idle timeout of this process for connections of callers, in milliseconds; it must be longer than balancerIdleMs.
 	CallersIdleMs clock.Millis `json:"callersIdleMs,omitempty" jsonschema:"minimum=0,maximum=3600000,default=75000"`
-	// BalancerLagMs is how long the balancer may go on sending new work after this process says that it leaves, in milliseconds.
+	// BalancerLagMs is the maximum time for which the balancer still sends new requests after this process has announced its planned stop, in milliseconds.
 	BalancerLagMs clock.Millis `json:"balancerLagMs,omitempty" jsonschema:"minimum=0,maximum=600000,default=3000"`
-	// HeaderMs is the time within which a caller must send its headers, in milliseconds.
+	// HeaderMs is the time limit for receiving the headers of a request, in milliseconds.
 	HeaderMs clock.Millis `json:"headerMs,omitempty" jsonschema:"minimum=0,maximum=600000,default=5000"`
-	// MaxBodyBytes bounds the body of a caller's request.
+	// MaxBodyBytes is the maximum size of a request body, in bytes.
 	MaxBodyBytes int64 `json:"maxBodyBytes,omitempty" jsonschema:"minimum=0,maximum=3145728,default=1048576"`
-	// MaxHeaderBytes bounds the headers of a caller's request.
+	// MaxHeaderBytes is the maximum size of the headers of a request, in bytes.
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitempty" jsonschema:"minimum=0,maximum=1048576,default=16384"`
-	// MaxOpen bounds the open requests of all callers.
+	// MaxOpen is the maximum number of open requests of all callers together.
 	MaxOpen int `json:"maxOpen,omitempty" jsonschema:"minimum=0,maximum=1000000,default=10000"`
-	// MaxConnections bounds the open connections of callers.
+	// MaxConnections is the maximum number of open connections of callers.
 	MaxConnections int `json:"maxConnections,omitempty" jsonschema:"minimum=0,maximum=1000000,default=20000"`
 }
 
-// Agent is the settings of jujubed agent.
+// Agent holds the settings of jujubed agent.
 type Agent struct {
 	Process
-	// Sessions is the address (IP:port) that entries reach.
+	// Sessions is the address (IP:port) on which entries connect.
 	Sessions string `json:"sessions"`
-	// Pool that the endpoint belongs to, as in the manifest.
+	// Pool is the name of the endpoint's pool in the manifest.
 	Pool string `json:"pool" jsonschema:"pattern=^[a-z][a-z0-9-]{0\\,62}$"`
-	// Endpoint is the name of the endpoint beside this process, unique in its pool.
+	// Endpoint is the name of the endpoint that this process serves; it is unique in its pool.
 	Endpoint string `json:"endpoint" jsonschema:"pattern=^[A-Za-z0-9][A-Za-z0-9._:-]{0\\,126}$"`
 	// Kind of the endpoint: encode, retrieve, rerank, generate or plain.
 	Kind string `json:"kind" jsonschema:"enum=encode,enum=retrieve,enum=rerank,enum=generate,enum=plain"`
-	// EndpointURL is the base URL of the endpoint, in plain HTTP because it stands on the same host.
+	// EndpointURL is the base URL of the endpoint; it uses plain HTTP because the endpoint runs on the same host.
 	EndpointURL string `json:"endpointUrl"`
-	// EndpointIdleMs is the time after which the endpoint closes its idle connections, in milliseconds.
+	// EndpointIdleMs is the idle timeout of the endpoint for connections, in milliseconds.
 	EndpointIdleMs clock.Millis `json:"endpointIdleMs,omitempty" jsonschema:"minimum=0,maximum=3600000,default=60000"`
-	// EndpointKeepMs is the time after which this process closes its idle connections to the endpoint, in milliseconds; below endpointIdleMs.
+	// EndpointKeepMs is the idle timeout of this process for connections to the endpoint, in milliseconds; it must be shorter than endpointIdleMs.
 	EndpointKeepMs clock.Millis `json:"endpointKeepMs,omitempty" jsonschema:"minimum=0,maximum=3600000,default=30000"`
-	// MaxSessions bounds the sessions of entries.
+	// MaxSessions is the maximum number of sessions of entries.
 	MaxSessions int `json:"maxSessions,omitempty" jsonschema:"minimum=0,maximum=100000,default=2000"`
-	// MaxQueued bounds the calls that wait for the endpoint.
+	// MaxQueued is the maximum number of calls queued for the endpoint.
 	MaxQueued int `json:"maxQueued,omitempty" jsonschema:"minimum=0,maximum=100000,default=64"`
-	// MaxKeptBytes bounds the memory for results that no entry has acknowledged yet.
+	// MaxKeptBytes is the maximum memory for results that no entry has acknowledged yet, in bytes.
 	MaxKeptBytes int64 `json:"maxKeptBytes,omitempty" jsonschema:"minimum=0,maximum=4294967296,default=16777216"`
 }
--- a/internal/conf/config/config_test.go
+++ b/internal/conf/config/config_test.go
@@ -45,7 +45,7 @@
 	assert.Equal(t, a.EndpointKeepMs, 30*clock.Second)
 }
 
-func TestDefaultsAreThoseOfTheSchema(t *testing.T) {
+func TestDefaultsMatchSchema(t *testing.T) {
 	e, err := load(t, entryFile, config.EntrySteps())
 	assert.NilError(t, err)
 	a, err := load(t, agentFile, config.AgentSteps())
@@ -54,16 +54,16 @@
 	assertDefaults(t, a, config.AgentSchema())
 }
 
-// assertDefaults sets each default of the schema as a flag and expects that
-// nothing changes.
+// assertDefaults sets each default of the schema as a flag and asserts that the
+// settings don't change.
 func assertDefaults[T any](t *testing.T, filled *T, schema []byte) {
 	t.Helper()
 	var flags []layer.Value
 	for _, field := range layer.Fields[T]() {
-		description, fallback := config.Usage(schema, field.Path)
+		description, defaultValue := config.Usage(schema, field.Path)
 		assert.Assert(t, description != "", field.Path)
-		if fallback != "" {
-			flags = append(flags, layer.Value{Flag: field.Flag, Text: fallback})
+		if defaultValue != "" {
+			flags = append(flags, layer.Value{Flag: field.Flag, Text: defaultValue})
 		}
 	}
 	assert.Assert(t, len(flags) >= 7)
@@ -72,30 +72,30 @@
 	assert.DeepEqual(t, *filled, before)
 }
 
-// The fault tables set one flag each on settings that are right otherwise.
+// Each case sets one flag on settings that are valid otherwise.
 func TestEntryFaults(t *testing.T) {
 	cases := map[string]struct{ flag, text, path, allowed string }{
-		"process name":            {"process", "-", "process", "a letter or digit"},
-		"host name":               {"host", "a b", "host", "a letter or digit"},
-		"zone":                    {"availability-zone", "Z", "availabilityZone", "a lower-case letter"},
-		"platform URL":            {"platform-url", "127.0.0.1:1", "platformUrl", "http://HOST:PORT"},
-		"log level":               {"log-level", "loud", "logLevel", "one of debug"},
-		"host name as address":    {"callers", "localhost:80", "callers", "an IP number"},
-		"plain on other address":  {"callers", "10.0.0.1:80", "callers", "loopback"},
-		"operators on other":      {"operators", "10.0.0.1:80", "operators", "loopback"},
-		"token instead of hash":   {"operator-token-hashes", "secret", "operatorTokenHashes[0]", "SHA-256"},
-		"drain below lag":         {"balancer-lag-ms", "30000", "drainMs", "more than balancerLagMs"},
-		"idle below balancer":     {"callers-idle-ms", "60000", "callersIdleMs", "61000"},
-		"body":                    {"max-body-bytes", "9999999", "maxBodyBytes", "1 to 3145728"},
-		"open":                    {"max-open", "-1", "maxOpen", "1 to"},
-		"headers":                 {"max-header-bytes", "-1", "maxHeaderBytes", "1 to"},
-		"header time":             {"header-ms", "-1", "headerMs", "1 to"},
-		"connections":             {"max-connections", "-1", "maxConnections", "1 to"},
-		"sessions without TLS":    {"sessions", "10.0.0.1:80", "sessions", "loopback"},
-		"peer by name":            {"peers", "entry-2:80", "peers[0]", "an IP number"},
-		"missing key file":        {"callers-tls-cert-file", "/nowhere", "callersTls.certFile", "a file that exists"},
-		"missing CA":              {"processes-tls-cert-file", "/nowhere", "processesTls.caFile", "a file that exists"},
-		"platform TLS without it": {"platform-tls-ca-file", "/nowhere", "platformTls", "not https"},
+		"process name":             {"process", "-", "process", "a letter or digit"},
+		"host name":                {"host", "a b", "host", "a letter or digit"},
+		"zone":                     {"availability-zone", "Z", "availabilityZone", "a lower-case letter"},
+		"platform URL":             {"platform-url", "127.0.0.1:1", "platformUrl", "http://HOST:PORT"},
+		"log level":                {"log-level", "loud", "logLevel", "one of debug"},
+		"host name as address":     {"callers", "localhost:80", "callers", "a numeric IP address"},
+		"callers without TLS":      {"callers", "10.0.0.1:80", "callers", "loopback"},
+		"operators without TLS":    {"operators", "10.0.0.1:80", "operators", "loopback"},
+		"token instead of hash":    {"operator-token-hashes", "secret", "operatorTokenHashes[0]", "SHA-256"},
+		"drain below lag":          {"balancer-lag-ms", "30000", "drainMs", "more than balancerLagMs"},
+		"idle below balancer":      {"callers-idle-ms", "60000", "callersIdleMs", "61000"},
+		"body":                     {"max-body-bytes", "9999999", "maxBodyBytes", "1 to 3145728"},
+		"open requests":            {"max-open", "-1", "maxOpen", "1 to"},
+		"headers":                  {"max-header-bytes", "-1", "maxHeaderBytes", "1 to"},
+		"header timeout":           {"header-ms", "-1", "headerMs", "1 to"},
+		"connections":              {"max-connections", "-1", "maxConnections", "1 to"},
+		"sessions without TLS":     {"sessions", "10.0.0.1:80", "sessions", "loopback"},
+		"peer by name":             {"peers", "entry-2:80", "peers[0]", "a numeric IP address"},
+		"missing key file":         {"callers-tls-cert-file", "/nowhere", "callersTls.certFile", "a file that exists"},
+		"missing CA":               {"processes-tls-cert-file", "/nowhere", "processesTls.caFile", "a file that exists"},
+		"TLS files, http platform": {"platform-tls-ca-file", "/nowhere", "platformTls", "not https"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,16 +107,16 @@
 
 func TestAgentFaults(t *testing.T) {
 	cases := map[string]struct{ flag, text, path, allowed string }{
-		"pool":                   {"pool", "", "pool", "a lower-case letter"},
-		"endpoint":               {"endpoint", "", "endpoint", "a letter or digit"},
-		"kind":                   {"kind", "engine", "kind", "one of encode"},
-		"endpoint URL":           {"endpoint-url", "ftp://x", "endpointUrl", "http://HOST:PORT"},
-		"sessions on other":      {"sessions", "10.0.0.1:80", "sessions", "loopback"},
-		"keep above endpoint's":  {"endpoint-keep-ms", "60000", "endpointKeepMs", "1 to 59000"},
-		"endpoint idle too tiny": {"endpoint-idle-ms", "1000", "endpointIdleMs", "2000 to"},
-		"sessions":               {"max-sessions", "-1", "maxSessions", "1 to"},
-		"queue":                  {"max-queued", "-1", "maxQueued", "1 to"},
-		"kept":                   {"max-kept-bytes", "-1", "maxKeptBytes", "1 to"},
+		"pool":                     {"pool", "", "pool", "a lower-case letter"},
+		"endpoint":                 {"endpoint", "", "endpoint", "a letter or digit"},
+		"kind":                     {"kind", "engine", "kind", "one of encode"},
+		"endpoint URL":             {"endpoint-url", "ftp://x", "endpointUrl", "http://HOST:PORT"},
+		"sessions without TLS":     {"sessions", "10.0.0.1:80", "sessions", "loopback"},
+		"keep above endpoint idle": {"endpoint-keep-ms", "60000", "endpointKeepMs", "1 to 59000"},
+		"endpoint idle too short":  {"endpoint-idle-ms", "1000", "endpointIdleMs", "2000 to"},
+		"sessions":                 {"max-sessions", "-1", "maxSessions", "1 to"},
+		"queue":                    {"max-queued", "-1", "maxQueued", "1 to"},
+		"kept results":             {"max-kept-bytes", "-1", "maxKeptBytes", "1 to"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -126,9 +126,9 @@
 	}
 }
 
-// An operators' port that others can reach would let anyone read the process
-// and look up requests, if neither certificates nor tokens were asked for.
-func TestOperatorsPortIsNeverOpenToOthers(t *testing.T) {
+// Without certificates and tokens, anyone who can connect to an operators' port on a
+// non-loopback address could read the state of the process and look up requests.
+func TestReachableOperatorsPortNeedsAuthentication(t *testing.T) {
 	_, err := load(t, entryFile, config.EntrySteps(),
 		layer.Value{Flag: "operators", Text: "10.0.0.1:80"}, layer.Value{Flag: "allow-plain", Text: "true"})
 	assertFault(t, err, "operatorTokenHashes", "at least one entry")
--- a/internal/conf/config/fuzz_test.go
+++ b/internal/conf/config/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// Whatever bytes a settings file holds, it is either refused with a list of
-// faults or makes settings that keep the idle timeouts apart.
+// Any content of a settings file is either refused with a list of faults or gives
+// settings in which the idle timeout for callers is longer than the balancer's.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{entryFile, agentFile, "", "{}", `{"process": 1}`, `{"operatorsTls": {"certFile": []}}`} {
 		f.Add([]byte(seed))
--- a/internal/conf/config/gateway.go
+++ b/internal/conf/config/gateway.go
@@ -1,7 +1,7 @@
 package config
 
 import (
-	_ "embed" // the schema holds the words that explain each setting
+	_ "embed" // the schema contains the description of each setting
 
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 	"github.com/jujubescale/jujubescale/internal/conf/step"
@@ -13,69 +13,70 @@
 // GatewaySchema returns the JSON schema of a gateway's settings.
 func GatewaySchema() []byte { return gatewaySchema }
 
-// Gateway is the settings of jujubed gateway.
+// Gateway holds the settings of jujubed gateway.
 type Gateway struct {
 	Process
-	// Callers is the address (IP:port) that the balancer sends callers to.
+	// Callers is the address (IP:port) to which the balancer sends the requests of callers.
 	Callers string `json:"callers"`
-	// Ready is the address (IP:port) where the balancer asks whether this process takes callers.
+	// Ready is the address (IP:port) of the health check with which the balancer finds out whether this process accepts callers.
 	Ready string `json:"ready"`
-	// Sessions is the address (IP:port) that other gateways reach.
+	// Sessions is the address (IP:port) on which other gateways connect.
 	Sessions string `json:"sessions"`
-	// Metrics is the address (IP:port) where anybody may read the metrics; without it they are on the operators' port only.
+	// Metrics is the address (IP:port) on which the metrics are served without authentication; without it, they are served only on the operators' port.
 	Metrics string `json:"metrics,omitempty"`
-	// GraceSeconds is the time after SIGTERM at which this process is killed, in seconds.
+	// GraceSeconds is the time between SIGTERM and the kill of this process, in seconds.
 	GraceSeconds float64 `json:"graceSeconds,omitempty" jsonschema:"minimum=0,maximum=3600,default=8"`
-	// BalancerLagMs is how long the balancer may go on sending new connections after this process says that it leaves, in milliseconds.
+	// BalancerLagMs is the maximum time for which the balancer still opens new connections after this process has announced its planned stop, in milliseconds.
 	BalancerLagMs clock.Millis `json:"balancerLagMs,omitempty" jsonschema:"minimum=0,maximum=600000,default=2200"`
-	// MemoryMb is the memory beyond which this process is killed, in megabytes; 0 sets no bound.
+	// MemoryMb is the memory limit above which this process is killed, in megabytes; 0 means no limit.
 	MemoryMb float64 `json:"memoryMb,omitempty" jsonschema:"minimum=0,maximum=1000000"`
-	// ProcessorShare is the part of a processor that this process may use, 1 for a whole one. The owners of pools are chosen among the processes with the largest.
+	// ProcessorShare is the fraction of a processor that this process may use; 1 is one processor. The owners of pools are chosen from the processes with the largest share.
 	ProcessorShare float64 `json:"processorShare,omitempty" jsonschema:"minimum=0,maximum=10000,default=1"`
-	// ChangeMs is the time within which a change in the platform's store must be in force here, in milliseconds. The longer it is, the fewer calls the processes make.
+	// ChangeMs is the maximum time until a change in the platform's store takes effect in this process, in milliseconds. With a longer time the processes make fewer calls to the platform.
 	ChangeMs clock.Millis `json:"changeMs,omitempty" jsonschema:"minimum=1000,maximum=60000,default=2000"`
-	// LeaveMs is the time after which an endpoint that leaves gets nothing more, in milliseconds.
+	// LeaveMs is the maximum time until an endpoint that is leaving gets no more requests, in milliseconds.
 	LeaveMs clock.Millis `json:"leaveMs,omitempty" jsonschema:"minimum=1000,maximum=60000,default=2000"`
-	// MaxFds is the number of descriptors that this process may open; it bounds the callers' connections.
+	// MaxFds is the maximum number of open file descriptors of this process; it limits the number of connections of callers.
 	MaxFds int `json:"maxFds,omitempty" jsonschema:"minimum=0,maximum=10000000,default=4096"`
-	// ExtraShare is the part of a pool's requests that all processes together may send once more.
+	// ExtraShare is the number of repeated requests (retries and hedges) that all processes together may send, as a fraction of the requests of a pool.
 	ExtraShare float64 `json:"extraShare,omitempty" jsonschema:"minimum=0,maximum=10,default=0.2"`
-	// ExtraSpare is how many requests they may send once more besides.
+	// ExtraSpare is the number of further repeated requests that they may send in each span of extraWindowSeconds, independent of the number of requests.
 	ExtraSpare float64 `json:"extraSpare,omitempty" jsonschema:"minimum=0,maximum=1000000,default=20"`
-	// ExtraWindowSeconds is the span within which ExtraSpare may be spent.
+	// ExtraWindowSeconds is the span to which extraSpare applies, in seconds.
 	ExtraWindowSeconds float64 `json:"extraWindowSeconds,omitempty" jsonschema:"minimum=0,maximum=3600,default=10"`
-	// ColdShare is how many times the rate of a cold endpoint may be reached in one second.
+	// ColdShare is the maximum number of requests to a cold endpoint in one second, as a multiple of its rate.
 	ColdShare float64 `json:"coldShare,omitempty" jsonschema:"minimum=0,maximum=100,default=1"`
-	// ColdSpare is how many requests a cold endpoint may get in one second besides.
+	// ColdSpare is the number of further requests that a cold endpoint may get in one second.
 	ColdSpare float64 `json:"coldSpare,omitempty" jsonschema:"minimum=0,maximum=1000000,default=0"`
-	// Rollouts has endpoints get work by their version, and operators' orders carried out that a pool go to another version. Without it, versions don't matter.
+	// Rollouts enables the choice of endpoints by version and the rollouts that operators order, which move a pool to another version. Otherwise versions are ignored.
 	Rollouts bool `json:"rollouts,omitempty"`
-	// RolloutShare is the part of a pool's requests that a new version may get between the order and its deadline.
+	// RolloutShare is the fraction of a pool's requests that the new version may get between the order of a rollout and its deadline.
 	RolloutShare float64 `json:"rolloutShare,omitempty" jsonschema:"minimum=0,maximum=1,default=0.1"`
-	// RolloutSpare is how many requests a new version may get besides.
+	// RolloutSpare is the number of further requests that the new version may get.
 	RolloutSpare float64 `json:"rolloutSpare,omitempty" jsonschema:"minimum=0,maximum=1000000,default=0"`
 }
 
 // Defaults and bounds of a gateway's settings.
 const (
 	defaultGrace = 8.0
-	// defaultGateLag is two checks of the balancer, a second apart, and a margin.
-	defaultGateLag    = 2200 * clock.Millis(1)
-	defaultChange     = 2 * clock.Second
-	defaultMaxFds     = 4096
-	defaultExtraShare = 0.2
-	defaultExtraSpare = 20.0
-	defaultWindow     = 10.0
-	defaultColdShare  = 1.0
-	defaultRollout    = 0.1
-	maxGrace          = 3600.0
-	maxShare          = 100.0
-	maxProcessors     = 10000.0
-	leastChange       = clock.Second
-	maxChange         = clock.Minute
-	maxSpare          = 1e6
-	// leastFds leaves callers a few connections besides files and endpoints.
-	leastFds = 256
+	// defaultGatewayLag covers two health checks of the balancer, one second apart, and a margin.
+	defaultGatewayLag   = 2200 * clock.Millis(1)
+	defaultChange       = 2 * clock.Second
+	defaultMaxFds       = 4096
+	defaultExtraShare   = 0.2
+	defaultExtraSpare   = 20.0
+	defaultExtraWindow  = 10.0
+	defaultColdShare    = 1.0
+	defaultRolloutShare = 0.1
+	maxGrace            = 3600.0
+	maxShare            = 100.0
+	maxProcessors       = 10000.0
+	minChange           = clock.Second
+	maxChange           = clock.Minute
+	maxSpare            = 1e6
+	// minFds allows a few connections of callers in addition to files and connections
+	// to endpoints.
+	minFds = 256
 )
 
 // GatewaySteps returns the defaults and checks of a gateway's settings.
@@ -101,15 +102,15 @@
 
 func defaultGatewayStop(g *Gateway) {
 	fill(&g.GraceSeconds, defaultGrace)
-	fill(&g.BalancerLagMs, min(defaultGateLag, clock.Millis(g.GraceSeconds*float64(clock.Second)/2)))
+	fill(&g.BalancerLagMs, min(defaultGatewayLag, clock.Millis(g.GraceSeconds*float64(clock.Second)/2)))
 }
 
-// checkGatewayStop lets a planned stop outlast the time in which the balancer
-// still sends new connections; their requests would be cut otherwise.
+// checkGatewayStop checks that a planned stop lasts longer than the time for which
+// the balancer still opens new connections. Otherwise their requests would be cut.
 func checkGatewayStop(g *Gateway, report *step.Report) {
 	report.FloatRange("graceSeconds", g.GraceSeconds, 0.1, maxGrace)
-	most := int64(g.GraceSeconds * float64(clock.Second))
-	report.Range("balancerLagMs", int64(g.BalancerLagMs), 1, max(most-1, 1))
+	maxLag := int64(g.GraceSeconds * float64(clock.Second))
+	report.Range("balancerLagMs", int64(g.BalancerLagMs), 1, max(maxLag-1, 1))
 }
 
 func defaultGatewayBounds(g *Gateway) {
@@ -119,17 +120,17 @@
 	fill(&g.LeaveMs, defaultChange)
 	fill(&g.ExtraShare, defaultExtraShare)
 	fill(&g.ExtraSpare, defaultExtraSpare)
-	fill(&g.ExtraWindowSeconds, defaultWindow)
+	fill(&g.ExtraWindowSeconds, defaultExtraWindow)
 	fill(&g.ColdShare, defaultColdShare)
-	fill(&g.RolloutShare, defaultRollout)
+	fill(&g.RolloutShare, defaultRolloutShare)
 }
 
 func checkGatewayBounds(g *Gateway, report *step.Report) {
 	report.FloatRange("memoryMb", g.MemoryMb, 0, maxSpare)
 	report.FloatRange("processorShare", g.ProcessorShare, 0, maxProcessors)
-	report.Range("maxFds", int64(g.MaxFds), leastFds, 10*maxCount)
-	report.Range("changeMs", int64(g.ChangeMs), int64(leastChange), int64(maxChange))
-	report.Range("leaveMs", int64(g.LeaveMs), int64(leastChange), int64(maxChange))
+	report.Range("maxFds", int64(g.MaxFds), minFds, 10*maxCount)
+	report.Range("changeMs", int64(g.ChangeMs), int64(minChange), int64(maxChange))
+	report.Range("leaveMs", int64(g.LeaveMs), int64(minChange), int64(maxChange))
 	report.FloatRange("extraShare", g.ExtraShare, 0, maxShare)
 	report.FloatRange("extraSpare", g.ExtraSpare, 0, maxSpare)
 	report.FloatRange("extraWindowSeconds", g.ExtraWindowSeconds, 1, maxGrace)
--- a/internal/conf/config/step.go
+++ b/internal/conf/config/step.go
@@ -36,18 +36,18 @@
 
 // Bounds of settings.
 const (
-	maxSpan        = clock.Hour
-	maxShortSpan   = 10 * clock.Minute
-	maxBody        = 3 << 20 // a frame of a session carries the body
-	maxHeader      = 1 << 20
-	maxCount       = 1_000_000
-	maxPeers       = 100_000
-	maxCalls       = 10_000
-	maxKept        = 4 << 30
-	maxTokenHashes = 64
-	maxSeeds       = 64
-	// idleMargin is the least distance between two idle timeouts, for the time
-	// that a request is on its way.
+	maxSpan          = clock.Hour
+	maxShortSpan     = 10 * clock.Minute
+	maxBody          = 3 << 20 // the body has to fit into one frame of a session
+	maxHeader        = 1 << 20
+	maxCount         = 1_000_000
+	maxAgentCount    = 100_000
+	maxCalls         = 10_000
+	maxKept          = 4 << 30
+	maxTokenHashes   = 64
+	maxPeerAddresses = 64
+	// idleMargin is the minimum difference between two idle timeouts. It covers the
+	// time that a request takes on the network.
 	idleMargin = clock.Second
 )
 
@@ -121,14 +121,14 @@
 	report.Count("operatorTokenHashes", len(p.OperatorTokenHashes), 0, maxTokenHashes)
 	for i, hash := range p.OperatorTokenHashes {
 		if !hashPattern.MatchString(hash) {
-			// Not repeated: it may be a token that was put there by mistake.
+			// The message omits the value, because it may be a token set by mistake.
 			report.Add(step.Index("operatorTokenHashes", i), fmt.Sprintf("%d bytes", len(hash)), "the SHA-256 hash of a token as 64 hexadecimal digits in lower case")
 		}
 	}
 	address, err := netip.ParseAddrPort(p.Operators)
-	open := p.OperatorsTLS.CAFile == "" && len(p.OperatorTokenHashes) == 0
-	if open && err == nil && (p.OperatorsTLS.IsSet() || !address.Addr().IsLoopback()) {
-		report.Add("operatorTokenHashes", "", "at least one entry, unless operatorsTls.caFile is set: otherwise anyone could read this process")
+	unprotected := p.OperatorsTLS.CAFile == "" && len(p.OperatorTokenHashes) == 0
+	if unprotected && err == nil && (p.OperatorsTLS.IsSet() || !address.Addr().IsLoopback()) {
+		report.Add("operatorTokenHashes", "", "at least one entry, unless operatorsTls.caFile is set; without either, anyone could read the state of this process")
 	}
 }
 
@@ -142,10 +142,10 @@
 	if e.Sessions != "" {
 		checkListen(report, "sessions", e.Sessions, e.ProcessesTLS, e.AllowPlain)
 	}
-	report.Count("peers", len(e.Peers), 0, maxSeeds)
+	report.Count("peers", len(e.Peers), 0, maxPeerAddresses)
 	for i, peer := range e.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
-			report.Add(step.Index("peers", i), peer, "IP:PORT with an IP number")
+			report.Add(step.Index("peers", i), peer, "IP:PORT with a numeric IP address")
 		}
 	}
 }
@@ -171,9 +171,10 @@
 	fill(&e.HeaderMs, defaultHeader)
 }
 
-// checkCallersTimes keeps the idle timeouts apart. When this process closes an
-// idle connection first, the balancer may just be sending a request on it; the
-// caller gets a 502 although everything works, a few times in a million.
+// checkCallersTimes checks that this process closes idle connections later than the
+// balancer. If it closed one first, the balancer could be sending a request on it at
+// that moment, and the caller would get a 502 although all processes work. That
+// happens to a few requests in a million.
 func checkCallersTimes(e *Entry, report *step.Report) {
 	report.Range("balancerIdleMs", int64(e.BalancerIdleMs), 1, int64(maxSpan))
 	report.Range("callersIdleMs", int64(e.CallersIdleMs), int64(e.BalancerIdleMs+idleMargin), int64(maxSpan+maxSpan))
@@ -181,8 +182,8 @@
 	report.Range("headerMs", int64(e.HeaderMs), 1, int64(maxShortSpan))
 }
 
-// checkEntryDrain lets a planned stop outlast the time in which the balancer
-// still sends new work; otherwise that work would be cut.
+// checkEntryDrain checks that a planned stop may last longer than the time for which
+// the balancer still sends new requests. Otherwise those requests would be cut.
 func checkEntryDrain(e *Entry, report *step.Report) {
 	if e.DrainMs <= e.BalancerLagMs {
 		report.Add("drainMs", fmt.Sprint(e.DrainMs), fmt.Sprintf("more than balancerLagMs, which is %d", e.BalancerLagMs))
@@ -194,9 +195,10 @@
 	fill(&a.EndpointKeepMs, min(defaultEndpointKeep, a.EndpointIdleMs/2))
 }
 
-// checkEndpointTimes keeps the idle timeouts apart. When the endpoint closes an
-// idle connection first, a call may just be on its way on it; whether it ran is
-// then unknown, and a call that may not be repeated is lost to its caller.
+// checkEndpointTimes checks that this process closes idle connections earlier than
+// the endpoint. If the endpoint closed one first, a call could be in flight on it. It
+// would be unknown whether the call ran, and a call that must not be repeated would
+// fail.
 func checkEndpointTimes(a *Agent, report *step.Report) {
 	report.Range("endpointIdleMs", int64(a.EndpointIdleMs), int64(2*idleMargin), int64(maxSpan))
 	report.Range("endpointKeepMs", int64(a.EndpointKeepMs), 1, int64(a.EndpointIdleMs-idleMargin))
@@ -223,8 +225,8 @@
 }
 
 func checkAgentBounds(a *Agent, report *step.Report) {
-	report.Range("maxSessions", int64(a.MaxSessions), 1, maxPeers)
-	report.Range("maxQueued", int64(a.MaxQueued), 1, maxPeers)
+	report.Range("maxSessions", int64(a.MaxSessions), 1, maxAgentCount)
+	report.Range("maxQueued", int64(a.MaxQueued), 1, maxAgentCount)
 	report.Range("maxKeptBytes", a.MaxKeptBytes, 1, maxKept)
 }
 
@@ -242,16 +244,17 @@
 	}
 }
 
-// checkListen wants an IP number, because processes reach each other by number,
-// and TLS wherever others than this host can connect.
+// checkListen checks that a listen address is a numeric IP address, because processes
+// connect to each other without name resolution, and that TLS is set if other hosts
+// can connect.
 func checkListen(report *step.Report, path, value string, tls TLS, allowPlain bool) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		report.Add(path, value, "IP:PORT with an IP number")
+		report.Add(path, value, "IP:PORT with a numeric IP address")
 		return
 	}
 	if !tls.IsSet() && !address.Addr().IsLoopback() && !allowPlain {
-		report.Add(path, value, "a loopback address, or any with TLS files or with allowPlain")
+		report.Add(path, value, "a loopback address, unless TLS files or allowPlain are set")
 	}
 }
 
@@ -280,7 +283,7 @@
 		return
 	}
 	if !strings.HasPrefix(url, "https://") {
-		report.Add(path, "set", "nothing, because the URL is not https")
+		report.Add(path, "set", "no TLS files, because the URL is not https")
 		return
 	}
 	if (tls.CertFile == "") != (tls.KeyFile == "") {
--- a/internal/conf/config/usage.go
+++ b/internal/conf/config/usage.go
@@ -1,7 +1,7 @@
 package config
 
 import (
-	_ "embed" // the schemas hold the words that explain each setting
+	_ "embed" // the schemas contain the description of each setting
 	"encoding/json"
 	"strings"
 )
@@ -18,7 +18,7 @@
 // AgentSchema returns the JSON schema of an agent's settings.
 func AgentSchema() []byte { return agentSchema }
 
-// node is the part of a JSON schema that explains settings.
+// node is the part of a JSON schema that describes settings.
 type node struct {
 	Description string          `json:"description"`
 	Default     any             `json:"default"`
@@ -27,32 +27,32 @@
 	Definitions map[string]node `json:"$defs"`
 }
 
-// Usage returns what a schema says of the setting at a path such as
-// "operatorsTls.certFile": its description and its default, empty without one.
-func Usage(schema []byte, path string) (description, fallback string) {
+// Usage returns the description and the default that a schema has for the setting at
+// a path such as "operatorsTls.certFile". The default is empty if there is none.
+func Usage(schema []byte, path string) (description, defaultValue string) {
 	var root node
 	if err := json.Unmarshal(schema, &root); err != nil {
 		return "", ""
 	}
-	at := root
-	var owner string
+	current := root
+	var parentDescription string
 	for _, name := range strings.Split(path, ".") {
-		owner = at.Description
-		at = at.Properties[name]
-		if definition, found := strings.CutPrefix(at.Ref, "#/$defs/"); found {
-			description := at.Description
-			at = root.Definitions[definition]
-			at.Description = description
+		parentDescription = current.Description
+		current = current.Properties[name]
+		if definition, found := strings.CutPrefix(current.Ref, "#/$defs/"); found {
+			description := current.Description
+			current = root.Definitions[definition]
+			current.Description = description
 		}
 	}
 	if strings.Contains(path, ".") {
-		return owner + " " + at.Description, ""
+		return parentDescription + " " + current.Description, ""
 	}
-	if at.Default != nil {
-		raw, err := json.Marshal(at.Default)
+	if current.Default != nil {
+		raw, err := json.Marshal(current.Default)
 		if err == nil {
-			fallback = strings.Trim(string(raw), `"`)
+			defaultValue = strings.Trim(string(raw), `"`)
 		}
 	}
-	return at.Description, fallback
+	return current.Description, defaultValue
 }
--- a/internal/conf/manif/bound.go
+++ b/internal/conf/manif/bound.go
@@ -1,7 +1,7 @@
 package manif
 
-// Bounds of a manifest. They leave room above the size that the design is made
-// for: 34 pipelines, 1,700 organisations, 19 availability zones.
+// Bounds of a manifest. They are well above the size that the system is designed
+// for: 34 pipelines, 1,700 organisations and 19 availability zones.
 const (
 	MinStages         = 3
 	MaxStages         = 6
@@ -25,10 +25,10 @@
 	DefaultDeadlineMs = 3_000
 )
 
-// StageKinds returns the kinds that a stage may have.
+// StageKinds returns the allowed kinds of a stage.
 func StageKinds() []StageKind {
 	return []StageKind{KindEncode, KindRetrieve, KindRerank, KindGenerate}
 }
 
-// PoolKinds returns the kinds that a pool may have.
+// PoolKinds returns the allowed kinds of a pool.
 func PoolKinds() []StageKind { return append(StageKinds(), KindPlain) }
