--- a/internal/conf/check/bench_test.go
+++ b/internal/conf/check/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/jujubescale/jujubescale/internal/conf/manif"
 )
 
-// large returns a manifest at the size that decides the design.
-func large(b *testing.B) *manif.Manifest {
+// largeManifest returns a manifest of the size that the system is designed for.
+func largeManifest(b *testing.B) *manif.Manifest {
 	b.Helper()
 	m := &manif.Manifest{}
 	for i := range 19 {
@@ -45,17 +45,17 @@
 	return m
 }
 
-// Each daemon checks each release that it takes.
+// Each daemon checks each release before it takes effect.
 func BenchmarkFill(b *testing.B) {
-	m := large(b)
+	m := largeManifest(b)
 	for b.Loop() {
 		assert.NilError(b, check.Fill(m))
 	}
 }
 
-// Only jujubectl reads manifests that people and their build wrote.
+// Only jujubectl reads manifests that users or their build wrote.
 func BenchmarkManifest(b *testing.B) {
-	raw, err := json.Marshal(large(b))
+	raw, err := json.Marshal(largeManifest(b))
 	assert.NilError(b, err)
 	b.SetBytes(int64(len(raw)))
 	for b.Loop() {
--- a/internal/conf/check/check.go
+++ b/internal/conf/check/check.go
@@ -1,6 +1,7 @@
-// Package check reads a manifest, fills what was left out and finds every fault
-// in it. It runs before a release is written and again before one is put in
-// force, so that a document that someone wrote by another way never takes effect.
+// Package check reads a manifest, fills in its defaults and reports all its faults.
+// It runs before a release is written and again before a release takes effect, so
+// that an invalid document never takes effect, even if it was written to the store in
+// another way.
 package check
 
 import (
@@ -13,8 +14,8 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// Manifest reads a manifest, fills its defaults and checks it. All faults come
-// back in one fault.InvalidListError.
+// Manifest reads a manifest, fills in its defaults and checks it. It returns all
+// faults in one fault.InvalidListError.
 func Manifest(raw []byte) (*manif.Manifest, error) {
 	m, err := decode.Strict[manif.Manifest](raw)
 	if err != nil {
@@ -26,19 +27,21 @@
 	return m, nil
 }
 
-// Fill fills the defaults of a manifest and checks it.
+// Fill fills in the defaults of a manifest and checks it. It returns all faults in
+// one fault.InvalidListError.
 func Fill(m *manif.Manifest) error {
 	step.ApplyDefaults(Steps(), m)
 	return step.Check(Steps(), m)
 }
 
-// Steps returns the defaults and checks of a manifest in their order.
+// Steps returns the defaults and checks of a manifest, in the order in which they
+// run.
 func Steps() []step.Step[manif.Manifest] {
 	return []step.Step[manif.Manifest]{
 		{Name: "availability zones", Check: checkZones},
 		{Name: "pools", Default: defaultPools, Check: checkPools},
 		{Name: "models of pools", Check: checkModels},
-		{Name: "endpoints taken out", Check: checkLeftEndpoints},
+		{Name: "disabled endpoints", Check: checkLeftEndpoints},
 		{Name: "pipelines", Check: checkPipelines},
 		{Name: "stages", Default: defaultStages, Check: checkStages},
 		{Name: "services", Default: defaultServices, Check: checkServices},
@@ -48,8 +51,8 @@
 	}
 }
 
-// Patterns of names. Names become parts of URLs, of object names and of metric
-// labels, so nothing that would need escaping is let in.
+// Patterns of names. Names become parts of URLs, object names and metric labels, so
+// the patterns allow no characters that need escaping.
 var (
 	namePattern     = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 	endpointPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,126}$`)
@@ -62,7 +65,7 @@
 	allowedModel    = "a letter or digit, then up to 126 of A-Z, a-z, 0-9 and ._/:-"
 )
 
-// checkName checks a name of the manifest's own and that it stands only once.
+// checkName checks the name of an entry of the manifest and that it is unique.
 func checkName(report *step.Report, unique *step.Unique, path, name string) {
 	if !namePattern.MatchString(name) {
 		report.Add(path, name, allowedName)
@@ -71,14 +74,15 @@
 	unique.Add(report, path, name)
 }
 
-// oneOf says which names exist, for a reference to one that does not.
-func oneOf(what string, names []string) string {
-	const shown = 20
+// existingNames returns the allowed values for a reference to a name that doesn't
+// exist: the first names that do. what is the kind of thing that has the names.
+func existingNames(what string, names []string) string {
+	const maxShownNames = 20
 	if len(names) == 0 {
-		return "the name of " + what + "; there is none"
+		return "the name of " + what + "; none is defined"
 	}
-	if len(names) > shown {
-		return fmt.Sprintf("the name of %s: %s and %d more", what, strings.Join(names[:shown], ", "), len(names)-shown)
+	if len(names) > maxShownNames {
+		return fmt.Sprintf("the name of %s: %s and %d more", what, strings.Join(names[:maxShownNames], ", "), len(names)-maxShownNames)
 	}
 	return fmt.Sprintf("the name of %s: %s", what, strings.Join(names, ", "))
 }
--- a/internal/conf/check/check_test.go
+++ b/internal/conf/check/check_test.go
@@ -16,9 +16,9 @@
 
 const samples = "../../../samples"
 
-// An operator applies a manifest with faults. Each file in testdata/bad holds
-// the faults of one kind; the operator sees all of them in one go, each with
-// its path, its value and what is allowed.
+// An operator applies a manifest with faults. Each file in testdata/bad has faults
+// of one kind. The error must list all of them, each with its path, its value and the
+// allowed values.
 func TestBadManifests(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.json")
 	assert.NilError(t, err)
@@ -29,13 +29,13 @@
 			assert.NilError(t, err)
 			_, err = check.Manifest(raw)
 			var list *fault.InvalidListError
-			assert.Assert(t, asList(err, &list), "accepted")
+			assert.Assert(t, asInvalidList(err, &list), "accepted")
 			golden.Assert(t, list.Error()+"\n", "bad/"+strings.TrimSuffix(filepath.Base(file), ".json")+".golden")
 		})
 	}
 }
 
-func TestSamplesAreGood(t *testing.T) {
+func TestSamplesAreValid(t *testing.T) {
 	for _, name := range []string{"papierveda", "helvetia"} {
 		t.Run(name, func(t *testing.T) {
 			m := sample(t, name)
@@ -58,9 +58,9 @@
 	assert.Equal(t, m.Organisations[0].Weight, 1)
 }
 
-// Filling twice must change nothing: the document is checked before it is
-// written and again by every process that reads it.
-func TestFillTwiceIsTheSame(t *testing.T) {
+// Fill must not change a manifest that it has filled before, because it runs before
+// the manifest is written and again in every process that reads it.
+func TestFillIsIdempotent(t *testing.T) {
 	once := sample(t, "helvetia")
 	twice := sample(t, "helvetia")
 	assert.NilError(t, check.Fill(twice))
--- a/internal/conf/check/fuzz_test.go
+++ b/internal/conf/check/fuzz_test.go
@@ -13,10 +13,10 @@
 	"github.com/jujubescale/jujubescale/internal/conf/check"
 )
 
-func asList(err error, list **fault.InvalidListError) bool { return errors.As(err, list) }
+func asInvalidList(err error, list **fault.InvalidListError) bool { return errors.As(err, list) }
 
-// Whatever bytes arrive, they are either refused with a list of faults or make
-// a manifest that is accepted again after it was written out.
+// Any input is either refused with a list of faults or gives a manifest that is
+// accepted again, and is the same, after it was encoded.
 func FuzzManifest(f *testing.F) {
 	for _, pattern := range []string{"testdata/bad/*.json", "testdata/good/*.json", samples + "/*.json"} {
 		files, err := filepath.Glob(pattern)
@@ -31,7 +31,7 @@
 		m, err := check.Manifest(raw)
 		if err != nil {
 			var list *fault.InvalidListError
-			assert.Assert(t, asList(err, &list), "%v", err)
+			assert.Assert(t, asInvalidList(err, &list), "%v", err)
 			assert.Assert(t, len(list.Faults) > 0)
 			return
 		}
--- a/internal/conf/check/organisation.go
+++ b/internal/conf/check/organisation.go
@@ -32,16 +32,16 @@
 		report.Range(at+".weight", int64(o.Weight), 1, manif.MaxWeight)
 		report.Range(at+".priority", int64(o.Priority), 0, manif.MaxPriority)
 		report.Range(at+".maxOpen", int64(o.MaxOpen), 0, manif.MaxOpenRequests)
-		checkOwnServices(m, report, at+".services", o, services)
+		checkAllowedServices(m, report, at+".services", o, services)
 	}
 }
 
-func checkOwnServices(m *manif.Manifest, report *step.Report, path string, o *manif.Organisation, services map[string]bool) {
+func checkAllowedServices(m *manif.Manifest, report *step.Report, path string, o *manif.Organisation, services map[string]bool) {
 	unique := step.Unique{Allowed: "each service once"}
 	for i, name := range o.Services {
 		at := step.Index(path, i)
 		if !services[name] {
-			report.Add(at, name, oneOf("a service", serviceNames(m)))
+			report.Add(at, name, existingNames("a service", serviceNames(m)))
 			continue
 		}
 		unique.Add(report, at, name)
@@ -56,9 +56,9 @@
 	return names
 }
 
-// checkTokens also finds a hash that two organisations share: the work of one
-// would be counted against the other. A message does not repeat what is no
-// hash, because that may be a token that was put there by mistake.
+// checkTokens checks the hashes of tokens. It also reports a hash that occurs twice: if
+// two organisations shared it, requests of one would count against the other. A
+// message omits a value that is not a hash, because it may be a token set by mistake.
 func checkTokens(m *manif.Manifest, report *step.Report) {
 	unique := step.Unique{Allowed: "each token hash once in the whole manifest"}
 	for i := range m.Organisations {
--- a/internal/conf/check/pipeline.go
+++ b/internal/conf/check/pipeline.go
@@ -45,7 +45,7 @@
 func checkStagePool(m *manif.Manifest, report *step.Report, path string, s *manif.Stage) {
 	pool := findPool(m, s.Pool)
 	if pool == nil {
-		report.Add(path+".pool", s.Pool, oneOf("a pool", poolNames(m, s.Kind)))
+		report.Add(path+".pool", s.Pool, existingNames("a pool", poolNames(m, s.Kind)))
 		return
 	}
 	if pool.Kind != s.Kind {
@@ -69,7 +69,7 @@
 		}
 		models = append(models, pool.Models[i].Model)
 	}
-	report.Add(path, s.Model, oneOf("a model of pool "+pool.Name, models))
+	report.Add(path, s.Model, existingNames("a model of pool "+pool.Name, models))
 }
 
 func findPool(m *manif.Manifest, name string) *manif.Pool {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// poolNames returns the pools of a kind.
+// poolNames returns the names of the pools of a kind.
 func poolNames(m *manif.Manifest, kind manif.StageKind) []string {
 	var names []string
 	for i := range m.Pools {
--- a/internal/conf/check/pool.go
+++ b/internal/conf/check/pool.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// defaultPools takes endpoints of unknown habits for ones that ignore fencing
-// numbers: then the agent beside them is the fence, which is right for both.
+// defaultPools sets FencingIgnored if the manifest doesn't set Fencing. The agent on
+// the same host then checks the fencing numbers, which is correct whether the endpoint
+// checks them or not.
 func defaultPools(m *manif.Manifest) {
 	for i := range m.Pools {
 		p := &m.Pools[i]
@@ -59,7 +60,7 @@
 	switch p.Fencing {
 	case manif.FencingChecked, manif.FencingIgnored:
 		if p.Kind != manif.KindGenerate {
-			report.Add(path, string(p.Fencing), "only on pools of kind generate: other endpoints take no orders")
+			report.Add(path, string(p.Fencing), "only on pools of kind generate; other endpoints receive no orders")
 		}
 	case "":
 	default:
@@ -71,7 +72,7 @@
 	switch {
 	case p.Role == "":
 	case p.Kind != manif.KindGenerate:
-		report.Add(path, p.Role, "only on pools of kind generate: other endpoints take no orders")
+		report.Add(path, p.Role, "only on pools of kind generate; other endpoints receive no orders")
 	case !namePattern.MatchString(p.Role):
 		report.Add(path, p.Role, allowedName)
 	}
@@ -110,14 +111,14 @@
 		report.Add(path+".version", model.Version, allowedModel)
 	}
 	report.Count(path+".adapters", len(model.Adapters), 0, manif.MaxAdapters)
-	once := step.Unique{Allowed: "each adapter once"}
+	uniqueAdapters := step.Unique{Allowed: "each adapter once"}
 	for i, adapter := range model.Adapters {
 		at := step.Index(path+".adapters", i)
 		if !modelPattern.MatchString(adapter) {
 			report.Add(at, adapter, allowedModel)
 			continue
 		}
-		once.Add(report, at, adapter)
+		uniqueAdapters.Add(report, at, adapter)
 	}
 }
 
--- a/internal/conf/check/service.go
+++ b/internal/conf/check/service.go
@@ -10,8 +10,8 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// defaultServices gives plain services a deadline; a service that is bound to
-// a pipeline has the pipeline's.
+// defaultServices sets the deadline of plain services. A service with a pipeline
+// uses the deadline of the pipeline.
 func defaultServices(m *manif.Manifest) {
 	for i := range m.Services {
 		s := &m.Services[i]
@@ -42,10 +42,10 @@
 
 func checkPipelineService(m *manif.Manifest, report *step.Report, at string, s *manif.Service) {
 	if s.DeadlineMs != 0 {
-		report.Add(at+".deadlineMs", strconv.FormatInt(int64(s.DeadlineMs), 10), "only on services that are bound to a pool; a pipeline has its own")
+		report.Add(at+".deadlineMs", strconv.FormatInt(int64(s.DeadlineMs), 10), "only on services with a pool; a pipeline has its own deadline")
 	}
 	if len(s.Calls) > 0 {
-		report.Add(at+".calls", s.Calls[0].Path, "only on services that are bound to a pool")
+		report.Add(at+".calls", s.Calls[0].Path, "only on services with a pool")
 	}
 	names := make([]string, 0, len(m.Pipelines))
 	for i := range m.Pipelines {
@@ -54,7 +54,7 @@
 		}
 		names = append(names, m.Pipelines[i].Name)
 	}
-	report.Add(at+".pipeline", s.Pipeline, oneOf("a pipeline", names))
+	report.Add(at+".pipeline", s.Pipeline, existingNames("a pipeline", names))
 }
 
 func checkPlainService(m *manif.Manifest, report *step.Report, at string, s *manif.Service) {
@@ -62,7 +62,7 @@
 	report.Count(at+".calls", len(s.Calls), 1, manif.MaxCalls)
 	pool := findPool(m, s.Pool)
 	if pool == nil {
-		report.Add(at+".pool", s.Pool, oneOf("a pool", poolNames(m, manif.KindPlain)))
+		report.Add(at+".pool", s.Pool, existingNames("a pool", poolNames(m, manif.KindPlain)))
 		return
 	}
 	if pool.Kind != manif.KindPlain {
@@ -103,10 +103,10 @@
 	}
 }
 
-// checkPath lets in only paths that are in their shortest form, so that a
-// caller can't reach by "/a/../b" what the manifest does not list.
+// checkPath allows only paths in their shortest form. Otherwise a caller could use
+// "/a/../b" to reach a path that the manifest doesn't list.
 func checkPath(report *step.Report, at, value string) {
-	const allowed = `a path from "/" on in its shortest form, without query, with "*" only as last "/*"`
+	const allowed = `a path that begins with "/", in its shortest form, without a query, and with "*" only as "/*" at the end`
 	fixed := strings.TrimSuffix(value, "/*")
 	if fixed == "" {
 		fixed = "/"
--- a/internal/conf/decode/decode.go
+++ b/internal/conf/decode/decode.go
@@ -1,8 +1,8 @@
-// Package decode reads a JSON document into a struct and accepts nothing that
-// the struct does not know. The standard library stops at the first unknown
-// field and does not say where it stands; a misspelt field would otherwise be
-// ignored and its default taken in silence. Here every fault is listed with its
-// path, and an unknown field with the nearest known name.
+// Package decode reads a JSON document into a struct and refuses fields that the struct
+// doesn't have. If a misspelt field were ignored, its default would apply unnoticed.
+// The standard library stops at the first unknown field and doesn't report its path.
+// This package lists all faults with their paths, and the nearest known name for an
+// unknown field.
 package decode
 
 import (
@@ -16,18 +16,19 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// Bounds on a document, so that a broken one can't exhaust memory.
+// Limits of a document, so that an invalid one can't exhaust the memory.
 const (
-	// MaxBytes is the largest document, in bytes.
+	// MaxBytes is the maximum size of a document, in bytes.
 	MaxBytes = 8 << 20
+	// maxDepth is the maximum depth of nested objects and lists.
 	maxDepth = 16
 )
 
-// Strict reads a document into a new T. All faults come back in one
+// Strict reads a document into a new T. It returns all faults in one
 // fault.InvalidListError.
 func Strict[T any](raw []byte) (*T, error) {
 	if len(raw) > MaxBytes {
-		return nil, one("", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
+		return nil, invalid("", fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxBytes))
 	}
 	tree, err := readTree(raw)
 	if err != nil {
@@ -40,12 +41,13 @@
 		return nil, err
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return nil, one("", err.Error(), "a document that matches the schema")
+		return nil, invalid("", err.Error(), "a document that matches the schema")
 	}
 	return out, nil
 }
 
-// object is a JSON object with its fields in their order.
+// object is a JSON object with its fields in the order of the document. It can contain
+// duplicate fields.
 type object []field
 
 type field struct {
@@ -58,17 +60,17 @@
 	decoder.UseNumber()
 	tree, err := readValue(decoder, 0)
 	if err != nil {
-		return nil, syntax(raw, decoder.InputOffset(), err)
+		return nil, syntaxError(raw, decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, syntax(raw, decoder.InputOffset(), errors.New("something follows the end of the document"))
+		return nil, syntaxError(raw, decoder.InputOffset(), errors.New("unexpected data after the end of the document"))
 	}
 	return tree, nil
 }
 
 func readValue(decoder *json.Decoder, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fmt.Errorf("nested more than %d deep", maxDepth)
+		return nil, fmt.Errorf("nested more than %d levels deep", maxDepth)
 	}
 	token, err := decoder.Token()
 	if err != nil {
@@ -114,17 +116,18 @@
 	return list, err
 }
 
-// syntax says at which line and column a document stops being JSON.
-func syntax(raw []byte, offset int64, cause error) error {
+// syntaxError returns an error with the line and column at which a document stops
+// being valid JSON.
+func syntaxError(raw []byte, offset int64, cause error) error {
 	if errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) {
-		cause = errors.New("the document ends too early")
+		cause = errors.New("unexpected end of the document")
 	}
 	before := raw[:min(int(offset), len(raw))]
 	line := bytes.Count(before, []byte("\n")) + 1
 	column := len(before) - bytes.LastIndexByte(before, '\n')
-	return one(fmt.Sprintf("line %d column %d", line, column), cause.Error(), "one JSON document")
+	return invalid(fmt.Sprintf("line %d column %d", line, column), cause.Error(), "one JSON document")
 }
 
-func one(path, value, allowed string) error {
+func invalid(path, value, allowed string) error {
 	return &fault.InvalidListError{Faults: []fault.InvalidError{{Path: path, Value: value, Allowed: allowed}}}
 }
--- a/internal/conf/decode/match.go
+++ b/internal/conf/decode/match.go
@@ -15,7 +15,7 @@
 
 func typeOf(pointer any) reflect.Type { return reflect.TypeOf(pointer).Elem() }
 
-// match compares a document with a Go type and reports what does not fit.
+// match compares a value with a Go type and reports the differences.
 func match(value any, want reflect.Type, path string, report *step.Report) {
 	switch want.Kind() {
 	case reflect.Pointer:
@@ -26,27 +26,27 @@
 		matchList(value, want, path, report)
 	case reflect.String:
 		if _, ok := value.(string); !ok {
-			report.Add(path, show(value), "a string")
+			report.Add(path, describe(value), "a string")
 		}
 	case reflect.Bool:
 		if _, ok := value.(bool); !ok {
-			report.Add(path, show(value), "true or false")
+			report.Add(path, describe(value), "true or false")
 		}
 	case reflect.Float64:
 		if _, ok := value.(json.Number); !ok {
-			report.Add(path, show(value), "a number")
+			report.Add(path, describe(value), "a number")
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		matchInt(value, want, path, report)
 	default:
-		report.Add(path, show(value), "a type that documents may have, not "+want.String())
+		report.Add(path, describe(value), "a type that documents support, not "+want.String())
 	}
 }
 
 func matchStruct(value any, want reflect.Type, path string, report *step.Report) {
 	fields, ok := value.(object)
 	if !ok {
-		report.Add(path, show(value), "an object")
+		report.Add(path, describe(value), "an object")
 		return
 	}
 	known := jsonFields(want)
@@ -54,24 +54,24 @@
 	for _, f := range fields {
 		at := join(path, f.name)
 		seen.Add(report, at, f.name)
-		to, found := known.find(f.name)
+		fieldType, found := known.find(f.name)
 		if !found {
 			report.Add(at, f.name, known.nearest(f.name))
 			continue
 		}
-		match(f.value, to, at, report)
+		match(f.value, fieldType, at, report)
 	}
 }
 
-// matchList takes null for an empty list, because that is how Go's encoder
-// writes a nil slice.
+// matchList compares a list. Null is an empty list, because Go's encoder writes a nil
+// slice as null.
 func matchList(value any, want reflect.Type, path string, report *step.Report) {
 	if value == nil {
 		return
 	}
 	list, ok := value.([]any)
 	if !ok {
-		report.Add(path, show(value), "a list")
+		report.Add(path, describe(value), "a list")
 		return
 	}
 	for i, entry := range list {
@@ -86,29 +86,29 @@
 		ok = err == nil
 	}
 	if !ok {
-		report.Add(path, show(value), fmt.Sprintf("a whole number of at most %d bits", want.Bits()))
+		report.Add(path, describe(value), fmt.Sprintf("a whole number of at most %d bits", want.Bits()))
 	}
 }
 
-// knownField is a field that a struct has in JSON.
+// knownField is a JSON field of a struct.
 type knownField struct {
-	name string
-	to   reflect.Type
+	name      string
+	fieldType reflect.Type
 }
 
 type knownFields []knownField
 
-func jsonFields(of reflect.Type) knownFields {
+func jsonFields(structType reflect.Type) knownFields {
 	var known knownFields
-	for i := range of.NumField() {
-		field := of.Field(i)
+	for i := range structType.NumField() {
+		field := structType.Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		switch {
 		case name == "-" || !field.IsExported():
 		case field.Anonymous && name == "":
 			known = append(known, jsonFields(field.Type)...)
 		default:
-			known = append(known, knownField{name: name, to: field.Type})
+			known = append(known, knownField{name: name, fieldType: field.Type})
 		}
 	}
 	return known
@@ -117,14 +117,14 @@
 func (k knownFields) find(name string) (reflect.Type, bool) {
 	for _, field := range k {
 		if field.name == name {
-			return field.to, true
+			return field.fieldType, true
 		}
 	}
 	return nil, false
 }
 
-// nearest says which known field an unknown name most likely means, and which
-// others exist.
+// nearest returns the allowed values for an unknown name: the known field with the
+// smallest edit distance, and the list of all known fields.
 func (k knownFields) nearest(name string) string {
 	if len(k) == 0 {
 		return "no field"
@@ -140,7 +140,7 @@
 			best = candidate
 		}
 	}
-	return fmt.Sprintf("a known field, nearest is %q; known: %s", best, strings.Join(names, ", "))
+	return fmt.Sprintf("a known field; the nearest is %q; known: %s", best, strings.Join(names, ", "))
 }
 
 func distance(left, right string) int {
@@ -154,7 +154,7 @@
 	return path + "." + name
 }
 
-func show(value any) string {
+func describe(value any) string {
 	switch v := value.(type) {
 	case nil:
 		return "null"
--- a/internal/conf/layer/layer.go
+++ b/internal/conf/layer/layer.go
@@ -1,7 +1,7 @@
 // Package layer reads settings from a JSON file, the environment and flags.
-// Later ones win: flags over environment over file. Nothing unknown is let
-// through in silence, because a misspelt setting would leave its default in
-// force without anyone noticing.
+// Flags take precedence over the environment, and the environment over the file. An
+// unknown field or variable is an error; if a misspelt setting were ignored, its
+// default would apply unnoticed. The caller's flag parser must refuse unknown flags.
 package layer
 
 import (
@@ -17,53 +17,54 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// Prefix starts the name of every environment variable that is a setting.
+// Prefix is the prefix of the names of all environment variables for settings.
 const Prefix = "JUJUBESCALE_"
 
 // Field is one setting that a flag or an environment variable can set.
 type Field struct {
-	// Path in the JSON document, such as "operatorsTls.certFile".
+	// Path is the path in the JSON document, such as "operatorsTls.certFile".
 	Path string
-	// Flag is its command-line name, such as "operators-tls-cert-file".
+	// Flag is the name of the flag without dashes, such as "operators-tls-cert-file".
 	Flag string
-	// Env is its environment variable, such as "JUJUBESCALE_OPERATORS_TLS_CERT_FILE".
+	// Env is the name of the environment variable, such as "JUJUBESCALE_OPERATORS_TLS_CERT_FILE".
 	Env string
-	// Bool says that the flag needs no value.
+	// Bool is set if the flag needs no value.
 	Bool bool
 
+	// index of the field in the struct, as reflect.Value.FieldByIndex takes it.
 	index []int
 }
 
-// Fields lists the settings of a struct.
+// Fields returns the settings of a struct.
 func Fields[T any]() []Field { return fieldsOf(reflect.TypeFor[T](), nil, nil) }
 
-func fieldsOf(of reflect.Type, path []string, index []int) []Field {
+func fieldsOf(structType reflect.Type, path []string, index []int) []Field {
 	var fields []Field
-	for i := range of.NumField() {
-		f := of.Field(i)
-		at := append(append([]int{}, index...), i)
+	for i := range structType.NumField() {
+		f := structType.Field(i)
+		fieldIndex := append(append([]int{}, index...), i)
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 		switch {
 		case f.Anonymous && name == "":
-			fields = append(fields, fieldsOf(f.Type, path, at)...)
+			fields = append(fields, fieldsOf(f.Type, path, fieldIndex)...)
 		case f.Type.Kind() == reflect.Struct:
-			fields = append(fields, fieldsOf(f.Type, append(append([]string{}, path...), name), at)...)
+			fields = append(fields, fieldsOf(f.Type, append(append([]string{}, path...), name), fieldIndex)...)
 		default:
-			fields = append(fields, newField(strings.Join(append(append([]string{}, path...), name), "."), f.Type, at))
+			fields = append(fields, newField(strings.Join(append(append([]string{}, path...), name), "."), f.Type, fieldIndex))
 		}
 	}
 	return fields
 }
 
-func newField(path string, of reflect.Type, index []int) Field {
+func newField(path string, fieldType reflect.Type, index []int) Field {
 	flag := kebab(path)
 	return Field{
 		Path: path, Flag: flag, Env: Prefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_")),
-		Bool: of.Kind() == reflect.Bool, index: index,
+		Bool: fieldType.Kind() == reflect.Bool, index: index,
 	}
 }
 
-// kebab turns "operatorsTls.certFile" into "operators-tls-cert-file".
+// kebab converts "operatorsTls.certFile" into "operators-tls-cert-file".
 func kebab(path string) string {
 	var out strings.Builder
 	for _, r := range path {
@@ -80,24 +81,25 @@
 	return out.String()
 }
 
-// Value is one setting from a flag.
+// Value is the value of one flag, as text.
 type Value struct {
 	Flag string
 	Text string
 }
 
-// Sources says where settings come from.
+// Sources are the sources of settings.
 type Sources struct {
-	// File is the name of the JSON file; empty reads none.
+	// File is the name of the JSON file; if it is empty, no file is read.
 	File string
 	// Env is the environment as os.Environ returns it.
 	Env []string
-	// Flags that were given.
+	// Flags are the flags on the command line.
 	Flags []Value
 }
 
-// Load reads the sources into a new T, fills its defaults and checks it. All
-// faults of one kind of source come back in one fault.InvalidListError.
+// Load reads the sources into a new T, fills in its defaults and checks it. It stops
+// after the first of these with faults: the file, the environment with the flags, the
+// checks. It returns their faults in one fault.InvalidListError.
 func Load[T any](sources Sources, steps []step.Step[T]) (*T, error) {
 	settings := new(T)
 	if sources.File != "" {
@@ -123,7 +125,8 @@
 	return settings, nil
 }
 
-// Set sets settings as flags do.
+// Set applies flags to settings and ignores unknown flags. It returns all faults in
+// one fault.InvalidListError.
 func Set[T any](settings *T, flags []Value) error {
 	var report step.Report
 	applyFlags(settings, Fields[T](), flags, &report)
@@ -138,7 +141,7 @@
 		}
 		field := find(fields, func(f Field) bool { return f.Env == name })
 		if field == nil {
-			report.Add("environment "+name, name, "a known variable, nearest is "+nearest(fields, name))
+			report.Add("environment "+name, name, "a known variable; the nearest is "+nearest(fields, name))
 			continue
 		}
 		set(settings, field, "environment "+name, text, report)
@@ -153,9 +156,9 @@
 	}
 }
 
-func find(fields []Field, fits func(Field) bool) *Field {
+func find(fields []Field, matches func(Field) bool) *Field {
 	for i := range fields {
-		if fits(fields[i]) {
+		if matches(fields[i]) {
 			return &fields[i]
 		}
 	}
@@ -172,22 +175,22 @@
 	return best
 }
 
-func set[T any](settings *T, field *Field, where, text string, report *step.Report) {
+func set[T any](settings *T, field *Field, source, text string, report *step.Report) {
 	target := reflect.ValueOf(settings).Elem().FieldByIndex(field.index)
 	switch target.Kind() {
 	case reflect.String:
 		target.SetString(text)
 	case reflect.Bool:
-		on, err := strconv.ParseBool(text)
+		enabled, err := strconv.ParseBool(text)
 		if err != nil {
-			report.Add(where, text, "true or false")
+			report.Add(source, text, "true or false")
 			return
 		}
-		target.SetBool(on)
+		target.SetBool(enabled)
 	case reflect.Float64:
 		number, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			report.Add(where, text, "a number")
+			report.Add(source, text, "a number")
 			return
 		}
 		target.SetFloat(number)
@@ -196,7 +199,7 @@
 	default:
 		number, err := strconv.ParseInt(text, 10, target.Type().Bits())
 		if err != nil {
-			report.Add(where, text, "a whole number")
+			report.Add(source, text, "a whole number")
 			return
 		}
 		target.SetInt(number)
--- a/internal/conf/layer/layer_test.go
+++ b/internal/conf/layer/layer_test.go
@@ -29,7 +29,7 @@
 	TLS     tls      `json:"callersTls"`
 }
 
-func TestLaterSourcesWin(t *testing.T) {
+func TestPrecedenceOfSources(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{"maxOpen": 1, "plain": true, "callersTls": {"certFile": "file"}}`), 0o600))
 	got, err := layer.Load[settings](layer.Sources{
@@ -59,5 +59,5 @@
 	file := filepath.Join(t.TempDir(), "s.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{"maxopen": 1}`), 0o600))
 	_, err := layer.Load[settings](layer.Sources{File: file}, nil)
-	assert.ErrorContains(t, err, `nearest is "maxOpen"`)
+	assert.ErrorContains(t, err, `the nearest is "maxOpen"`)
 }
