--- a/internal/conf/delta/delta.go
+++ b/internal/conf/delta/delta.go
@@ -1,6 +1,7 @@
-// Package delta compares two manifests and lists what differs by path. Entries
-// of lists are matched by their name, so that moving one is no change, except
-// where the order has a meaning: stages run, and models load, in their order.
+// Package delta compares two manifests and lists the differences by path. It matches
+// entries of lists by their names, so a moved entry is not a difference. The exceptions
+// are stages, which run in their order, and models, which load in their order: a
+// changed order of those is a difference.
 package delta
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/jujubescale/jujubescale/internal/conf/manif"
 )
 
-// Kind says how a path differs.
+// Kind is the kind of a change.
 type Kind string
 
 // Kinds of changes.
@@ -24,8 +25,8 @@
 	Changed Kind = "changed"
 )
 
-// Change is one difference. From and To are JSON; From is absent when the path
-// was added, To when it was removed.
+// Change is one difference. From and To are JSON. From is absent if the path was
+// added, To if it was removed.
 type Change struct {
 	Path string          `json:"path"`
 	Kind Kind            `json:"kind"`
@@ -45,13 +46,14 @@
 	}
 }
 
-// Compare lists what differs, ordered by path. A nil manifest is an empty one.
+// Compare returns the differences between two manifests, ordered by path. It treats a
+// nil manifest as an empty one.
 func Compare(from, to *manif.Manifest) ([]Change, error) {
-	left, err := tree(from)
+	left, err := generic(from)
 	if err != nil {
 		return nil, err
 	}
-	right, err := tree(to)
+	right, err := generic(to)
 	if err != nil {
 		return nil, err
 	}
@@ -61,8 +63,9 @@
 	return c.changes, nil
 }
 
-// tree turns a manifest into JSON's generic form.
-func tree(m *manif.Manifest) (any, error) {
+// generic converts a manifest into maps, lists and values, as json.Unmarshal returns
+// them.
+func generic(m *manif.Manifest) (any, error) {
 	if m == nil {
 		m = &manif.Manifest{}
 	}
@@ -83,11 +86,11 @@
 	leftObject, isLeft := from.(map[string]any)
 	rightObject, isRight := to.(map[string]any)
 	if isLeft && isRight {
-		c.objects(path, leftObject, rightObject)
+		c.compareObjects(path, leftObject, rightObject)
 		return
 	}
 	if isList(from) && isList(to) {
-		c.lists(path, listOf(from), listOf(to))
+		c.compareLists(path, listOf(from), listOf(to))
 		return
 	}
 	if !reflect.DeepEqual(from, to) {
@@ -95,18 +98,19 @@
 	}
 }
 
-// isList takes null for an empty list, as Go's encoder writes it.
+// isList reports whether a value is a list. Null is an empty list, because Go's encoder
+// writes a nil slice as null.
 func isList(node any) bool {
 	_, ok := node.([]any)
 	return ok || node == nil
 }
 
 func listOf(node any) []any {
-	list, _ := node.([]any) // nil is the empty list
+	list, _ := node.([]any) // a nil node gives an empty list
 	return list
 }
 
-func (c *comparison) objects(path string, from, to map[string]any) {
+func (c *comparison) compareObjects(path string, from, to map[string]any) {
 	names := make(map[string]bool)
 	for name := range from {
 		names[name] = true
@@ -119,7 +123,7 @@
 	}
 }
 
-func (c *comparison) lists(path string, from, to []any) {
+func (c *comparison) compareLists(path string, from, to []any) {
 	left, right := identities(from), identities(to)
 	for i, name := range left {
 		at := path + "[" + name + "]"
@@ -134,18 +138,19 @@
 			c.addChange(path+"["+name+"]", nil, to[j])
 		}
 	}
-	c.order(path, left, right)
+	c.compareOrder(path, left, right)
 }
 
-// order notes that entries which stand in both lists changed their order.
-func (c *comparison) order(path string, left, right []string) {
+// compareOrder adds a change if the entries that are in both lists are in a different
+// order. It does so only for stages and models.
+func (c *comparison) compareOrder(path string, left, right []string) {
 	if !strings.HasSuffix(path, ".stages") && !strings.HasSuffix(path, ".models") {
 		return
 	}
-	both := func(names, others []string) []string {
+	common := func(names, others []string) []string {
 		return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return !slices.Contains(others, name) })
 	}
-	before, after := both(left, right), both(right, left)
+	before, after := common(left, right), common(right, left)
 	if !slices.Equal(before, after) {
 		c.addChange(path+" order", before, after)
 	}
@@ -170,8 +175,10 @@
 	return names
 }
 
-// identity returns what names an entry within its list.
-func identity(entry any, at int) string {
+// identity returns the text that identifies an entry within its list. For an object it
+// is the name, the model, the method and path, or else the index; for any other value
+// it is the value itself.
+func identity(entry any, index int) string {
 	object, ok := entry.(map[string]any)
 	if !ok {
 		return fmt.Sprint(entry)
@@ -184,13 +191,13 @@
 	if method, found := object["method"].(string); found {
 		return fmt.Sprint(method, " ", object["path"])
 	}
-	return fmt.Sprint(at)
+	return fmt.Sprint(index)
 }
 
 func encode(value any) json.RawMessage {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		return json.RawMessage("null") // came from JSON, so it goes back
+		return json.RawMessage("null") // the value was decoded from JSON, so encoding can't fail
 	}
 	return raw
 }
--- a/internal/conf/delta/delta_test.go
+++ b/internal/conf/delta/delta_test.go
@@ -21,17 +21,18 @@
 	return m
 }
 
-// A reviewer reads the differences instead of two long documents.
+// Reviewers read the listed differences instead of two long documents, so the list
+// must be complete and must not contain moved entries whose order has no effect.
 func TestCompare(t *testing.T) {
 	cases := map[string]struct {
 		edit func(*manif.Manifest)
 		want []string
 	}{
-		"nothing": {func(*manif.Manifest) {}, nil},
+		"no change": {func(*manif.Manifest) {}, nil},
 		"order of pools": {
 			func(m *manif.Manifest) { m.Pools[0], m.Pools[1] = m.Pools[1], m.Pools[0] }, nil,
 		},
-		"a field": {
+		"a changed field": {
 			func(m *manif.Manifest) { m.Pipelines[0].DeadlineMs = 2500 },
 			[]string{"~ pipelines[setup-sheets-v1].deadlineMs: 3000 -> 2500"},
 		},
@@ -39,11 +40,11 @@
 			func(m *manif.Manifest) { m.Organisations[1].MaxOpen = 9 },
 			[]string{"+ organisations[tatra-paper].maxOpen: 9"},
 		},
-		"an endpoint taken out": {
+		"a disabled endpoint": {
 			func(m *manif.Manifest) { m.Pools[3].LeftEndpoints = []string{"e-1"} },
 			[]string{`+ pools[setup-engines].leftEndpoints[e-1]: "e-1"`},
 		},
-		"a zone less": {
+		"a removed zone": {
 			func(m *manif.Manifest) { m.AvailabilityZones = m.AvailabilityZones[1:] },
 			[]string{`- availabilityZones[za-1]: "za-1"`},
 		},
@@ -54,7 +55,7 @@
 			},
 			[]string{`~ pipelines[shift-summaries-v1].stages order: ["encode","retrieve","rerank","draft"] -> ["retrieve","encode","rerank","draft"]`},
 		},
-		"a call": {
+		"a field of a call": {
 			func(m *manif.Manifest) { m.Services[3].Calls[0].NotIdempotent = false },
 			[]string{"- services[orders].calls[POST /v1/bookings].notIdempotent: true"},
 		},
@@ -74,7 +75,7 @@
 	}
 }
 
-func TestFirstManifestIsAllNew(t *testing.T) {
+func TestFirstManifestIsAllAdded(t *testing.T) {
 	changes, err := delta.Compare(nil, sample(t))
 	assert.NilError(t, err)
 	assert.Equal(t, len(changes), 3+4+8+5+3)
--- a/internal/conf/table/table.go
+++ b/internal/conf/table/table.go
@@ -1,7 +1,7 @@
-// Package table holds the routes in force: which request goes to which pool,
-// through which stages, for whom, and how long it may take. A Table is
-// immutable, so that a request keeps the one it began with and a newer one is
-// published by a single atomic pointer.
+// Package table holds the routing configuration: the pool, the stages and the time
+// limits of each request, and the keys of organisations. A Table is immutable: a
+// request uses one Table from its start to its end, and a newer Table is published by
+// the change of one atomic pointer.
 package table
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind tells whether requests of a route may be repeated and how they are answered.
 type Kind string
 
 // Kinds of routes.
@@ -24,52 +24,54 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by a series of events; they run at most
-	// once unless the route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once
+	// unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Target is one pool that a route sends to.
+// Target is a pool to which a route sends requests.
 type Target struct {
 	Pool string
-	// Weight is the pool's share of the route's requests against the other
-	// targets' weights.
+	// Weight is the pool's share of the route's requests, relative to the weights of
+	// the other targets.
 	Weight int
 }
 
-// Stage is work on a request's input that has to be done before the request
-// itself can run.
+// Stage is a step that processes the input of a request. All stages have to end
+// before the request itself can run.
 type Stage struct {
 	Pool string
-	// After lists the stages whose results this one reads.
+	// After lists the indexes of the stages whose results this stage reads.
 	After []int
 	// ResultBytes is the typical size of one piece's result, in bytes.
 	ResultBytes int64
 }
 
-// Route says how requests of one host and path prefix are served.
+// Route defines how requests with one host and path prefix are served.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is kept waiting.
+	// Timeout is the time between the arrival of a request and its deadline.
 	Timeout clock.Millis
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective. An answer that takes longer is worth less.
 	Objective clock.Millis
-	// MaxGap is the longest pause between two events of a stream that is on time.
+	// MaxGap is the maximum time between two events of a stream that meets its
+	// objective.
 	MaxGap clock.Millis
-	// Priority ranks routes; 0 goes first.
+	// Priority orders requests; 0 is the highest priority.
 	Priority int
-	// Attempts is the largest number of endpoints that a request is sent to.
+	// Attempts is the maximum number of endpoints to which a request is sent.
 	Attempts int
 	Targets  []Target
 	Stages   []Stage
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Generates says that requests name a model and their tokens.
+	// Generates is set if requests name a model and their tokens.
 	Generates bool
-	// Resumable streams may go on at another endpoint behind the last event.
+	// Resumable is set if another endpoint can continue a stream after its last
+	// event.
 	Resumable bool
 }
 
@@ -78,8 +80,9 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Pool chooses the target pool of a request by its identifier: the same
-// request always goes to the same pool, and the shares follow the weights.
+// Pool returns the target pool for the identifier of a request. The same identifier
+// always gives the same pool. The targets' shares of the requests are proportional to
+// their weights. Pool returns "" if no weight is positive.
 func (r *Route) Pool(request string) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Pool
@@ -91,69 +94,70 @@
 	if total <= 0 {
 		return ""
 	}
-	point := int(xxhash.Sum64String(request) % uint64(total))
+	offset := int(xxhash.Sum64String(request) % uint64(total))
 	for _, target := range r.Targets {
-		if point < target.Weight {
+		if offset < target.Weight {
 			return target.Pool
 		}
-		point -= target.Weight
+		offset -= target.Weight
 	}
 	return ""
 }
 
-// Generation is what a pool of model engines bears, for each engine.
+// Generation is the capacity of each engine of a pool of model engines.
 type Generation struct {
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that run at the same time.
 	Slots int
 	// Tokens is the memory for running requests and cached prefixes, in tokens.
 	Tokens int64
 }
 
-// Batching is what a pool of stage engines bears, for each engine.
+// Batching is the capacity and the speed of each engine of a pool of stage engines.
 type Batching struct {
-	// Calls is the number of calls that are worked on at once.
+	// Calls is the number of calls that run at the same time.
 	Calls int
-	// Queue is the number of calls that an engine lets wait; it refuses others.
+	// Queue is the maximum number of calls in the engine's queue; it refuses others.
 	Queue int
-	// Pieces is the largest number of pieces in one call.
+	// Pieces is the maximum number of pieces in one call.
 	Pieces int
 	// CallTime is the fixed part of a call's duration.
 	CallTime clock.Millis
-	// PieceTime is what one piece adds to it, in milliseconds; it differs by stage.
+	// PieceTime is the time that each piece adds to a call, in milliseconds. It
+	// differs between stages.
 	PieceTime float64
-	// ResultMemory is the memory for results, in bytes.
+	// ResultMemory is the memory for stored results, in bytes.
 	ResultMemory int64
-	// Retention is how long a result outlives its call.
+	// Retention is the time for which a result stays stored after its call.
 	Retention clock.Millis
 }
 
-// Pool is one service and what each of its endpoints bears.
+// Pool is a service and the capacity of each of its endpoints.
 type Pool struct {
 	Name string
-	// HealthPath answers whether an endpoint considers itself healthy.
+	// HealthPath is the URL path of the health check of an endpoint.
 	HealthPath string
 	// MaxConns is the number of connections that one endpoint accepts from all
 	// callers together.
 	MaxConns int
-	// ColdTime is how long an endpoint stays cold after its start.
+	// ColdTime is the time for which an endpoint is cold after its start.
 	ColdTime clock.Millis
-	// ColdRate is the number of requests a second that a cold endpoint bears;
-	// 0 means that endpoints of this pool don't start cold.
+	// ColdRate is the maximum number of requests per second at a cold endpoint; 0 means
+	// that endpoints of this pool have no cold start.
 	ColdRate float64
 	// Generation is set for model engines, Batching for stage engines.
 	Generation *Generation
 	Batching   *Batching
 }
 
-// Organisation is a customer who holds keys.
+// Organisation is a customer with its keys.
 type Organisation struct {
 	Name string
-	// Priority takes precedence over the route's when HasPriority is set.
+	// Priority replaces the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits are the size and time limits for what callers send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -161,38 +165,38 @@
 	IdleTimeout    clock.Millis
 }
 
-// Content is what a Table is built from.
+// Content is the input of New.
 type Content struct {
 	Version       uint64
 	Routes        []Route
 	Pools         []Pool
 	Limits        Limits
 	Organisations []Organisation
-	// Holders gives for each key the index of the organisation that holds it.
+	// Holders maps each key to the index of the organisation that holds it.
 	Holders map[string]int
 }
 
-// Table is one version of the routes.
+// Table is one version of the routing configuration.
 type Table struct {
-	// Version grows with each change.
+	// Version increases with each change.
 	Version uint64
 	Limits  Limits
 
-	byHost  map[string][]*Route
-	pools   map[string]*Pool
-	holders map[string]*Organisation
-	keyed   bool
+	byHost       map[string][]*Route
+	pools        map[string]*Pool
+	holders      map[string]*Organisation
+	requiresKeys bool
 }
 
-// New builds a table; it takes over the content.
+// New returns a table with the content, which the caller must not change afterwards.
 func New(content Content) *Table {
 	t := &Table{
-		Version: content.Version,
-		Limits:  content.Limits,
-		byHost:  make(map[string][]*Route),
-		pools:   make(map[string]*Pool, len(content.Pools)),
-		holders: make(map[string]*Organisation, len(content.Holders)),
-		keyed:   len(content.Organisations) > 0,
+		Version:      content.Version,
+		Limits:       content.Limits,
+		byHost:       make(map[string][]*Route),
+		pools:        make(map[string]*Pool, len(content.Pools)),
+		holders:      make(map[string]*Organisation, len(content.Holders)),
+		requiresKeys: len(content.Organisations) > 0,
 	}
 	for i := range content.Routes {
 		route := &content.Routes[i]
@@ -211,8 +215,8 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil. A port in the host is ignored.
+// Match returns the route of the host with the longest prefix that matches the path,
+// or nil. It ignores a port in the host.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -225,8 +229,9 @@
 	return nil
 }
 
-// Batching returns what the stage engines of a pool bear; nil when the pool is
-// unknown, makes no pieces, or there is no configuration yet.
+// Batching returns the capacity of the stage engines of a pool. It returns nil if the
+// pool is unknown or has no stage engines, or if t is nil because there is no
+// configuration yet.
 func (t *Table) Batching(name string) *Batching {
 	if t == nil {
 		return nil
@@ -238,10 +243,10 @@
 	return pool.Batching
 }
 
-// Pool returns a pool by name, or nil.
+// Pool returns the pool with a name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// Route returns a route by its name, nil for none.
+// Route returns the route with a name, or nil.
 func (t *Table) Route(name string) *Route {
 	for _, routes := range t.byHost {
 		for _, route := range routes {
@@ -266,10 +271,10 @@
 func (t *Table) Holder(key string) *Organisation { return t.holders[key] }
 
 // NeedsKey reports whether requests of the route must carry a key.
-func (t *Table) NeedsKey(route *Route) bool { return t.keyed && !route.Public }
+func (t *Table) NeedsKey(route *Route) bool { return t.requiresKeys && !route.Public }
 
-// Priority returns the rank of a request: its organisation's where that has
-// one, else its route's.
+// Priority returns the priority of a request: that of its organisation if it has one,
+// otherwise that of its route.
 func Priority(route *Route, organisation *Organisation) int {
 	if organisation != nil && organisation.HasPriority {
 		return organisation.Priority
--- a/internal/conf/table/table_test.go
+++ b/internal/conf/table/table_test.go
@@ -48,7 +48,7 @@
 	assert.Equal(t, route.Pool("same"), route.Pool("same"))
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestIdempotent(t *testing.T) {
 	for _, tt := range []struct {
 		route table.Route
 		want  bool
