--- a/internal/conf/schema/schema.go
+++ b/internal/conf/schema/schema.go
@@ -1,6 +1,6 @@
-// Package schema makes the published JSON schemas from the Go structs and
-// their comments. The schemas are committed, so that the build needs no
-// generator; a test holds them to the code.
+// Package schema generates the published JSON schemas and the page of the settings
+// from the Go structs and their comments. The results are committed, so that the build
+// needs no generator. A test checks that they match the code.
 package schema
 
 import (
@@ -16,8 +16,8 @@
 
 //go:generate go run ./write ../../..
 
-// Paths of the published schemas, below the root of the repository. Those of
-// the settings stand beside the structs because the daemons embed them.
+// Paths of the published schemas, relative to the root of the repository. Those of
+// the settings are in the package of the structs because the daemons embed them.
 const (
 	Manifest = "docs/schema/manifest.schema.json"
 	Entry    = "internal/conf/config/entry.schema.json"
@@ -29,13 +29,13 @@
 
 // File is one published schema.
 type File struct {
-	// Path of the file below the root of the repository.
+	// Path of the file, relative to the root of the repository.
 	Path string
 	// Document is a value of the struct that the schema describes.
 	Document any
 }
 
-// Files lists the published schemas.
+// Files returns the published schemas.
 func Files() []File {
 	return []File{
 		{Path: Manifest, Document: manif.Manifest{}},
@@ -45,7 +45,7 @@
 	}
 }
 
-// Generate returns the bytes of a schema. It reads the comments of the structs from
+// Generate returns a schema as indented JSON. It reads the comments of the structs from
 // the source below root.
 func Generate(root string, file File) ([]byte, error) {
 	reflector := jsonschema.Reflector{ExpandedStruct: true}
@@ -58,21 +58,22 @@
 	return append(raw, '\n'), err
 }
 
-// addComments reads the comments from within root, because the library names a
-// package by the path that it walked.
+// addComments adds the comments of the structs to the reflector. It changes the working
+// directory to root meanwhile, because the library derives the path of a package from
+// the path of the directory that it reads.
 func addComments(reflector *jsonschema.Reflector, root string) error {
-	back, err := os.Getwd()
+	previous, err := os.Getwd()
 	if err != nil {
 		return err
 	}
 	if err := os.Chdir(root); err != nil {
 		return err
 	}
-	defer func() { _ = os.Chdir(back) }() // the folder existed a moment ago
+	defer func() { _ = os.Chdir(previous) }() // it was the working directory before, so it exists
 	return reflector.AddGoComments(module, filepath.Join("internal", "conf"), jsonschema.WithFullComment())
 }
 
-// Write writes every schema, and the page of the settings, below root.
+// Write generates all schemas and the page of the settings and writes them below root.
 func Write(root string) error {
 	for _, file := range Files() {
 		raw, err := Generate(root, file)
--- a/internal/conf/schema/schema_test.go
+++ b/internal/conf/schema/schema_test.go
@@ -16,9 +16,9 @@
 
 const root = "../../.."
 
-// A field is added to a struct and the schema is forgotten. The users' build
-// checks its manifest against the published schema and would refuse the field.
-func TestCommittedSchemasAgreeWithTheStructs(t *testing.T) {
+// If a field is added to a struct and the schemas aren't generated again, the users'
+// build, which checks its manifest against the published schema, refuses the field.
+func TestCommittedSchemasMatchStructs(t *testing.T) {
 	for _, file := range schema.Files() {
 		t.Run(file.Path, func(t *testing.T) {
 			want, err := schema.Generate(root, file)
@@ -30,15 +30,15 @@
 	}
 }
 
-// The bounds stand twice, as tags for the schema and as constants for the
-// checks. A build that trusts the schema must not be refused by the checks.
-func TestSchemaHasTheBoundsOfTheChecks(t *testing.T) {
+// The bounds exist twice, as tags for the schema and as constants for the checks. The
+// checks must not refuse a manifest because of a bound that the schema doesn't have.
+func TestSchemaHasBoundsOfChecks(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(root, schema.Manifest))
 	assert.NilError(t, err)
 	var published jsonschema.Schema
 	assert.NilError(t, json.Unmarshal(raw, &published))
-	property := func(of *jsonschema.Schema, name string) *jsonschema.Schema {
-		found, ok := of.Properties.Get(name)
+	property := func(parent *jsonschema.Schema, name string) *jsonschema.Schema {
+		found, ok := parent.Properties.Get(name)
 		assert.Assert(t, ok, name)
 		return found
 	}
@@ -59,8 +59,9 @@
 	assert.Equal(t, *property(organisation, "tokenHashes").MaxItems, uint64(manif.MaxTokens))
 }
 
-// A setting is added and its page is forgotten: an operator can't find it.
-func TestSettingsPageAgreesWithTheStructs(t *testing.T) {
+// If a setting is added and the page isn't generated again, operators can't find the
+// setting.
+func TestSettingsPageMatchesStructs(t *testing.T) {
 	want, err := schema.SettingsPage(root)
 	assert.NilError(t, err)
 	got, err := os.ReadFile(filepath.Join(root, schema.Settings))
--- a/internal/conf/schema/write/main.go
+++ b/internal/conf/schema/write/main.go
@@ -1,4 +1,5 @@
-// Command write makes the committed JSON schemas anew; go generate runs it.
+// Command write generates the committed JSON schemas and the page of the settings; go
+// generate runs it.
 package main
 
 import (
