--- a/internal/conf/config/fuzz_test.go
+++ b/internal/conf/config/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/jujubescale/jujubescale/internal/conf/step"
 )
 
-// Whatever bytes a settings file holds, it is either refused with a list of
-// faults or makes settings that keep the idle timeouts apart.
+// Any content of a settings file is either refused with a list of faults or gives
+// settings in which the idle timeout for callers is longer than the balancer's.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{entryFile, agentFile, "", "{}", `{"process": 1}`, `{"operatorsTls": {"certFile": []}}`} {
 		f.Add([]byte(seed))
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := decode.Strict[config.Entry](raw)
 		if err == nil {
-			step.Default(config.EntrySteps(), e)
+			step.ApplyDefaults(config.EntrySteps(), e)
 			err = step.Check(config.EntrySteps(), e)
 		}
 		if err == nil {
