--- a/internal/engine/call/call.go
+++ b/internal/engine/call/call.go
@@ -57,8 +57,8 @@
 	// Model and Priority are for model engines.
 	Model    string
 	Priority int
-	// Cut, if set, is told at once when a stream is cut, before it is taken up again.
-	Cut func()
+	// OnCut, if set, is told at once when a stream is cut, before it is taken up again.
+	OnCut func()
 }
 
 // Answer is what came with the end of the answer; its bytes went to the taker.
@@ -71,8 +71,8 @@
 	Cached     int64
 }
 
-// Taker takes the bytes of an answer in order. They are only valid during the call.
-type Taker func([]byte) error
+// Sink takes the bytes of an answer in order. They are only valid during the call.
+type Sink func([]byte) error
 
 // FailedError says that the endpoint gave no whole answer.
 type FailedError struct {
@@ -159,7 +159,7 @@
 func (c *Caller) Close() { c.shared.CloseIdleConnections() }
 
 // Run runs a stage of an encoder, retriever or reranker.
-func (c *Caller) Run(ctx context.Context, request *Request, take Taker) (Answer, error) {
+func (c *Caller) Run(ctx context.Context, request *Request, take Sink) (Answer, error) {
 	response, err := c.send(ctx, request, http.MethodPost, "/v1/run", request.Body)
 	if err != nil {
 		return Answer{}, err
@@ -174,7 +174,7 @@
 // Plain runs one call of a plain service. Any status of the service is an
 // answer. Only where the call may be repeated is "too much to do" a failure:
 // it can be tried elsewhere then.
-func (c *Caller) Plain(ctx context.Context, request *Request, take Taker) (Answer, error) {
+func (c *Caller) Plain(ctx context.Context, request *Request, take Sink) (Answer, error) {
 	response, err := c.send(ctx, request, request.Method, request.Path, request.Body)
 	if err != nil {
 		return Answer{}, err
@@ -186,7 +186,7 @@
 	return c.copyAll(response, take)
 }
 
-func (c *Caller) copyAll(response *http.Response, take Taker) (Answer, error) {
+func (c *Caller) copyAll(response *http.Response, take Sink) (Answer, error) {
 	answer := Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}
 	buf := make([]byte, min(chunkBytes, max(int(response.ContentLength)+1, maxDetail)))
 	total := 0
--- a/internal/engine/call/stream.go
+++ b/internal/engine/call/stream.go
@@ -57,7 +57,7 @@
 // stream that is cut is taken up again at the next token: the engine goes on
 // with it, and running it anew would cost its engine time twice. When the
 // context ends first, the engine is told to stop.
-func (c *Caller) Generate(ctx context.Context, request *Request, take Taker) (Answer, error) {
+func (c *Caller) Generate(ctx context.Context, request *Request, take Sink) (Answer, error) {
 	body := generateRequest{}
 	if err := json.Unmarshal(request.Body, &body); err != nil {
 		return Answer{}, &fault.InvalidError{Path: "body", Value: err.Error(), Allowed: "a JSON object with input"}
@@ -80,13 +80,13 @@
 	return !errors.As(err, &status)
 }
 
-func (c *Caller) generate(ctx context.Context, request *Request, body *generateRequest, take Taker) (Answer, error) {
+func (c *Caller) generate(ctx context.Context, request *Request, body *generateRequest, take Sink) (Answer, error) {
 	for resumes := 0; ; resumes++ {
 		answer, err := c.stream(ctx, request, body, take)
 		var failed *FailedError
 		cut := errors.As(err, &failed) && failed.Reset && body.From > 0
-		if cut && request.Cut != nil {
-			request.Cut()
+		if cut && request.OnCut != nil {
+			request.OnCut()
 		}
 		if !cut || resumes >= maxResumes || ctx.Err() != nil {
 			return answer, err
@@ -96,7 +96,7 @@
 }
 
 // stream reads one connection's part of the answer. It moves body.From on.
-func (c *Caller) stream(ctx context.Context, request *Request, body *generateRequest, take Taker) (Answer, error) {
+func (c *Caller) stream(ctx context.Context, request *Request, body *generateRequest, take Sink) (Answer, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, err
@@ -115,7 +115,7 @@
 	return readLines(ctx, response.Body, body, take)
 }
 
-func readLines(ctx context.Context, from io.Reader, body *generateRequest, take Taker) (Answer, error) {
+func readLines(ctx context.Context, from io.Reader, body *generateRequest, take Sink) (Answer, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
 	lines.Split(wholeLines)
--- a/internal/engine/conn/conn.go
+++ b/internal/engine/conn/conn.go
@@ -81,11 +81,11 @@
 // FullError says that this process already has as many connections to the
 // endpoint as it may.
 type FullError struct {
-	Most int
+	Max int
 }
 
 // Error implements error.
-func (e *FullError) Error() string { return fmt.Sprintf("all %d connections are in use", e.Most) }
+func (e *FullError) Error() string { return fmt.Sprintf("all %d connections are in use", e.Max) }
 
 // StrayError says that the connection carried answers to other requests only.
 type StrayError struct{}
@@ -99,10 +99,10 @@
 	// Head is the request line and all header lines with the blank line.
 	Head []byte
 	Body []byte
-	// OwnFunc reports whether an answer belongs to the request. An endpoint may
+	// MatchFunc reports whether an answer belongs to the request. An endpoint may
 	// send one answer twice, and the second one then stands where the answer to
 	// the next request is expected. Nil takes any.
-	OwnFunc func(header http.Header, fresh bool) bool
+	MatchFunc func(header http.Header, fresh bool) bool
 	// MaxIdle bounds how long the connection may have been unused; 0 wants a
 	// new one. What is written to a connection that the endpoint has just
 	// dropped may or may not have run.
@@ -128,8 +128,8 @@
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(g *Group) { g.clock = c } }
 
-// WithMost sets the largest number of open connections.
-func WithMost(most func() int) Option { return func(g *Group) { g.most = most } }
+// WithMaxOpen sets the largest number of open connections.
+func WithMaxOpen(most func() int) Option { return func(g *Group) { g.most = most } }
 
 // WithDialed sets who counts new connections.
 func WithDialed(dialed func()) Option { return func(g *Group) { g.dialed = dialed } }
@@ -208,7 +208,7 @@
 	}
 	if most := g.most(); g.open >= most {
 		if len(g.idle) == 0 {
-			return nil, &FullError{Most: most}
+			return nil, &FullError{Max: most}
 		}
 		g.discard(g.idle[0])
 		g.idle = g.idle[1:]
--- a/internal/engine/conn/conn_test.go
+++ b/internal/engine/conn/conn_test.go
@@ -52,8 +52,8 @@
 func request(id string) *conn.Request {
 	return &conn.Request{
 		Method: http.MethodPost, Head: []byte("POST / HTTP/1.1\r\nHost: h\r\nId: " + id + "\r\nContent-Length: 0\r\n\r\n"),
-		OwnFunc: func(h http.Header, _ bool) bool { return h.Get("Id") == id },
-		MaxIdle: clock.Minute,
+		MatchFunc: func(h http.Header, _ bool) bool { return h.Get("Id") == id },
+		MaxIdle:   clock.Minute,
 	}
 }
 
@@ -194,7 +194,7 @@
 		body, err := io.ReadAll(reply.Body)
 		assert.Equal(t, string(body), "part")
 		assert.Equal(t, err == nil, !reset, "%v", err)
-		assert.Equal(t, reply.Whole(), !reset)
+		assert.Equal(t, reply.Complete(), !reset)
 		reply.Finish()
 	}
 }
@@ -261,7 +261,7 @@
 			}
 			_, _ = io.WriteString(c, answer(id, "x"))
 		}
-	}), conn.WithMost(func() int { return 1 }))
+	}), conn.WithMaxOpen(func() int { return 1 }))
 	reply, err := g.Do(t.Context(), request("a"))
 	assert.NilError(t, err)
 	_, err = do(t, g, "b")
--- a/internal/engine/conn/reply.go
+++ b/internal/engine/conn/reply.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return err
 		}
-		if request.OwnFunc == nil || request.OwnFunc(response.Header, r.conn.fresh) {
+		if request.MatchFunc == nil || request.MatchFunc(response.Header, r.conn.fresh) {
 			r.begin(response)
 			return nil
 		}
@@ -112,15 +112,15 @@
 	return defaultIdle
 }
 
-// Whole reports whether the body was read to its end.
-func (r *Reply) Whole() bool { return r.eof != nil && r.eof.ended }
+// Complete reports whether the body was read to its end.
+func (r *Reply) Complete() bool { return r.eof != nil && r.eof.ended }
 
 // Finish gives the connection back if it is sound, or closes it. A connection
 // is sound when the request was written whole and its answer read whole, and
 // not a byte came beyond.
 func (r *Reply) Finish() {
 	stopped := r.stop == nil || r.stop()
-	sound := stopped && r.Whole() && r.keeps && r.conn.reader.Buffered() == 0
+	sound := stopped && r.Complete() && r.keeps && r.conn.reader.Buffered() == 0
 	if sound && r.written != nil {
 		select {
 		case end := <-r.written:
--- a/internal/engine/load/load.go
+++ b/internal/engine/load/load.go
@@ -36,16 +36,16 @@
 	AsOf   clock.Millis
 }
 
-// Busy is the work that the endpoint has.
-func (r *Report) Busy() int { return r.Running + r.Queued }
+// Outstanding is the work that the endpoint has.
+func (r *Report) Outstanding() int { return r.Running + r.Queued }
 
 // Reading is the result of one poll. Exactly one of Report and Err is set,
 // or Absent for an endpoint that gives no reports.
 type Reading struct {
-	Report *Report
-	Absent bool
-	Err    error
-	At     clock.Millis
+	Report      *Report
+	Unsupported bool
+	Err         error
+	At          clock.Millis
 }
 
 // StatusError says that the endpoint gave no report.
@@ -118,8 +118,8 @@
 // Done closes once the poller has ended.
 func (p *Poller) Done() <-chan struct{} { return p.done }
 
-// Poke asks for a reading at once.
-func (p *Poller) Poke() {
+// PollNow asks for a reading at once.
+func (p *Poller) PollNow() {
 	select {
 	case p.poke <- struct{}{}:
 	default:
@@ -169,7 +169,7 @@
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
-		return Reading{Absent: true, At: p.clock.Now()}
+		return Reading{Unsupported: true, At: p.clock.Now()}
 	default:
 		return Reading{Err: &StatusError{Status: response.StatusCode}, At: p.clock.Now()}
 	}
--- a/internal/engine/load/load_test.go
+++ b/internal/engine/load/load_test.go
@@ -22,15 +22,15 @@
 	}{
 		{"report with its age", 200, `{"startId":7,"running":3,"queued":1,"limit":8,"cold":true,"asOfMs":400}`, func(t *testing.T, r load.Reading) {
 			assert.Equal(t, r.Report.StartID, "7")
-			assert.Equal(t, r.Report.Busy(), 4)
+			assert.Equal(t, r.Report.Outstanding(), 4)
 			assert.Equal(t, r.Report.AsOf, clock.Millis(600))
 			assert.Assert(t, r.Report.Cold)
 		}},
 		{"nonsense numbers", 200, `{"running":-3,"limit":-1,"asOfMs":-9}`, func(t *testing.T, r load.Reading) {
-			assert.Equal(t, r.Report.Busy(), 0)
+			assert.Equal(t, r.Report.Outstanding(), 0)
 			assert.Equal(t, r.Report.AsOf, clock.Millis(1000))
 		}},
-		{"no reports", 404, ``, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Absent) }},
+		{"no reports", 404, ``, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Unsupported) }},
 		{"failure", 500, ``, func(t *testing.T, r load.Reading) { assert.ErrorType(t, r.Err, &load.StatusError{}) }},
 		{"no JSON", 200, `<html>`, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Err != nil) }},
 	}
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	p.Start(ctx)
 	<-readings
-	p.Poke()
+	p.PollNow()
 	<-readings
 	cancel()
 	<-p.Done()
--- a/internal/engine/order/giver.go
+++ b/internal/engine/order/giver.go
@@ -33,13 +33,13 @@
 	return fmt.Sprintf("fencing number %d is old: the engine has seen %d", e.Fence, e.Highest)
 }
 
-// LapsedError says that an order was not given because the lease had lapsed.
-type LapsedError struct {
+// ExpiredError says that an order was not given because the lease had lapsed.
+type ExpiredError struct {
 	Order Order
 }
 
 // Error implements error.
-func (e *LapsedError) Error() string {
+func (e *ExpiredError) Error() string {
 	return fmt.Sprintf("lease lapsed before order %s of %s", e.Order.Op, e.Order.name())
 }
 
@@ -62,23 +62,23 @@
 // Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Cause }
 
-// SteppedBackError says that another agent took over the engine: this one
+// SupersededError says that another agent took over the engine: this one
 // gives no order any more.
-type SteppedBackError struct {
+type SupersededError struct {
 	Holder string
 	Fence  uint64
 }
 
 // Error implements error.
-func (e *SteppedBackError) Error() string {
+func (e *SupersededError) Error() string {
 	return fmt.Sprintf("agent %s gives the orders now, with fencing number %d", e.Holder, e.Fence)
 }
 
-// Giver gives orders to one engine. It is used by one goroutine.
-type Giver struct {
+// Issuer gives orders to one engine. It is used by one goroutine.
+type Issuer struct {
 	lease *lease.Lease
 	// stepped is set when another agent took over.
-	stepped *SteppedBackError
+	stepped *SupersededError
 	// ignores says that the engine doesn't check fencing numbers: the agent is
 	// the fence.
 	ignores bool
@@ -87,23 +87,23 @@
 	sendFunc func(ctx context.Context, order Order) error
 }
 
-// NewGiver returns a giver that delivers orders with send.
-func NewGiver(c *clock.Clock, held *lease.Lease, ignores bool, send func(context.Context, Order) error) *Giver {
-	return &Giver{clock: c, lease: held, ignores: ignores, sendFunc: send}
+// NewIssuer returns a giver that delivers orders with send.
+func NewIssuer(c *clock.Clock, held *lease.Lease, ignores bool, send func(context.Context, Order) error) *Issuer {
+	return &Issuer{clock: c, lease: held, ignores: ignores, sendFunc: send}
 }
 
-// Give gives one order. Before it, the giver makes sure that it is the rightful
+// Issue gives one order. Before it, the giver makes sure that it is the rightful
 // one: its first act is to take a number above all that the platform knows,
 // and each order renews the lease. When another agent took over, it steps back
 // for good: two agents that seize from each other in turn would never settle.
-func (g *Giver) Give(ctx context.Context, order Order) error {
+func (g *Issuer) Issue(ctx context.Context, order Order) error {
 	if err := g.ready(ctx); err != nil {
 		return g.stepBack(err)
 	}
 	// The check comes last, after every wait: this process may have been paused
 	// anywhere above, and another agent may have taken over meanwhile.
 	if !g.lease.Valid() {
-		return &LapsedError{Order: order}
+		return &ExpiredError{Order: order}
 	}
 	order.Fence = g.lease.Fence()
 	err := g.sendFunc(ctx, order)
@@ -123,10 +123,10 @@
 	return err
 }
 
-func (g *Giver) stepBack(err error) error {
+func (g *Issuer) stepBack(err error) error {
 	var held *lease.HeldError
 	if errors.As(err, &held) {
-		g.stepped = &SteppedBackError{Holder: held.Holder, Fence: held.Fence}
+		g.stepped = &SupersededError{Holder: held.Holder, Fence: held.Fence}
 		return g.stepped
 	}
 	return err
@@ -135,7 +135,7 @@
 // ready takes the lease once, and renews it before each order. An engine that
 // ignores fencing numbers gets no order before all that an earlier agent may
 // have sent has arrived.
-func (g *Giver) ready(ctx context.Context) error {
+func (g *Issuer) ready(ctx context.Context) error {
 	if g.stepped != nil {
 		return g.stepped
 	}
@@ -144,7 +144,7 @@
 			return err
 		}
 	}
-	if quiet := g.lease.Quiet(); g.ignores && quiet > 0 {
+	if quiet := g.lease.QuietPeriod(); g.ignores && quiet > 0 {
 		if err := g.clock.Sleep(ctx, quiet); err != nil {
 			return err
 		}
--- a/internal/engine/order/model_test.go
+++ b/internal/engine/order/model_test.go
@@ -190,9 +190,9 @@
 			nonces++
 			return fmt.Sprint(name, nonces)
 		}))
-		giver := order.NewGiver(c, held, !b.checks, b.send(a))
+		giver := order.NewIssuer(c, held, !b.checks, b.send(a))
 		for range orders {
-			if err := giver.Give(context.Background(), order.Order{Op: order.OpLoad, Model: name}); err != nil {
+			if err := giver.Issue(context.Background(), order.Order{Op: order.OpLoad, Model: name}); err != nil {
 				a.Note("failed")
 				b.errs = append(b.errs, err)
 			}
--- a/internal/engine/spell/spell.go
+++ b/internal/engine/spell/spell.go
@@ -16,8 +16,8 @@
 	Tokens int64
 }
 
-// Demand is what a caller's request asks for besides its bytes.
-type Demand struct {
+// RequestInfo is what a caller's request asks for besides its bytes.
+type RequestInfo struct {
 	// Request identifies the caller's attempt.
 	Request string
 	// Deadline is how long the caller waits; 0 when it doesn't say.
@@ -47,16 +47,16 @@
 	Organisation string
 	// Inputs are the references that a generation reads; WithInputs tells a
 	// request without any from one that has no stages.
-	Inputs     []string
-	WithInputs bool
+	Inputs    []string
+	HasInputs bool
 	// LastEvent is where a stream goes on; empty starts at its beginning.
 	LastEvent string
 	// Urgency ranks the request at its engine, 0 first; negative says nothing.
 	Urgency int
 }
 
-// Marks are what an endpoint says of an answer besides its status.
-type Marks struct {
+// ResponseInfo are what an endpoint says of an answer besides its status.
+type ResponseInfo struct {
 	// Request is the attempt that the answer belongs to.
 	Request string
 	// Sealed says that the answer bears the endpoint's seal.
@@ -96,8 +96,8 @@
 	FailedLate Failure = "late"
 	// FailedInput means that one of its inputs no longer exists.
 	FailedInput Failure = "inputGone"
-	// FailedRoom means that the engine had no memory for the result.
-	FailedRoom Failure = "noRoom"
+	// FailedMemory means that the engine had no memory for the result.
+	FailedMemory Failure = "noRoom"
 	// FailedWork means that the work itself failed.
 	FailedWork Failure = "workFailed"
 )
@@ -111,41 +111,41 @@
 // StageReport is what a stage engine says of itself. It is some hundred
 // milliseconds old.
 type StageReport struct {
-	// FreeLeast and FreeMost are how many bytes are free for results: reports give
+	// MinFree and FreeMost are how many bytes are free for results: reports give
 	// whole megabytes.
-	FreeLeast int64
-	FreeMost  int64
+	MinFree int64
+	MaxFree int64
 	// Busy says that it works on a call.
 	Busy bool
 }
 
-// Spelling spells calls to endpoints and reads what they answer.
-type Spelling struct {
+// Codec spells calls to endpoints and reads what they answer.
+type Codec struct {
 	// ReadyPath is where the platform asks whether this process takes callers.
 	ReadyPath string
 	// PiecesPath and UnusedPath are where stage engines take work, and hear
 	// which results nobody needs any more.
 	PiecesPath string
-	UnusedPath string
+	FreePath   string
 	// ReportPath is where an engine tells its memory for results.
 	ReportPath string
-	// DemandFunc reads what a caller asks for.
-	DemandFunc func(http.Header) (Demand, error)
-	// OwnFunc reports whether a header, by its canonical name, is the system's
+	// RequestInfoFunc reads what a caller asks for.
+	RequestInfoFunc func(http.Header) (RequestInfo, error)
+	// ReservedFunc reports whether a header, by its canonical name, is the system's
 	// to set and is not passed on as the caller sent it.
-	OwnFunc func(name string) bool
+	ReservedFunc func(name string) bool
 	// CallFunc appends the header lines of a call.
 	CallFunc func(buf []byte, call *Call) []byte
 	// InstanceFunc appends the header line that names the expected instance.
 	InstanceFunc func(buf []byte, instance string) []byte
-	// MarksFunc reads the marks of an answer.
-	MarksFunc func(http.Header) Marks
+	// ResponseInfoFunc reads the marks of an answer.
+	ResponseInfoFunc func(http.Header) ResponseInfo
 	// PiecesFunc encodes a call of pieces; ResultsFunc decodes its answer, which
 	// must have count results.
 	PiecesFunc  func(pieces []Piece) ([]byte, error)
 	ResultsFunc func(raw []byte, count int) ([]Result, error)
 	// ReportFunc reads the report of a stage engine.
 	ReportFunc func(raw []byte) (StageReport, error)
-	// UnusedFunc encodes references that nobody needs any more.
-	UnusedFunc func(references []string) ([]byte, error)
+	// FreeFunc encodes references that nobody needs any more.
+	FreeFunc func(references []string) ([]byte, error)
 }
--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -140,8 +140,8 @@
 	return k
 }
 
-// SetFleet sets the budget by the number of processes that share the platform.
-func (k *Caller) SetFleet(processes int) {
+// SetFleetSize sets the budget by the number of processes that share the platform.
+func (k *Caller) SetFleetSize(processes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.rate = min(k.most, max(leastRate, fleetRate/float64(max(processes, 1))))
@@ -155,17 +155,17 @@
 	return k.rate
 }
 
-// HeldBackError is the cause of an UnavailableError when this process did not
+// ThrottledError is the cause of an UnavailableError when this process did not
 // ask the platform.
-type HeldBackError struct {
+type ThrottledError struct {
 	Reason Reason
-	// Why is "budget" or "backoff".
-	Why string
+	// LimitedBy is "budget" or "backoff".
+	LimitedBy string
 }
 
 // Error implements error.
-func (e *HeldBackError) Error() string {
-	return fmt.Sprintf("call for %s held back by the %s", e.Reason, e.Why)
+func (e *ThrottledError) Error() string {
+	return fmt.Sprintf("call for %s held back by the %s", e.Reason, e.LimitedBy)
 }
 
 // Store returns the seam for calls of one reason.
@@ -201,7 +201,7 @@
 		k.calls.WithLabelValues(name, reason.String(), why).Inc()
 		var none T
 		return none, &store.UnavailableError{
-			Name: object, RetryAfter: after, Cause: &HeldBackError{Reason: reason, Why: why},
+			Name: object, RetryAfter: after, Cause: &ThrottledError{Reason: reason, LimitedBy: why},
 		}
 	}
 	result, err := call()
@@ -266,8 +266,8 @@
 	k.heard = k.clock.Now()
 }
 
-// Heard returns the instant of the platform's last answer, 0 before the first.
-func (k *Caller) Heard() clock.Millis {
+// LastAnswer returns the instant of the platform's last answer, 0 before the first.
+func (k *Caller) LastAnswer() clock.Millis {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.heard
--- a/internal/plat/call/call_test.go
+++ b/internal/plat/call/call_test.go
@@ -29,9 +29,9 @@
 
 func heldBack(t *testing.T, err error) string {
 	t.Helper()
-	var held *call.HeldBackError
+	var held *call.ThrottledError
 	assert.Assert(t, errors.As(err, &held), "got %v", err)
-	return held.Why
+	return held.LimitedBy
 }
 
 // The list of hosts is read in a burst while an operator takes a zone out. The
@@ -91,7 +91,7 @@
 	fake := clock.NewFake(1)
 	p := &platform{}
 	k := call.New(p.store(), call.WithClock(fake.Clock()))
-	k.SetFleet(500)
+	k.SetFleetSize(500)
 	for range 1000 {
 		_, _ = k.Store(call.Config).Get(t.Context(), "a")
 		fake.Advance(10)
--- a/internal/plat/lease/lease.go
+++ b/internal/plat/lease/lease.go
@@ -129,18 +129,18 @@
 	return max(0, l.until-l.clock.Now())
 }
 
-// Quiet returns how long what an earlier holder did in good faith may still
+// QuietPeriod returns how long what an earlier holder did in good faith may still
 // arrive: its term, and the delay of a message that it sent at the end of it.
 // Who gives orders to something that ignores fencing numbers waits it out.
-func (l *Lease) Quiet() clock.Millis {
+func (l *Lease) QuietPeriod() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.quiet-l.clock.Now())
 }
 
-// Take takes the lease if it is free, released, or its holder has been silent
+// Acquire takes the lease if it is free, released, or its holder has been silent
 // for a term. Otherwise it fails with a HeldError.
-func (l *Lease) Take(ctx context.Context) error { return l.acquire(ctx, 0, false) }
+func (l *Lease) Acquire(ctx context.Context) error { return l.acquire(ctx, 0, false) }
 
 // Seize takes the lease from whoever holds it, with a fencing number of at
 // least floor. The earlier holder finds out when it renews.
--- a/internal/plat/lease/lease_test.go
+++ b/internal/plat/lease/lease_test.go
@@ -70,12 +70,12 @@
 // the first wakes up it must see by its own clock that it holds nothing.
 func TestPausedHolderFindsItsLeaseLapsed(t *testing.T) {
 	fake, a, b := two(&platform{})
-	assert.NilError(t, a.Take(t.Context()))
+	assert.NilError(t, a.Acquire(t.Context()))
 	assert.Assert(t, a.Valid())
-	assert.Equal(t, held(t, b.Take(t.Context())).Holder, "a")
+	assert.Equal(t, held(t, b.Acquire(t.Context())).Holder, "a")
 	fake.Advance(term)
 	assert.Assert(t, !a.Valid())
-	assert.NilError(t, b.Take(t.Context()))
+	assert.NilError(t, b.Acquire(t.Context()))
 	assert.Assert(t, b.Fence() > 1)
 	assert.Equal(t, held(t, a.Renew(t.Context())).Holder, "b")
 	assert.Equal(t, a.Fence(), uint64(0))
@@ -84,9 +84,9 @@
 
 func TestRenewedLeaseIsNotTaken(t *testing.T) {
 	fake, a, b := two(&platform{})
-	assert.NilError(t, a.Take(t.Context()))
+	assert.NilError(t, a.Acquire(t.Context()))
 	for range 5 {
-		assert.Equal(t, held(t, b.Take(t.Context())).Holder, "a")
+		assert.Equal(t, held(t, b.Acquire(t.Context())).Holder, "a")
 		fake.Advance(term / 2)
 		assert.NilError(t, a.Renew(t.Context()))
 		assert.Assert(t, a.Valid())
@@ -95,19 +95,19 @@
 
 func TestReleasedLeaseIsFreeAtOnce(t *testing.T) {
 	_, a, b := two(&platform{})
-	assert.NilError(t, a.Take(t.Context()))
+	assert.NilError(t, a.Acquire(t.Context()))
 	assert.NilError(t, a.Release(t.Context()))
-	assert.NilError(t, b.Take(t.Context()))
+	assert.NilError(t, b.Acquire(t.Context()))
 	assert.Equal(t, b.Fence(), uint64(2))
-	assert.Equal(t, b.Quiet(), clock.Millis(0))
+	assert.Equal(t, b.QuietPeriod(), clock.Millis(0))
 }
 
 func TestSeizeTakesAHigherNumber(t *testing.T) {
 	_, a, b := two(&platform{})
-	assert.NilError(t, a.Take(t.Context()))
+	assert.NilError(t, a.Acquire(t.Context()))
 	assert.NilError(t, b.Seize(t.Context(), 40))
 	assert.Equal(t, b.Fence(), uint64(40))
-	assert.Assert(t, b.Quiet() > term)
+	assert.Assert(t, b.QuietPeriod() > term)
 	assert.Equal(t, held(t, a.Renew(t.Context())).Fence, uint64(40))
 }
 
@@ -126,10 +126,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := &platform{lose: c.lose}
 			_, a, b := two(p)
-			err := a.Take(t.Context())
+			err := a.Acquire(t.Context())
 			assert.Equal(t, err == nil, c.taken)
 			assert.Equal(t, a.Valid(), c.taken)
-			assert.Equal(t, b.Take(t.Context()) == nil, !c.taken)
+			assert.Equal(t, b.Acquire(t.Context()) == nil, !c.taken)
 		})
 	}
 }
--- a/internal/plat/slot/slot.go
+++ b/internal/plat/slot/slot.go
@@ -94,7 +94,7 @@
 		first := rand.N(s.count)
 		for i := range s.count {
 			one := s.leases[(first+i)%s.count]
-			err := one.Take(ctx)
+			err := one.Acquire(ctx)
 			if err == nil {
 				return one, nil
 			}
--- a/internal/serve/agent/offer.go
+++ b/internal/serve/agent/offer.go
@@ -49,7 +49,7 @@
 	at := a.openAttempt(now, s, c)
 	decision := a.gate.Offer(now, a.item(at))
 	if decision.Probe {
-		a.poller.Poke()
+		a.poller.PollNow()
 	}
 	if decision.HasEvicted {
 		a.refuseQueued(now, decision.Evicted, fault.QueueFull)
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -39,7 +39,7 @@
 	request := &call.Request{
 		ID: at.call.ID.String(), Idempotent: at.call.Idempotent, Key: at.call.Key, TimeLeft: left,
 		Method: at.call.Method, Path: at.call.Path, Body: at.call.Body,
-		Model: at.call.Model, Priority: at.call.Priority, Cut: a.markSuspect,
+		Model: at.call.Model, Priority: at.call.Priority, OnCut: a.markSuspect,
 	}
 	began := time.Now()
 	answer, err := a.callEndpoint(ctx, request, func(bytes []byte) error { return a.appendPart(at, bytes) })
@@ -55,10 +55,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.gate.MarkSuspect(a.clock.Now())
-	a.poller.Poke()
+	a.poller.PollNow()
 }
 
-func (a *Agent) callEndpoint(ctx context.Context, request *call.Request, appendBytes call.Taker) (call.Answer, error) {
+func (a *Agent) callEndpoint(ctx context.Context, request *call.Request, appendBytes call.Sink) (call.Answer, error) {
 	switch a.settings.Kind {
 	case manif.KindGenerate:
 		return a.caller.Generate(ctx, request, appendBytes)
--- a/internal/serve/agent/watch.go
+++ b/internal/serve/agent/watch.go
@@ -145,7 +145,7 @@
 	switch {
 	case reading.Err != nil:
 		a.observeFailure(now, reading.Err)
-	case reading.Absent:
+	case reading.Unsupported:
 		a.gate.SetNoReports()
 		a.observeGood(now)
 		a.setCauseLocked(now, drain.CauseUnknownLoad, false)
@@ -187,11 +187,11 @@
 		return
 	}
 	if a.drain.Has(drain.CauseUnknownLoad) {
-		a.gate.SetForeign(report.Busy())
+		a.gate.SetForeign(report.Outstanding())
 		return
 	}
 	if foreign := a.gate.Foreign(); foreign > 0 {
-		a.gate.SetForeign(min(foreign, max(report.Busy()-a.watch.ownWorkAt(report.AsOf), 0)))
+		a.gate.SetForeign(min(foreign, max(report.Outstanding()-a.watch.ownWorkAt(report.AsOf), 0)))
 	}
 }
 
--- a/internal/serve/gate/accept.go
+++ b/internal/serve/gate/accept.go
@@ -18,7 +18,7 @@
 
 // request is the state of one caller's request.
 type request struct {
-	spell.Demand
+	spell.RequestInfo
 	// partKeys identify the parts of the prompt in messages between processes.
 	partKeys []target.Key
 
@@ -107,8 +107,8 @@
 // refuses reaches no endpoint.
 func (g *Gate) accept(w http.ResponseWriter, r *http.Request, now clock.Millis) (*request, *fault.RefusalError) {
 	req := &request{began: now, firstArrival: now, method: r.Method, host: r.Host, target: r.RequestURI, header: r.Header}
-	demand, err := g.Spelling.DemandFunc(r.Header)
-	req.Demand = demand
+	demand, err := g.Spelling.RequestInfoFunc(r.Header)
+	req.RequestInfo = demand
 	req.partKeys = target.KeysOf(demand.Parts)
 	if len(r.TransferEncoding) > 0 {
 		// If a request has both a Content-Length and chunked encoding, two readers may
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -181,7 +181,7 @@
 		LastEvent: req.LastEvent, Urgency: -1,
 	}
 	if req.run != nil {
-		call.Inputs, call.WithInputs = req.run.FinalResults(), true
+		call.Inputs, call.HasInputs = req.run.FinalResults(), true
 	}
 	if req.pool.Generation != nil {
 		call.Urgency = urgency(req, now)
@@ -200,8 +200,8 @@
 	id := req.Request
 	return &conn.Request{
 		Method: req.method, Head: head, Body: req.body, MaxIdle: maxIdle,
-		OwnFunc: func(header http.Header, fresh bool) bool {
-			answerID := g.Spelling.MarksFunc(header).Request
+		MatchFunc: func(header http.Header, fresh bool) bool {
+			answerID := g.Spelling.ResponseInfoFunc(header).Request
 			return answerID == id || (answerID == "" && fresh)
 		},
 	}
@@ -222,7 +222,7 @@
 func (g *Gate) appendHeaders(head []byte, header http.Header) []byte {
 	drop := connectionHeaders(header)
 	for name, values := range header {
-		if hopHeaders[name] || drop[name] || g.Spelling.OwnFunc(name) {
+		if hopHeaders[name] || drop[name] || g.Spelling.ReservedFunc(name) {
 			continue
 		}
 		for _, value := range values {
@@ -263,7 +263,7 @@
 
 // handleReply decides by the head of an answer whether to pass it on.
 func (g *Gate) handleReply(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, timer *stallTimer, began clock.Millis) attemptResult {
-	marks := g.Spelling.MarksFunc(reply.Header)
+	marks := g.Spelling.ResponseInfoFunc(reply.Header)
 	if marks.Cold > 0 {
 		t.SetCold(g.Clock.Now() + marks.Cold)
 	}
@@ -285,7 +285,7 @@
 
 // handleRefusal returns the result of an attempt whose endpoint answered that it did not
 // run the request.
-func (g *Gate) handleRefusal(req *request, t *target.Target, reply *conn.Reply, marks spell.Marks) attemptResult {
+func (g *Gate) handleRefusal(req *request, t *target.Target, reply *conn.Reply, marks spell.ResponseInfo) attemptResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxPlainBytes)) // only the head matters
 	now := g.Clock.Now()
 	g.Log.Info("endpoint refused", "request", req.Request, "endpoint", t.ID, "status", reply.Status,
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -37,7 +37,7 @@
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
-	Spelling *spell.Spelling
+	Spelling *spell.Codec
 	Registry prometheus.Registerer
 	// Name of this process, and its availability zone.
 	Name string
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -34,7 +34,7 @@
 // passComplete reads an answer to its end and then passes it on. If the answer breaks off,
 // the caller has received nothing: the request can go to another endpoint if it may be
 // repeated, and otherwise the caller gets a failure instead of a partial answer.
-func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, marks spell.Marks, began clock.Millis) attemptResult {
+func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, marks spell.ResponseInfo, began clock.Millis) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlainBytes+1))
 	if err != nil {
 		t.Failed(g.Clock.Now())
@@ -94,7 +94,7 @@
 	if err == nil {
 		_, err = io.Copy(w, reply.Body)
 	}
-	if err != nil || !reply.Whole() {
+	if err != nil || !reply.Complete() {
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the connection failed before the end of a long answer")}
 	}
 	return attemptResult{outcome: answered}
@@ -172,7 +172,7 @@
 
 // handleStreamEnd returns the result of a stream that has ended or broken off.
 func (g *Gate) handleStreamEnd(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, err error) attemptResult {
-	if errors.Is(err, io.EOF) && reply.Whole() {
+	if errors.Is(err, io.EOF) && reply.Complete() {
 		t.Answered(0, false)
 		l.rolloutAttempt.RecordAnswer(false)
 		if !req.headSent {
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -222,7 +222,7 @@
 	if err != nil {
 		return nil, &conn.SentError{Address: endpoint.Address, Cause: err}
 	}
-	marks := h.Spelling.MarksFunc(reply.Header)
+	marks := h.Spelling.ResponseInfoFunc(reply.Header)
 	switch {
 	case marks.NotRun || reply.Status == http.StatusMisdirectedRequest:
 		return nil, &RefusedError{Endpoint: endpoint.ID, Status: reply.Status}
@@ -300,7 +300,7 @@
 			h.failJob(job, fault.InputGone)
 		case spell.FailedLate:
 			h.failJob(job, fault.DeadlinePassed)
-		case spell.FailedRoom:
+		case spell.FailedMemory:
 			job.attempts[item.Piece]-- // the piece did not run
 			h.retryPiece(q, item, fault.Overloaded, now)
 		default:
@@ -329,7 +329,7 @@
 func (e *engine) recordShortage(items []batch.Item, results []spell.Result, limits memory.Limits, now clock.Millis) {
 	smallest, failed := int64(0), 0
 	for i, result := range results {
-		if result.Failure != spell.FailedRoom {
+		if result.Failure != spell.FailedMemory {
 			continue
 		}
 		failed++
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -88,7 +88,7 @@
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
-	Spelling *spell.Spelling
+	Spelling *spell.Codec
 	// Table and View return the current routes and endpoints.
 	Table func() *table.Table
 	View  func() *view.Snapshot
--- a/internal/serve/host/host_test.go
+++ b/internal/serve/host/host_test.go
@@ -61,7 +61,7 @@
 func (e *engine) serve(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/report":
-		_ = json.NewEncoder(w).Encode(spell.StageReport{FreeLeast: 1000, FreeMost: 1000, Busy: e.running.Load() > 0})
+		_ = json.NewEncoder(w).Encode(spell.StageReport{MinFree: 1000, MaxFree: 1000, Busy: e.running.Load() > 0})
 		return
 	case "/unused":
 		var references []string
@@ -110,12 +110,12 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func spelling() *spell.Spelling {
-	return &spell.Spelling{
-		PiecesPath: "/pieces", UnusedPath: "/unused", ReportPath: "/report",
-		InstanceFunc: func(buf []byte, _ string) []byte { return buf },
-		MarksFunc:    func(h http.Header) spell.Marks { return spell.Marks{NotRun: h.Get("Not-Run") != ""} },
-		PiecesFunc:   func(pieces []spell.Piece) ([]byte, error) { return json.Marshal(pieces) },
+func spelling() *spell.Codec {
+	return &spell.Codec{
+		PiecesPath: "/pieces", FreePath: "/unused", ReportPath: "/report",
+		InstanceFunc:     func(buf []byte, _ string) []byte { return buf },
+		ResponseInfoFunc: func(h http.Header) spell.ResponseInfo { return spell.ResponseInfo{NotRun: h.Get("Not-Run") != ""} },
+		PiecesFunc:       func(pieces []spell.Piece) ([]byte, error) { return json.Marshal(pieces) },
 		ResultsFunc: func(raw []byte, _ int) ([]spell.Result, error) {
 			var results []spell.Result
 			return results, json.Unmarshal(raw, &results)
@@ -124,7 +124,7 @@
 			var report spell.StageReport
 			return report, json.Unmarshal(raw, &report)
 		},
-		UnusedFunc: func(references []string) ([]byte, error) { return json.Marshal(references) },
+		FreeFunc: func(references []string) ([]byte, error) { return json.Marshal(references) },
 	}
 }
 
@@ -256,7 +256,7 @@
 	e.answer = func(piece spell.Piece) spell.Result {
 		calls.Add(1)
 		if time.Now().Before(freeFrom) {
-			return spell.Result{Failure: spell.FailedRoom}
+			return spell.Result{Failure: spell.FailedMemory}
 		}
 		return compute(piece)
 	}
@@ -390,7 +390,7 @@
 // fail pieces, lack memory and lose inputs, and some requests are dropped.
 func TestEachJobHasOneOutcome(t *testing.T) {
 	var calls atomic.Int64
-	failures := []spell.Failure{"", "", "", spell.FailedWork, "", spell.FailedRoom, "", "", spell.FailedInput, ""}
+	failures := []spell.Failure{"", "", "", spell.FailedWork, "", spell.FailedMemory, "", "", spell.FailedInput, ""}
 	var engines []*engine
 	for i := range 3 {
 		e := newEngine(t, fmt.Sprint("e", i))
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -41,9 +41,9 @@
 		// A busy engine without a call of this owner runs a call of another one.
 		foreign := report.Busy && e.calls == 0
 		e.memory.RecordReport(limits, memory.Report{
-			MinFree: report.FreeLeast, MaxFree: report.FreeMost, Pending: h.foreignPending(q, foreign),
+			MinFree: report.MinFree, MaxFree: report.MaxFree, Pending: h.foreignPending(q, foreign),
 		}, now)
-		h.Log.Info("engine memory read", "pool", q.name, "endpoint", e.ID, "freeBytes", report.FreeMost, "busy", report.Busy,
+		h.Log.Info("engine memory read", "pool", q.name, "endpoint", e.ID, "freeBytes", report.MaxFree, "busy", report.Busy,
 			"ownBytes", e.memory.OwnBytes(), "foreignBytes", e.memory.ForeignBytes(now))
 		h.blockBusy(q, e, foreign, now)
 	}
@@ -117,12 +117,12 @@
 const freeTimeout = 1500 * clock.Millis(1)
 
 func (h *Host) freeResults(endpoint *view.Endpoint, references []string) error {
-	body, err := h.Spelling.UnusedFunc(references)
+	body, err := h.Spelling.FreeFunc(references)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(h.base, freeTimeout.Duration())
 	defer cancel()
-	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.UnusedPath, body, maxReuseIdle)
+	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.FreePath, body, maxReuseIdle)
 	return err
 }
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -32,7 +32,7 @@
 // Dialect describes how a platform's store names and encodes the objects that a Gateway
 // follows.
 type Dialect struct {
-	Spelling *spell.Spelling
+	Spelling *spell.Codec
 	// Kinds of objects: the configuration, the endpoints, the availability zones
 	// that operators have evacuated, and the gateways.
 	ConfigKind, EndpointKind, EvacuatedKind, MemberKind string
--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -66,7 +66,7 @@
 	}
 	made := &Target{Endpoint: e, parts: make(map[Key]clock.Millis)}
 	made.Conns = conn.New(e.Address, conn.WithClock(s.clock), conn.WithDialed(s.dialed),
-		conn.WithMost(func() int { return s.most(e.Pool) }))
+		conn.WithMaxOpen(func() int { return s.most(e.Pool) }))
 	known, _ := s.byID.LoadOrStore(e, made)
 	return known.(*Target)
 }
--- a/internal/share/node/entry.go
+++ b/internal/share/node/entry.go
@@ -209,7 +209,7 @@
 		e.endpoints(pool, hosts)
 		return
 	}
-	e.caller.SetFleet(len(e.roster.Entries()))
+	e.caller.SetFleetSize(len(e.roster.Entries()))
 	addresses := slices.Clone(e.seeds)
 	for _, host := range hosts {
 		if !slices.Contains(addresses, host.Address) {
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -188,7 +188,7 @@
 		b.reach.Heard(s.Peer().AvailabilityZone, s.LastHeard())
 	}
 	if b.caller != nil {
-		b.reach.Platform(b.caller.Heard())
+		b.reach.Platform(b.caller.LastAnswer())
 	}
 }
 
