--- a/internal/engine/call/call.go
+++ b/internal/engine/call/call.go
@@ -1,12 +1,12 @@
-// Package call runs work at the endpoint beside the agent and knows, for each
-// failure, whether the work may have run.
+// Package call runs work at the endpoint on the agent's host. Its errors tell
+// whether failed work may have run.
 //
-// The HTTP transport of the standard library sends a request again by itself
-// when a reused connection turns out closed and the request has no body, a
-// GetBody, or an Idempotency-Key header. A booking would then run twice beneath
-// all of the project's own bookkeeping, and nobody would see it. Work that may
-// run at most once therefore never meets that transport: it gets a connection
-// of its own, one request is written to it, and one answer is read.
+// The HTTP transport of the standard library repeats a request automatically
+// when a reused connection turns out to be closed and the request has no body, a
+// GetBody, or an Idempotency-Key header. A non-idempotent request would then run
+// twice, and neither the callers of this package nor its counters would show it.
+// Work that may run at most once therefore doesn't use that transport: each
+// request gets its own connection, which carries one request and one answer.
 package call
 
 import (
@@ -27,58 +27,62 @@
 )
 
 const (
-	// DefaultIdle is how long an unused connection is kept. It is shorter than
-	// the usual idle timeout of servers (5 s and more): otherwise the endpoint
-	// closes the connection just as a request goes out on it, and the call
-	// fails though nothing is wrong. docs/design/sessions.md has both ways measured.
-	DefaultIdle = 4 * clock.Second
-	dialTimeout = clock.Second
-	chunkBytes  = 32 << 10
-	maxDetail   = 512
-	// MaxAnswer bounds one answer, in bytes.
+	// DefaultIdle is the default idle timeout of connections. It is shorter than
+	// the usual idle timeout of servers (5 s and more): otherwise the endpoint may
+	// close a connection just as a request is sent on it, and the call fails
+	// although the endpoint works. docs/design/sessions.md has measurements of both.
+	DefaultIdle  = 4 * clock.Second
+	dialTimeout  = clock.Second
+	chunkBytes   = 32 << 10
+	maxErrorBody = 512
+	// MaxAnswer is the maximum size of an answer in bytes.
 	MaxAnswer = 8 << 20
 	maxIdle   = 256
 )
 
-// ErrAbandoned as the cause of a context's end leaves the work to the endpoint:
-// nothing is told to it, as when the process had died.
-var ErrAbandoned = errors.New("work was left to the endpoint")
+// ErrAbandoned is a cause of a context's cancellation with which the work goes on
+// at the endpoint: no cancellation is sent to it, as if the process had crashed.
+var ErrAbandoned = errors.New("work was left running at the endpoint")
 
-// Request is one attempt of work.
+// Request is one attempt to run work.
 type Request struct {
 	ID         string
 	Idempotent bool
-	// Key goes to plain services as Idempotency-Key.
+	// Key is sent to plain services as Idempotency-Key.
 	Key      string
 	TimeLeft clock.Millis
 	Method   string
 	Path     string
 	Body     []byte
-	// Model and Priority are for model engines.
+	// Model and Priority are used by model engines only.
 	Model    string
 	Priority int
-	// OnCut, if set, is told at once when a stream is cut, before it is taken up again.
+	// OnCut, if set, is called when the connection of a stream breaks after its
+	// first token, before the stream is resumed.
 	OnCut func()
 }
 
-// Answer is what came with the end of the answer; its bytes went to the taker.
+// Answer describes a complete answer, whose bytes were passed to the Sink.
 type Answer struct {
 	Status      int
 	ContentType string
 	Tokens      int64
-	// EngineTime is what the endpoint says the work took; 0 when it says nothing.
+	// EngineTime is the duration of the work as reported by the endpoint; 0 if it
+	// reported none.
 	EngineTime clock.Millis
-	Cached     int64
+	// Cached is the number of cached tokens that the engine reported.
+	Cached int64
 }
 
-// Sink takes the bytes of an answer in order. They are only valid during the call.
+// Sink receives the bytes of an answer in order. The slice is only valid during
+// the call.
 type Sink func([]byte) error
 
-// FailedError says that the endpoint gave no whole answer.
+// FailedError is returned when the endpoint gave no complete answer.
 type FailedError struct {
 	Ran fault.Ran
-	// Reset says that the endpoint cut or refused the connection, which is also
-	// what an endpoint does that has fallen over.
+	// Reset is set if the endpoint closed or refused the connection. A crashed
+	// endpoint does the same.
 	Reset bool
 	Cause error
 }
@@ -89,7 +93,7 @@
 // Unwrap returns the cause.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// StatusError says that the endpoint answered with a failure.
+// StatusError is returned when the endpoint answered with a failure status.
 type StatusError struct {
 	Status int
 	Body   string
@@ -100,12 +104,12 @@
 	return fmt.Sprintf("endpoint answered %d: %s", e.Status, e.Body)
 }
 
-// Busy reports whether the endpoint refused for its load.
+// Busy reports whether the endpoint refused the request because of its load.
 func (e *StatusError) Busy() bool {
 	return e.Status == http.StatusTooManyRequests || e.Status == http.StatusServiceUnavailable
 }
 
-// TooLargeError says that an answer is larger than the system carries.
+// TooLargeError is returned for an answer larger than Bound bytes.
 type TooLargeError struct {
 	Bound int
 }
@@ -113,26 +117,26 @@
 // Error implements error.
 func (e *TooLargeError) Error() string { return fmt.Sprintf("answer is larger than %d bytes", e.Bound) }
 
-// Caller calls one endpoint. Its methods may be called at once from several goroutines.
+// Caller calls one endpoint. It is safe for concurrent use.
 type Caller struct {
 	base   *url.URL
 	idle   clock.Millis
 	dialer net.Dialer
 	shared *http.Client
-	// resumed counts streams that were taken up again after a cut.
+	// resumed is called each time a stream is resumed.
 	resumed func()
 }
 
-// Option changes a Caller while it is built.
+// Option configures a Caller.
 type Option func(*Caller)
 
-// WithIdle sets how long unused connections to the endpoint are kept.
-func WithIdle(span clock.Millis) Option { return func(c *Caller) { c.idle = span } }
+// WithIdle sets the idle timeout of connections to the endpoint.
+func WithIdle(timeout clock.Millis) Option { return func(c *Caller) { c.idle = timeout } }
 
-// WithResumed sets who counts resumed streams.
+// WithResumed sets a function that is called each time a stream is resumed.
 func WithResumed(resumed func()) Option { return func(c *Caller) { c.resumed = resumed } }
 
-// New returns a caller of the endpoint at a base URL.
+// New returns a Caller of the endpoint at a base URL.
 func New(base string, opts ...Option) (*Caller, error) {
 	parsed, err := url.Parse(base)
 	if err != nil || parsed.Host == "" || parsed.Scheme != "http" {
@@ -155,11 +159,11 @@
 	return c, nil
 }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Caller) Close() { c.shared.CloseIdleConnections() }
 
 // Run runs a stage of an encoder, retriever or reranker.
-func (c *Caller) Run(ctx context.Context, request *Request, take Sink) (Answer, error) {
+func (c *Caller) Run(ctx context.Context, request *Request, sink Sink) (Answer, error) {
 	response, err := c.send(ctx, request, http.MethodPost, "/v1/run", request.Body)
 	if err != nil {
 		return Answer{}, err
@@ -168,13 +172,13 @@
 	if response.StatusCode != http.StatusOK {
 		return Answer{}, statusError(response)
 	}
-	return c.copyAll(response, take)
+	return c.copyAll(response, sink)
 }
 
-// Plain runs one call of a plain service. Any status of the service is an
-// answer. Only where the call may be repeated is "too much to do" a failure:
-// it can be tried elsewhere then.
-func (c *Caller) Plain(ctx context.Context, request *Request, take Sink) (Answer, error) {
+// Plain runs one call of a plain service. Each status of the service counts as
+// an answer, except that an idempotent call fails with a StatusError if the
+// service is overloaded, because it can be retried at another endpoint.
+func (c *Caller) Plain(ctx context.Context, request *Request, sink Sink) (Answer, error) {
 	response, err := c.send(ctx, request, request.Method, request.Path, request.Body)
 	if err != nil {
 		return Answer{}, err
@@ -183,12 +187,12 @@
 	if busy := (&StatusError{Status: response.StatusCode}); request.Idempotent && busy.Busy() {
 		return Answer{}, statusError(response)
 	}
-	return c.copyAll(response, take)
+	return c.copyAll(response, sink)
 }
 
-func (c *Caller) copyAll(response *http.Response, take Sink) (Answer, error) {
+func (c *Caller) copyAll(response *http.Response, sink Sink) (Answer, error) {
 	answer := Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}
-	buf := make([]byte, min(chunkBytes, max(int(response.ContentLength)+1, maxDetail)))
+	buf := make([]byte, min(chunkBytes, max(int(response.ContentLength)+1, maxErrorBody)))
 	total := 0
 	for {
 		n, err := response.Body.Read(buf)
@@ -197,8 +201,8 @@
 			return answer, &TooLargeError{Bound: MaxAnswer}
 		}
 		if n > 0 {
-			if taken := take(buf[:n]); taken != nil {
-				return answer, taken
+			if sinkErr := sink(buf[:n]); sinkErr != nil {
+				return answer, sinkErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -211,14 +215,15 @@
 }
 
 func statusError(response *http.Response) error {
-	detail, err := io.ReadAll(io.LimitReader(response.Body, maxDetail))
+	detail, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	if err != nil {
 		detail = []byte(err.Error())
 	}
 	return &StatusError{Status: response.StatusCode, Body: string(detail)}
 }
 
-// send writes the request on the path that its idempotence allows.
+// send sends an idempotent request on a shared connection and any other on its
+// own connection.
 func (c *Caller) send(ctx context.Context, request *Request, method, path string, body []byte) (*http.Response, error) {
 	target, err := c.base.Parse(path)
 	if err != nil || target.Host != c.base.Host {
@@ -228,7 +233,7 @@
 	if err != nil {
 		return nil, &fault.InvalidError{Path: "method", Value: method, Allowed: "an HTTP method"}
 	}
-	// With a body and no GetBody the transport can't send the request twice.
+	// The transport can't repeat a request that has a body but no GetBody.
 	built.GetBody = nil
 	built.Header.Set("Content-Type", "application/json")
 	built.Header.Set("X-Request-Id", request.ID)
@@ -247,26 +252,26 @@
 	if err == nil {
 		return response, nil
 	}
-	return nil, failure(err)
+	return nil, classifyError(err)
 }
 
-// failure classifies an error before the first byte of an answer.
-func failure(err error) *FailedError {
+// classifyError classifies an error that occurred before the answer began.
+func classifyError(err error) *FailedError {
 	failed := &FailedError{Ran: fault.MayHaveRun, Cause: err}
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		// Without a connection nothing was written.
+		// Without a connection, nothing was sent.
 		failed.Ran = fault.NotRun
 	}
 	failed.Reset = !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 	return failed
 }
 
-// sendOnce writes the request to a connection of its own, exactly once.
+// sendOnce sends the request once on a new connection.
 func (c *Caller) sendOnce(ctx context.Context, request *http.Request) (*http.Response, error) {
 	conn, err := c.dialer.DialContext(ctx, "tcp", c.base.Host)
 	if err != nil {
-		failed := failure(err)
+		failed := classifyError(err)
 		failed.Ran = fault.NotRun
 		return nil, failed
 	}
@@ -295,11 +300,11 @@
 		if err != nil || response.StatusCode >= http.StatusOK {
 			return response, err
 		}
-		// Interim answers (1xx) go before the one that counts.
+		// Skip interim responses (1xx).
 	}
 }
 
-// ownedBody closes the connection with the body.
+// ownedBody is a response body that closes its connection on Close.
 type ownedBody struct {
 	io.ReadCloser
 	conn    net.Conn
--- a/internal/engine/call/call_test.go
+++ b/internal/engine/call/call_test.go
@@ -18,12 +18,12 @@
 	"github.com/jujubescale/jujubescale/internal/engine/call"
 )
 
-// endpoint is a server that counts the requests it has read whole, and closes
-// connections at a chosen moment.
+// endpoint is a server that counts the requests that it has read completely and
+// can close connections at a chosen moment.
 type endpoint struct {
 	listener net.Listener
 	runs     atomic.Int64
-	// serve handles one request and reports whether the connection stays.
+	// serve handles one request and reports whether the connection stays open.
 	serve func(conn net.Conn, n int64) bool
 }
 
@@ -71,9 +71,9 @@
 
 func discard([]byte) error { return nil }
 
-// An endpoint closes the connection after it has taken a booking. The standard
-// transport sends such a request again by itself: the reel is booked twice, and
-// the counters show one call.
+// Guards against running non-idempotent work twice: the endpoint closes the
+// connection after it has read the request, and the standard transport would
+// repeat the request while the counters show one call.
 func TestWorkRunsAtMostOnce(t *testing.T) {
 	closings := []struct {
 		name  string
@@ -104,7 +104,7 @@
 				defer caller.Close()
 				one := &call.Request{ID: "r/0/0", Key: "k", Method: request.method, Path: "/book", Body: []byte(request.body)}
 				_, err = caller.Plain(t.Context(), one, discard)
-				if err == nil { // the first call only warms a connection up
+				if err == nil { // the first call only opened a connection
 					assert.Equal(t, e.runs.Load(), int64(1))
 					_, err = caller.Plain(t.Context(), one, discard)
 					assert.Equal(t, e.runs.Load(), int64(2))
@@ -120,7 +120,8 @@
 	}
 }
 
-// This shows the trap itself: the standard client runs one request twice.
+// Shows the behaviour that the package avoids: the standard client sends one
+// request twice.
 func TestStandardTransportRepeats(t *testing.T) {
 	e := newEndpoint(t, func(conn net.Conn, n int64) bool { return n != 2 && answer(conn, "ok") })
 	client := &http.Client{Transport: &http.Transport{}}
@@ -138,7 +139,7 @@
 	assert.Equal(t, e.runs.Load(), int64(3))
 }
 
-func TestNoConnectionIsNotRun(t *testing.T) {
+func TestDialFailureMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -153,9 +154,10 @@
 	}
 }
 
-// The endpoint takes the call and never answers. The deadline must end the
-// wait on both paths, and nobody may be told that it did not run.
-func TestSilentEndpoint(t *testing.T) {
+// The endpoint reads the call and never answers. The end of the context must end
+// the call on both kinds of connection, and the error must not claim that the
+// work did not run.
+func TestUnresponsiveEndpoint(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		ctx, cancel := context.WithCancel(t.Context())
 		release := make(chan struct{})
@@ -171,15 +173,15 @@
 	}
 }
 
-// An engine's stream is cut between tokens. Running the generation again would
-// cost its engine time twice; the caller sees a gap or doubled words.
+// Guards against gaps, repeated tokens and a second run of the generation when
+// the connection of an engine's stream breaks between tokens.
 func TestStreamResumes(t *testing.T) {
-	var froms []string
+	var bodies []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		assert.Check(t, err)
-		froms = append(froms, string(body))
-		if len(froms) == 1 {
+		bodies = append(bodies, string(body))
+		if len(bodies) == 1 {
 			_, _ = io.WriteString(w, "{\"index\":0,\"token\":\"a\"}\n{\"index\":1,\"token\":\"b\"}\n{\"ind")
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -197,7 +199,7 @@
 	assert.Equal(t, text.String(), "abc")
 	assert.Equal(t, got.Tokens, int64(3))
 	assert.Equal(t, resumed, 1)
-	assert.Assert(t, strings.Contains(froms[1], `"from":2`))
+	assert.Assert(t, strings.Contains(bodies[1], `"from":2`))
 }
 
 func TestBrokenStreams(t *testing.T) {
@@ -222,12 +224,12 @@
 			assert.NilError(t, err)
 			_, err = caller.Generate(t.Context(), &call.Request{ID: "r/0/0", Idempotent: true, Body: []byte(`{}`)}, discard)
 			assert.Assert(t, err != nil)
-			<-cancelled // the engine must not go on with what nobody can use
+			<-cancelled // the engine must not continue a generation whose answer is unusable
 		})
 	}
 }
 
-func TestPathStaysAtTheEndpoint(t *testing.T) {
+func TestPathOfAnotherHostIsRefused(t *testing.T) {
 	caller, err := call.New("http://127.0.0.1:1")
 	assert.NilError(t, err)
 	_, err = caller.Plain(t.Context(), &call.Request{Method: "POST", Path: "http://127.0.0.1:2/x"}, discard)
--- a/internal/engine/call/idle_test.go
+++ b/internal/engine/call/idle_test.go
@@ -17,9 +17,9 @@
 )
 
 // BenchmarkIdleTimeouts counts calls that fail only because the endpoint closed
-// an idle connection just as a call went out on it. Callers pause for about as
-// long as the endpoint keeps idle connections (20 ms here).
-// docs/design/sessions.md quotes it.
+// an idle connection just as a call was sent on it. Callers pause for about as
+// long as the idle timeout of the endpoint (20 ms here).
+// docs/design/sessions.md quotes the result.
 func BenchmarkIdleTimeouts(b *testing.B) {
 	const callers = 32
 	cases := []struct {
--- a/internal/engine/call/stream.go
+++ b/internal/engine/call/stream.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maxResumes bounds how often one stream is taken up again.
+	// maxResumes is the maximum number of times that a stream is resumed.
 	maxResumes = 3
-	// cancelTimeout is how long a cancellation may take.
+	// cancelTimeout is the timeout of a cancellation.
 	cancelTimeout = clock.Second
-	maxLine       = 1 << 20
+	// maxLine is the maximum length of a line of a stream in bytes.
+	maxLine = 1 << 20
 )
 
 // generateRequest is the body of POST /v1/generate.
@@ -32,7 +33,7 @@
 	From      int64           `json:"from,omitempty"`
 }
 
-// generateLine is one line of an engine's stream: a token, or the end.
+// generateLine is one line of an engine's stream: a token or the end line.
 type generateLine struct {
 	Index        int64  `json:"index"`
 	Token        string `json:"token"`
@@ -42,8 +43,8 @@
 	CachedTokens int64  `json:"cachedTokens"`
 }
 
-// LineError says that an engine's stream holds something other than the next
-// token or the end.
+// LineError is returned when a line of an engine's stream is neither the next
+// token nor a valid end line.
 type LineError struct {
 	Want  int64
 	Index int64
@@ -51,27 +52,29 @@
 }
 
 // Error implements error.
-func (e *LineError) Error() string { return "engine stream is broken: " + e.Cause }
+func (e *LineError) Error() string { return "engine stream is invalid: " + e.Cause }
 
-// Generate runs a generation at a model engine and hands its tokens on. A
-// stream that is cut is taken up again at the next token: the engine goes on
-// with it, and running it anew would cost its engine time twice. When the
-// context ends first, the engine is told to stop.
-func (c *Caller) Generate(ctx context.Context, request *Request, take Sink) (Answer, error) {
+// Generate runs a generation at a model engine and passes its tokens to sink.
+// After a broken connection it resumes the stream at the next token: the engine
+// continues to generate, and a new run would cost the engine time twice. If the
+// generation fails or the context ends first, Generate cancels it at the engine,
+// unless the cause is ErrAbandoned.
+func (c *Caller) Generate(ctx context.Context, request *Request, sink Sink) (Answer, error) {
 	body := generateRequest{}
 	if err := json.Unmarshal(request.Body, &body); err != nil {
 		return Answer{}, &fault.InvalidError{Path: "body", Value: err.Error(), Allowed: "a JSON object with input"}
 	}
 	body.ID, body.Model, body.Priority = request.ID, request.Model, request.Priority
-	answer, err := c.generate(ctx, request, &body, take)
-	if err != nil && mayRun(err) && !errors.Is(context.Cause(ctx), ErrAbandoned) {
+	answer, err := c.generate(ctx, request, &body, sink)
+	if err != nil && mayStillRun(err) && !errors.Is(context.Cause(ctx), ErrAbandoned) {
 		c.Cancel(context.WithoutCancel(ctx), request.ID)
 	}
 	return answer, err
 }
 
-// mayRun reports whether the engine may still work on what failed here.
-func mayRun(err error) bool {
+// mayStillRun reports whether the engine may still run a generation that failed
+// with err.
+func mayStillRun(err error) bool {
 	var failed *FailedError
 	if errors.As(err, &failed) {
 		return failed.Ran != fault.NotRun
@@ -80,9 +83,9 @@
 	return !errors.As(err, &status)
 }
 
-func (c *Caller) generate(ctx context.Context, request *Request, body *generateRequest, take Sink) (Answer, error) {
+func (c *Caller) generate(ctx context.Context, request *Request, body *generateRequest, sink Sink) (Answer, error) {
 	for resumes := 0; ; resumes++ {
-		answer, err := c.stream(ctx, request, body, take)
+		answer, err := c.stream(ctx, request, body, sink)
 		var failed *FailedError
 		cut := errors.As(err, &failed) && failed.Reset && body.From > 0
 		if cut && request.OnCut != nil {
@@ -95,8 +98,9 @@
 	}
 }
 
-// stream reads one connection's part of the answer. It moves body.From on.
-func (c *Caller) stream(ctx context.Context, request *Request, body *generateRequest, take Sink) (Answer, error) {
+// stream reads the part of the answer that one connection carries, and advances
+// body.From.
+func (c *Caller) stream(ctx context.Context, request *Request, body *generateRequest, sink Sink) (Answer, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, err
@@ -112,13 +116,13 @@
 	if response.StatusCode != http.StatusOK {
 		return Answer{}, statusError(response)
 	}
-	return readLines(ctx, response.Body, body, take)
+	return readLines(ctx, response.Body, body, sink)
 }
 
-func readLines(ctx context.Context, from io.Reader, body *generateRequest, take Sink) (Answer, error) {
+func readLines(ctx context.Context, from io.Reader, body *generateRequest, sink Sink) (Answer, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
-	lines.Split(wholeLines)
+	lines.Split(completeLines)
 	for lines.Scan() {
 		var line generateLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
@@ -130,7 +134,7 @@
 		if line.Index != body.From {
 			return Answer{}, &LineError{Want: body.From, Index: line.Index, Cause: "token out of order"}
 		}
-		if err := take([]byte(line.Token)); err != nil {
+		if err := sink([]byte(line.Token)); err != nil {
 			return Answer{}, err
 		}
 		body.From++
@@ -145,15 +149,17 @@
 	return Answer{}, &FailedError{Ran: fault.MayHaveRun, Reset: true, Cause: err}
 }
 
-// wholeLines leaves out a last line without its end: the stream was cut in it.
-func wholeLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
+// completeLines is a split function that drops a last line without a newline,
+// because the stream was cut within it.
+func completeLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
 	if atEOF && bytes.IndexByte(data, '\n') < 0 {
 		return len(data), nil, nil
 	}
 	return bufio.ScanLines(data, atEOF)
 }
 
-// answer checks the end line: an answer that lacks tokens is not whole.
+// answer returns the answer that the end line describes. It fails if fewer or
+// more tokens were received than the line states.
 func (l *generateLine) answer(received int64) (Answer, error) {
 	if l.Tokens != received {
 		return Answer{}, &LineError{Want: l.Tokens, Index: received, Cause: "tokens are missing at the end"}
@@ -164,8 +170,8 @@
 	}, nil
 }
 
-// Cancel tells the engine to stop a generation. It is harmless when the engine
-// has ended it.
+// Cancel asks the engine to stop a generation. It has no effect if the generation
+// has ended.
 func (c *Caller) Cancel(ctx context.Context, id string) {
 	ctx, done := context.WithTimeout(ctx, cancelTimeout.Duration())
 	defer done()
@@ -176,7 +182,7 @@
 	}
 	response, err := c.shared.Do(request)
 	if err != nil {
-		return // an engine that can't be reached stops with its host
+		return // an unreachable engine stops with its host
 	}
 	_ = response.Body.Close()
 }
--- a/internal/engine/conn/conn.go
+++ b/internal/engine/conn/conn.go
@@ -1,11 +1,11 @@
-// Package conn keeps HTTP/1.1 connections to endpoints and carries one request
-// at a time on each.
+// Package conn keeps HTTP/1.1 connections to endpoints and sends one request at a
+// time on each.
 //
-// The transport of net/http does not fit: it repeats some requests by itself,
-// while a request that may run once must be written once; it hands out the
-// next answer on a connection whoever it belongs to; and it doesn't tell
-// whether a failed request can have reached the endpoint. Parsing is that of
-// net/http all the same.
+// It replaces the transport of net/http for three reasons. That transport repeats
+// some requests automatically, while a request that may run at most once must be
+// written only once. It returns the next answer on a connection without a check
+// that the answer belongs to the request. And its errors don't tell whether a
+// failed request may have reached the endpoint. Answers are parsed with net/http.
 package conn
 
 import (
@@ -25,33 +25,34 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Within a region it takes a few
-	// milliseconds; an endpoint that is dark or that drops the opening packet is
-	// better left for another one, since nothing was sent to it yet.
+	// dialTimeout is the timeout for opening a connection, which takes a few
+	// milliseconds within a region. If an endpoint is unreachable or drops the
+	// opening packet, another one should be tried, since nothing was sent yet.
 	dialTimeout = 300 * clock.Millis(1)
-	// probeAfter and unackedFor make a connection fail that went silent without
-	// a reset: after a second of silence the kernel asks for a sign of life, and
-	// data or probes that stay unacknowledged for so long end the connection.
-	probeAfter = clock.Second
-	unackedFor = 1500 * clock.Millis(1)
-	// defaultIdle is how long an unused connection is kept when the endpoint
-	// doesn't say; idleMargin is how much earlier than it says this side stops
-	// using it, for the time that a request is on its way.
+	// probeAfter and unackedTimeout detect connections that fail without a reset:
+	// the kernel sends keep-alive probes after probeAfter without traffic, and
+	// closes the connection if data or probes stay unacknowledged for
+	// unackedTimeout.
+	probeAfter     = clock.Second
+	unackedTimeout = 1500 * clock.Millis(1)
+	// defaultIdle is the idle timeout of a connection if the endpoint announces
+	// none. An announced timeout is shortened by idleMargin, which allows for the
+	// transmission time of a request.
 	defaultIdle = 4 * clock.Second
 	idleMargin  = 700 * clock.Millis(1)
-	// inlineBytes is the largest request that is written before reading the
-	// answer. A larger one may block on a peer that answers before it has read
-	// everything, so it is written by a goroutine of its own.
+	// inlineBytes is the largest request that is written before the answer is
+	// read. The write of a larger one may block if the peer answers before it has
+	// read the whole request, so a separate goroutine does it.
 	inlineBytes = 4 << 10
 	readBuffer  = 4 << 10
-	// maxStrays is how many answers to other requests are skipped on one
-	// connection before it is given up.
+	// maxStrays is the number of answers to other requests that are skipped on
+	// one connection before the request fails.
 	maxStrays = 2
-	// maxStrayBytes bounds the body of such an answer.
+	// maxStrayBytes is the maximum size of the body of a skipped answer.
 	maxStrayBytes = 1 << 20
 )
 
-// NotSentError says that nothing of the request reached the endpoint.
+// NotSentError is returned when no part of the request reached the endpoint.
 type NotSentError struct {
 	Address string
 	Cause   error
@@ -63,8 +64,8 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// SentError says that the request may have reached the endpoint, which may
-// have run it.
+// SentError is returned when the request may have reached the endpoint and run
+// there.
 type SentError struct {
 	Address string
 	Cause   error
@@ -72,14 +73,14 @@
 
 // Error implements error.
 func (e *SentError) Error() string {
-	return fmt.Sprintf("no whole answer from %s: %v", e.Address, e.Cause)
+	return fmt.Sprintf("no complete answer from %s: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *SentError) Unwrap() error { return e.Cause }
 
-// FullError says that this process already has as many connections to the
-// endpoint as it may.
+// FullError is returned when all Max connections that this process may have to
+// the endpoint are in use.
 type FullError struct {
 	Max int
 }
@@ -87,33 +88,34 @@
 // Error implements error.
 func (e *FullError) Error() string { return fmt.Sprintf("all %d connections are in use", e.Max) }
 
-// StrayError says that the connection carried answers to other requests only.
+// StrayError is returned when the connection carried only answers to other
+// requests.
 type StrayError struct{}
 
 // Error implements error.
-func (*StrayError) Error() string { return "answers of other requests came instead" }
+func (*StrayError) Error() string { return "received only answers to other requests" }
 
-// Request is one request as bytes.
+// Request is one encoded request.
 type Request struct {
 	Method string
-	// Head is the request line and all header lines with the blank line.
+	// Head is the request line, all header lines and the blank line.
 	Head []byte
 	Body []byte
-	// MatchFunc reports whether an answer belongs to the request. An endpoint may
-	// send one answer twice, and the second one then stands where the answer to
-	// the next request is expected. Nil takes any.
+	// MatchFunc reports whether an answer belongs to the request. It is needed
+	// because an endpoint may send an answer twice, and the duplicate then arrives
+	// in place of the answer to the next request. Nil accepts any answer.
 	MatchFunc func(header http.Header, fresh bool) bool
-	// MaxIdle bounds how long the connection may have been unused; 0 wants a
-	// new one. What is written to a connection that the endpoint has just
-	// dropped may or may not have run.
+	// MaxIdle is the longest time for which a reused connection may have been idle;
+	// 0 requires a new one. If the endpoint closes a connection just as a request
+	// is written to it, it is unknown whether the request ran.
 	MaxIdle clock.Millis
 }
 
-// Group is the connections to one endpoint.
+// Group holds the connections to one endpoint.
 type Group struct {
 	address string
 	clock   *clock.Clock
-	most    func() int
+	maxOpen func() int
 	dialed  func()
 
 	mu     sync.Mutex
@@ -122,23 +124,23 @@
 	closed bool
 }
 
-// Option changes a Group while it is built.
+// Option configures a Group.
 type Option func(*Group)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(g *Group) { g.clock = c } }
 
-// WithMaxOpen sets the largest number of open connections.
-func WithMaxOpen(most func() int) Option { return func(g *Group) { g.most = most } }
+// WithMaxOpen sets the maximum number of open connections.
+func WithMaxOpen(maxOpen func() int) Option { return func(g *Group) { g.maxOpen = maxOpen } }
 
-// WithDialed sets who counts new connections.
+// WithDialed sets a function that is called for each new connection.
 func WithDialed(dialed func()) Option { return func(g *Group) { g.dialed = dialed } }
 
-// New returns the connections to the endpoint at an address (IP:port); it
-// opens none yet.
+// New returns a Group for the endpoint at an address (IP:port) without opening a
+// connection.
 func New(address string, opts ...Option) *Group {
 	const unbounded = 1 << 20
-	g := &Group{address: address, clock: clock.New(), most: func() int { return unbounded }, dialed: func() {}}
+	g := &Group{address: address, clock: clock.New(), maxOpen: func() int { return unbounded }, dialed: func() {}}
 	for _, opt := range opts {
 		opt(g)
 	}
@@ -147,15 +149,16 @@
 
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	fresh  bool
-	used   clock.Millis
-	until  clock.Millis // when the endpoint may close it
-	// spoiled connections carried an answer to another request.
-	spoiled bool
+	reader    *bufio.Reader
+	fresh     bool
+	lastUsed  clock.Millis
+	expiresAt clock.Millis // the endpoint may close the connection from this instant on
+	// sawStray is set once the connection has carried an answer to another request.
+	sawStray bool
 }
 
-// Close closes the unused connections; those in use close after their answer.
+// Close closes the idle connections. Connections in use are closed after their
+// answer.
 func (g *Group) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,14 +169,14 @@
 	g.idle = nil
 }
 
-// Sweep closes connections that were unused for too long.
+// Sweep closes connections whose idle timeout has passed.
 func (g *Group) Sweep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
 	kept := g.idle[:0]
 	for _, c := range g.idle {
-		if c.until > now {
+		if c.expiresAt > now {
 			kept = append(kept, c)
 			continue
 		}
@@ -183,32 +186,33 @@
 	g.idle = kept
 }
 
-// discard closes a connection; the caller holds the lock.
+// discard closes a connection. The caller must hold g.mu.
 func (g *Group) discard(c *conn) {
 	g.open--
-	_ = c.Close() // nothing is expected on it any more
+	_ = c.Close() // no answer is pending on it
 }
 
-// take returns an unused connection, or nil with leave to open one.
-func (g *Group) take(maxIdle clock.Millis) (*conn, error) {
+// acquire returns an idle connection, or nil if the caller may open a new one,
+// which it has then counted as open.
+func (g *Group) acquire(maxIdle clock.Millis) (*conn, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
 	for len(g.idle) > 0 && maxIdle > 0 {
 		last := len(g.idle) - 1
 		c := g.idle[last]
-		if now-c.used > maxIdle {
-			break // the others were unused for longer
+		if now-c.lastUsed > maxIdle {
+			break // all others have been idle for longer
 		}
 		g.idle = g.idle[:last]
-		if c.until > now && quiet(c) {
+		if c.expiresAt > now && noInput(c) {
 			return c, nil
 		}
 		g.discard(c)
 	}
-	if most := g.most(); g.open >= most {
+	if maxOpen := g.maxOpen(); g.open >= maxOpen {
 		if len(g.idle) == 0 {
-			return nil, &FullError{Max: most}
+			return nil, &FullError{Max: maxOpen}
 		}
 		g.discard(g.idle[0])
 		g.idle = g.idle[1:]
@@ -217,9 +221,9 @@
 	return nil, nil
 }
 
-// quiet reports whether nothing has arrived on an unused connection: neither
-// its end nor bytes that belong to no request.
-func quiet(c *conn) bool {
+// noInput reports whether an idle connection has received neither an end of file
+// nor bytes that belong to no request.
+func noInput(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -231,14 +235,14 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = control.Read(func(fd uintptr) bool {
 		var probe [1]byte
 		_, _, peeked := unix.Recvfrom(int(fd), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		nothing = errors.Is(peeked, unix.EAGAIN)
+		empty = errors.Is(peeked, unix.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
 func (g *Group) dial(ctx context.Context) (*conn, error) {
@@ -253,9 +257,9 @@
 	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer), fresh: true}, nil
 }
 
-// Dial opens a connection that fails when it goes silent without a reset: a
-// host without power or behind a partition answers nothing, and neither does a
-// connection that something between the two ends has forgotten.
+// Dial opens a connection that also fails if the peer becomes unreachable without
+// a reset, for instance because its host lost power, a network partition began,
+// or a middlebox dropped the connection's state.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout.Duration(),
@@ -264,20 +268,20 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without it a connection still works, only its silence lasts longer.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor))
+				// Without this option, a failed connection is only detected later.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout))
 			})
 		},
 	}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Do sends a request once and returns the beginning of its answer. It fails
-// with a NotSentError or a SentError. The context bounds the whole exchange,
-// the body included: when it ends, so does the connection, and with it most
-// endpoints' work.
+// Do sends a request once and returns its answer, whose body is still to be read.
+// It fails with a NotSentError or a SentError. The context applies to the whole
+// exchange including the body. When it ends, the connection is closed, and most
+// endpoints then stop the work.
 func (g *Group) Do(ctx context.Context, request *Request) (*Reply, error) {
-	c, err := g.take(request.MaxIdle)
+	c, err := g.acquire(request.MaxIdle)
 	if err == nil && c == nil {
 		c, err = g.dial(ctx)
 	}
@@ -289,9 +293,9 @@
 		r.Finish()
 		return nil, &NotSentError{Address: g.address, Cause: err}
 	}
-	past := time.Unix(1, 0)
+	inThePast := time.Unix(1, 0)
 	r.stop = context.AfterFunc(ctx, func() {
-		_ = c.SetDeadline(past) // the reader sees the error
+		_ = c.SetDeadline(inThePast) // pending reads then fail
 	})
 	if err := r.exchange(request); err != nil {
 		r.eof = nil
@@ -301,14 +305,14 @@
 	return r, nil
 }
 
-func (g *Group) put(c *conn, sound bool) {
+func (g *Group) release(c *conn, reusable bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	if !sound || g.closed || c.until <= now {
+	if !reusable || g.closed || c.expiresAt <= now {
 		g.discard(c)
 		return
 	}
-	c.fresh, c.used = false, now
+	c.fresh, c.lastUsed = false, now
 	g.idle = append(g.idle, c)
 }
--- a/internal/engine/conn/conn_test.go
+++ b/internal/engine/conn/conn_test.go
@@ -17,8 +17,7 @@
 	"github.com/jujubescale/jujubescale/internal/engine/conn"
 )
 
-// endpoint serves connections by a script: it is called with each connection
-// and its number.
+// endpoint starts a server that calls script with each connection and its number.
 func endpoint(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +38,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads one request with its body and returns its id.
+// readRequest reads one request including its body and returns its id.
 func readRequest(r *bufio.Reader) (string, error) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
@@ -72,7 +71,7 @@
 	return string(body), err
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	opened := 0
 	g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -97,11 +96,10 @@
 	assert.Equal(t, opened, 2)
 }
 
-// An endpoint answers one request twice, and the second copy arrives when the
-// next request is already on its way. Without a look at whom an answer belongs
-// to, a caller gets the answer of somebody else.
-func TestLateSecondAnswerReachesNobody(t *testing.T) {
-	asked := make(chan struct{})
+// Guards against returning the answer of another request: the endpoint answers a
+// request twice, and the duplicate arrives after the next request was sent.
+func TestDuplicateAnswerIsNotDelivered(t *testing.T) {
+	secondRequest := make(chan struct{})
 	g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		first, _ := readRequest(r)
 		_, _ = io.WriteString(c, answer(first, "one"))
@@ -109,7 +107,7 @@
 		if err != nil {
 			return
 		}
-		close(asked)
+		close(secondRequest)
 		_, _ = io.WriteString(c, answer(first, "one")+answer(second, "two"))
 		_, _ = readRequest(r)
 	}))
@@ -117,14 +115,14 @@
 	assert.NilError(t, err)
 	assert.Equal(t, body, "one")
 	body, err = do(t, g, "b")
-	<-asked
+	<-secondRequest
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
 }
 
-// Bytes beyond an answer are nobody's. The connection that carried them must
-// not carry another request, whose answer they would seem to be.
-func TestSurplusBytesEndAConnection(t *testing.T) {
+// Guards against taking surplus bytes after an answer for the answer to the next
+// request: a connection that received such bytes must not be reused.
+func TestSurplusBytesCloseTheConnection(t *testing.T) {
 	opened := 0
 	g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		id, err := readRequest(r)
@@ -138,17 +136,17 @@
 		body, err := do(t, g, id)
 		assert.NilError(t, err)
 		assert.Equal(t, body, "x")
-		time.Sleep(20 * time.Millisecond) // lets surplus bytes arrive that were not sent together
+		time.Sleep(20 * time.Millisecond) // the surplus bytes may arrive after the answer
 	}
 	assert.Equal(t, opened, 2)
 }
 
-// What goes wrong, and whether the request may have run then. A wrong "not
-// sent" lets a booking be made twice.
-func TestFailuresSayWhetherTheRequestWasSent(t *testing.T) {
+// Each failure after the request was sent must be a SentError: a NotSentError
+// would let non-idempotent work run twice.
+func TestErrorTypeShowsWhetherTheRequestWasSent(t *testing.T) {
 	for name, script := range map[string]func(c net.Conn, r *bufio.Reader){
 		"closed without an answer": func(_ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) },
-		"bytes that are no answer": func(c net.Conn, r *bufio.Reader) {
+		"invalid answer": func(c net.Conn, r *bufio.Reader) {
 			_, _ = readRequest(r)
 			_, _ = io.WriteString(c, "what?\r\n\r\n")
 		},
@@ -156,7 +154,7 @@
 			_, _ = readRequest(r)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		},
-		"answers of others only": func(c net.Conn, r *bufio.Reader) {
+		"answers to other requests only": func(c net.Conn, r *bufio.Reader) {
 			_, _ = readRequest(r)
 			_, _ = io.WriteString(c, strings.Repeat(answer("z", "zz"), 4))
 			_, _ = readRequest(r)
@@ -173,13 +171,13 @@
 	assert.NilError(t, err)
 	assert.NilError(t, closed.Close())
 	_, err = do(t, conn.New(closed.Addr().String()), "a")
-	var unsent *conn.NotSentError
-	assert.Assert(t, errors.As(err, &unsent), "%v", err)
+	var notSent *conn.NotSentError
+	assert.Assert(t, errors.As(err, &notSent), "%v", err)
 }
 
-// An answer without a length ends with its connection. If that is reset, the
-// answer has a hole at its end, and nobody but the reader can notice.
-func TestAnswerThatIsResetIsNotWhole(t *testing.T) {
+// An answer without a length ends with its connection. If the connection is
+// reset, the answer is truncated and must not count as complete.
+func TestResetAnswerIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			_, _ = readRequest(r)
@@ -199,10 +197,10 @@
 	}
 }
 
-// An endpoint refuses a long request before it has read it, and reads on. If
-// the connection were used again, the endpoint would take the next request for
-// the rest of that body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// The endpoint refuses a long request before it has read the body. If the
+// connection were reused, the endpoint would read the next request as the rest of
+// that body.
+func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	opened := 0
 	g := conn.New(endpoint(t, func(number int, c net.Conn, r *bufio.Reader) {
 		if number == 1 {
@@ -228,9 +226,9 @@
 	assert.Equal(t, opened, 2)
 }
 
-// A caller leaves. The engine must notice at once, or it goes on generating
-// for nobody.
-func TestEndOfContextEndsTheConnection(t *testing.T) {
+// When a caller cancels, the connection must be closed at once. Otherwise the
+// engine continues a generation whose answer is not needed.
+func TestContextEndClosesTheConnection(t *testing.T) {
 	noticed := make(chan struct{})
 	g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		id, _ := readRequest(r)
@@ -248,11 +246,11 @@
 	select {
 	case <-noticed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the endpoint was not told")
+		t.Fatal("the endpoint did not see the connection close")
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestOpenConnectionsAreLimited(t *testing.T) {
 	g := conn.New(endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			id, err := readRequest(r)
--- a/internal/engine/conn/reply.go
+++ b/internal/engine/conn/reply.go
@@ -11,24 +11,24 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Reply is an answer whose body is still to be read. End it with Finish.
+// Reply is an answer whose body is still to be read. Callers must call Finish.
 type Reply struct {
 	Status int
 	Header http.Header
-	// Length of the body, -1 when it isn't known beforehand.
+	// Length is the length of the body in bytes, -1 if unknown.
 	Length int64
 	Body   io.Reader
 
-	group   *Group
-	conn    *conn
-	stop    func() bool
-	written chan writeEnd
-	eof     *endReader
-	keeps   bool
+	group    *Group
+	conn     *conn
+	stop     func() bool
+	written  chan writeResult
+	eof      *eofReader
+	reusable bool
 }
 
-// writeEnd is how the writing of a request ended.
-type writeEnd struct {
+// writeResult is the result of writing a request.
+type writeResult struct {
 	err error
 }
 
@@ -37,17 +37,17 @@
 		return err
 	}
 	for range maxStrays + 1 {
-		response, err := r.readHead(request.Method) //nolint:bodyclose // Finish closes the connection, or gives it back after the body
+		response, err := r.readHead(request.Method) //nolint:bodyclose // Finish closes the connection or returns it to the group
 		if err != nil {
 			return err
 		}
 		if request.MatchFunc == nil || request.MatchFunc(response.Header, r.conn.fresh) {
-			r.begin(response)
+			r.setResponse(response)
 			return nil
 		}
-		// What belongs to another request is read over. The connection is not
-		// used again afterwards, because more may follow.
-		r.conn.spoiled = true
+		// Skip the answer to another request. The connection is not reused
+		// afterwards, because more such answers may follow.
+		r.conn.sawStray = true
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil {
 			return err
 		}
@@ -55,18 +55,18 @@
 	return &StrayError{}
 }
 
-// send writes head and body. A large request is written by a goroutine, whose
-// end Finish awaits.
+// send writes head and body. A large request is written by a goroutine, which
+// Finish waits for.
 func (r *Reply) send(request *Request) error {
 	if len(request.Head)+len(request.Body) <= inlineBytes {
 		_, err := r.conn.Write(append(request.Head, request.Body...))
 		return err
 	}
-	r.written = make(chan writeEnd, 1)
+	r.written = make(chan writeResult, 1)
 	go func() {
 		buffers := net.Buffers{request.Head, request.Body}
 		_, err := buffers.WriteTo(r.conn.Conn)
-		r.written <- writeEnd{err: err}
+		r.written <- writeResult{err: err}
 	}()
 	return nil
 }
@@ -83,22 +83,22 @@
 	}
 }
 
-func (r *Reply) begin(response *http.Response) {
+func (r *Reply) setResponse(response *http.Response) {
 	r.Status, r.Header, r.Length = response.StatusCode, response.Header, response.ContentLength
-	r.eof = &endReader{from: response.Body}
+	r.eof = &eofReader{from: response.Body}
 	r.Body = r.eof
 	chunked := len(response.TransferEncoding) > 0
 	noBody := response.ContentLength == 0 || response.Body == http.NoBody
 	framed := response.ContentLength >= 0 || chunked || noBody
-	r.keeps = framed && !response.Close && !r.conn.spoiled
+	r.reusable = framed && !response.Close && !r.conn.sawStray
 	if noBody {
-		r.eof.ended = true
+		r.eof.sawEOF = true
 	}
-	r.conn.until = r.group.clock.Now() + keepAlive(response.Header)
+	r.conn.expiresAt = r.group.clock.Now() + keepAlive(response.Header)
 }
 
-// keepAlive returns how long the endpoint keeps the connection open unused,
-// less a margin.
+// keepAlive returns the idle timeout that the endpoint announces, less idleMargin,
+// or defaultIdle.
 func keepAlive(header http.Header) clock.Millis {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -113,40 +113,40 @@
 }
 
 // Complete reports whether the body was read to its end.
-func (r *Reply) Complete() bool { return r.eof != nil && r.eof.ended }
+func (r *Reply) Complete() bool { return r.eof != nil && r.eof.sawEOF }
 
-// Finish gives the connection back if it is sound, or closes it. A connection
-// is sound when the request was written whole and its answer read whole, and
-// not a byte came beyond.
+// Finish returns the connection to the group if it is reusable, or closes it. A
+// connection is reusable if the request was written and the answer read
+// completely, and no further bytes have arrived.
 func (r *Reply) Finish() {
 	stopped := r.stop == nil || r.stop()
-	sound := stopped && r.Complete() && r.keeps && r.conn.reader.Buffered() == 0
-	if sound && r.written != nil {
+	reusable := stopped && r.Complete() && r.reusable && r.conn.reader.Buffered() == 0
+	if reusable && r.written != nil {
 		select {
-		case end := <-r.written:
-			sound = end.err == nil
+		case result := <-r.written:
+			reusable = result.err == nil
 			r.written = nil
 		default:
-			sound = false
+			reusable = false
 		}
 	}
-	r.group.put(r.conn, sound)
+	r.group.release(r.conn, reusable)
 	if r.written != nil {
-		<-r.written // the closed connection ends the writing
+		<-r.written // the write ends because the connection is closed
 	}
 }
 
-// endReader notices the end of a body.
-type endReader struct {
-	from  io.Reader
-	ended bool
+// eofReader records that the end of a body was reached.
+type eofReader struct {
+	from   io.Reader
+	sawEOF bool
 }
 
 // Read implements io.Reader.
-func (e *endReader) Read(p []byte) (int, error) {
+func (e *eofReader) Read(p []byte) (int, error) {
 	n, err := e.from.Read(p)
 	if errors.Is(err, io.EOF) {
-		e.ended = true
+		e.sawEOF = true
 	}
 	return n, err
 }
