--- a/internal/engine/event/event.go
+++ b/internal/engine/event/event.go
@@ -1,6 +1,6 @@
-// Package event reads the events of a stream, each of them whole or not at
-// all. An engine may break off in the middle of an event; half an event that
-// was passed on could be neither taken back nor completed by another engine.
+// Package event reads complete events from a stream. An engine may fail in the
+// middle of an event. A partial event that was passed on could neither be revoked
+// nor be completed by another engine, so partial events are never returned.
 package event
 
 import (
@@ -11,50 +11,51 @@
 	"io"
 )
 
-// MaxEvent bounds one event, in bytes: far above the few hundred of a real one.
+// MaxEvent is the maximum size of an event in bytes. Usual events have a few
+// hundred bytes.
 const MaxEvent = 1 << 20
 
 // Event is one event of a stream.
 type Event struct {
-	// Raw is the bytes as they came, with the blank line that ends the event.
-	// They are valid until the next call.
+	// Raw is the event as received, including the blank line that ends it. It is
+	// valid until the next call of Next.
 	Raw []byte
-	// ID of the event; empty when it has none.
+	// ID is the id of the event, empty if it has none.
 	ID string
 }
 
-// SizeError says that an event is larger than MaxEvent.
+// SizeError is returned when an event is larger than MaxEvent.
 type SizeError struct {
 	Bytes int
 }
 
 // Error implements error.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("event of %d bytes and more; allowed: %d", e.Bytes, MaxEvent)
+	return fmt.Sprintf("event has at least %d bytes; allowed: %d", e.Bytes, MaxEvent)
 }
 
-// Reader cuts a stream into events.
+// Reader splits a stream into events.
 type Reader struct {
 	from *bufio.Reader
 	buf  []byte
 }
 
-// bufferBytes holds several events of a usual stream, so that those which
-// arrive together cost one read.
+// bufferBytes is large enough for several usual events, so that events that arrive
+// together need only one read.
 const bufferBytes = 2 << 10
 
-// New returns a reader of events.
+// New returns a Reader of the events in a stream.
 func New(from io.Reader) *Reader { return &Reader{from: bufio.NewReaderSize(from, bufferBytes)} }
 
-// Next returns the next whole event. It returns io.EOF at a clean end between
-// two events and io.ErrUnexpectedEOF at one within an event.
+// Next returns the next complete event. It returns io.EOF if the stream ends after
+// an event and io.ErrUnexpectedEOF if it ends within one.
 func (r *Reader) Next() (Event, error) {
 	r.buf = r.buf[:0]
 	var id []byte
 	for {
 		start := len(r.buf)
 		if err := r.readLine(); err != nil {
-			return Event{}, r.endOf(err)
+			return Event{}, r.endError(err)
 		}
 		line := bytes.TrimRight(r.buf[start:], "\r\n")
 		if len(line) == 0 {
@@ -79,12 +80,12 @@
 	}
 }
 
-func (r *Reader) endOf(err error) error {
+func (r *Reader) endError(err error) error {
 	if errors.Is(err, io.EOF) && len(r.buf) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// More reports whether another event, or its beginning, has already arrived.
+// More reports whether bytes of another event are already buffered.
 func (r *Reader) More() bool { return r.from.Buffered() > 0 }
--- a/internal/engine/event/event_test.go
+++ b/internal/engine/event/event_test.go
@@ -30,10 +30,9 @@
 	// EOF
 }
 
-// An engine crashes in the middle of an event. If the half event reached the
-// caller, the engine that goes on would send it again, and the caller would
-// see a piece of text twice.
-func TestHalfAnEventIsNotAnEvent(t *testing.T) {
+// Guards against repeated text at the caller: an engine crashes in the middle of
+// an event, and the engine that continues the stream sends that event again.
+func TestIncompleteEventIsNotReturned(t *testing.T) {
 	for _, tail := range []string{"id: 2", "id: 2\n", "id: 2\ndata: b\n"} {
 		events := event.New(iotest.OneByteReader(strings.NewReader("id: 1\ndata: a\n\n" + tail)))
 		first, err := events.Next()
@@ -50,7 +49,7 @@
 	assert.Equal(t, next.ID, "7")
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestOversizedEventIsRefused(t *testing.T) {
 	_, err := event.New(io.LimitReader(endless{}, 4*event.MaxEvent)).Next()
 	var size *event.SizeError
 	assert.Assert(t, errors.As(err, &size))
@@ -65,8 +64,7 @@
 	return len(p), nil
 }
 
-// Whatever an engine sends: the events that are handed out are a prefix of it,
-// to the byte.
+// For any input, the concatenated events must be a prefix of the input.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n"))
 	f.Add([]byte("\n\n\r\n"))
--- a/internal/engine/load/load.go
+++ b/internal/engine/load/load.go
@@ -1,5 +1,5 @@
-// Package load reads an endpoint's load report, which lags, and tells the agent
-// from when it is.
+// Package load polls the load report of an endpoint. A report is out of date when
+// it arrives, so each Report carries the instant that it describes.
 package load
 
 import (
@@ -13,34 +13,36 @@
 )
 
 const (
-	// DefaultInterval between two readings. The endpoint is on the same host:
-	// ten small calls a second cost about a thousandth of a core.
+	// DefaultInterval is the default polling interval in ms. The endpoint is on the
+	// same host, so ten small calls a second cost about a thousandth of a core.
 	DefaultInterval clock.Millis = 100
-	// DefaultTimeout of one reading.
+	// DefaultTimeout is the default timeout of one call in ms.
 	DefaultTimeout clock.Millis = 400
-	maxReport                   = 64 << 10
+	// maxReport is the maximum size of a report in bytes.
+	maxReport = 64 << 10
 )
 
-// Report is one load report. AsOf is the instant it describes on this
-// process's clock.
+// Report is one load report. AsOf is the instant that it describes, on the clock
+// of this process.
 type Report struct {
 	StartID string
 	Running int
 	Queued  int
 	Limit   int
 	Cold    bool
-	// Warm is set only if the endpoint says in so many words that it is not cold.
+	// Warm is set only if the report states explicitly that the endpoint is not cold.
+	// If the report has no such field, both Cold and Warm are false.
 	Warm   bool
 	Models []string
 	Role   string
 	AsOf   clock.Millis
 }
 
-// Outstanding is the work that the endpoint has.
+// Outstanding returns the number of running and queued requests.
 func (r *Report) Outstanding() int { return r.Running + r.Queued }
 
-// Reading is the result of one poll. Exactly one of Report and Err is set,
-// or Absent for an endpoint that gives no reports.
+// Reading is the result of one poll. Exactly one of Report, Err and Unsupported is
+// set; Unsupported means that the endpoint has no load reports.
 type Reading struct {
 	Report      *Report
 	Unsupported bool
@@ -48,7 +50,7 @@
 	At          clock.Millis
 }
 
-// StatusError says that the endpoint gave no report.
+// StatusError is returned when the endpoint answered with a failure status.
 type StatusError struct {
 	Status int
 }
@@ -65,40 +67,40 @@
 	Cold    *bool           `json:"cold"`
 	Models  []string        `json:"models"`
 	Role    string          `json:"role"`
-	// AsOfMs is the age of the report in milliseconds.
+	// AsOfMs is the age of the report in ms.
 	AsOfMs int64 `json:"asOfMs"`
 }
 
-// Poller reads the load report again and again.
+// Poller reads the load report at a fixed interval.
 type Poller struct {
-	url      string
-	clock    *clock.Clock
-	client   *http.Client
-	interval clock.Millis
-	timeout  clock.Millis
-	take     func(Reading)
-	poke     chan struct{}
-	done     chan struct{}
+	url       string
+	clock     *clock.Clock
+	client    *http.Client
+	interval  clock.Millis
+	timeout   clock.Millis
+	onReading func(Reading)
+	pollNow   chan struct{}
+	done      chan struct{}
 }
 
-// Option changes a Poller while it is built.
+// Option configures a Poller.
 type Option func(*Poller)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(p *Poller) { p.clock = c } }
 
-// WithInterval sets the span between two readings, and the timeout of one.
+// WithInterval sets the polling interval and the timeout of one call.
 func WithInterval(interval, timeout clock.Millis) Option {
 	return func(p *Poller) { p.interval, p.timeout = interval, timeout }
 }
 
-// New returns a poller of the endpoint at a base URL that hands each reading
-// to take.
-func New(base string, take func(Reading), opts ...Option) *Poller {
+// New returns a Poller of the endpoint at a base URL that passes each reading to
+// onReading.
+func New(base string, onReading func(Reading), opts ...Option) *Poller {
 	p := &Poller{
 		url: base + "/v1/load", clock: clock.New(), interval: DefaultInterval, timeout: DefaultTimeout,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		take:   take, poke: make(chan struct{}, 1), done: make(chan struct{}),
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		onReading: onReading, pollNow: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(p)
@@ -106,7 +108,7 @@
 	return p
 }
 
-// Start reads until the context ends.
+// Start polls in the background until the context ends.
 func (p *Poller) Start(ctx context.Context) {
 	go func() {
 		defer close(p.done)
@@ -118,10 +120,10 @@
 // Done closes once the poller has ended.
 func (p *Poller) Done() <-chan struct{} { return p.done }
 
-// PollNow asks for a reading at once.
+// PollNow triggers a reading without waiting for the interval.
 func (p *Poller) PollNow() {
 	select {
-	case p.poke <- struct{}{}:
+	case p.pollNow <- struct{}{}:
 	default:
 	}
 }
@@ -132,11 +134,11 @@
 		if ctx.Err() != nil {
 			return
 		}
-		p.take(reading)
+		p.onReading(reading)
 		due, stop := p.clock.After(p.interval)
 		select {
 		case <-due:
-		case <-p.poke:
+		case <-p.pollNow:
 			stop()
 		case <-ctx.Done():
 			stop()
@@ -147,25 +149,25 @@
 
 // Read reads the report once.
 func (p *Poller) Read(ctx context.Context) Reading {
-	// The report is as old as it says, counted from before it was asked for:
-	// taken for newer than it is, it would show an endpoint warm that has since
-	// fallen over.
-	asked := p.clock.Now()
+	// The age of the report is counted back from before the request. If the report
+	// were taken as newer than it is, an endpoint that has since crashed would seem
+	// warm.
+	requestedAt := p.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, p.timeout.Duration())
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, http.NoBody)
 	if err != nil {
-		return Reading{Err: err, At: asked}
+		return Reading{Err: err, At: requestedAt}
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
 		return Reading{Err: err, At: p.clock.Now()}
 	}
 	defer func() { _ = response.Body.Close() }()
-	return p.parse(response, asked)
+	return p.parse(response, requestedAt)
 }
 
-func (p *Poller) parse(response *http.Response, asked clock.Millis) Reading {
+func (p *Poller) parse(response *http.Response, requestedAt clock.Millis) Reading {
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
@@ -183,6 +185,6 @@
 	}
 	return Reading{At: p.clock.Now(), Report: &Report{
 		StartID: string(b.StartID), Running: max(b.Running, 0), Queued: max(b.Queued, 0), Limit: max(b.Limit, 0),
-		Cold: b.Cold != nil && *b.Cold, Warm: b.Cold != nil && !*b.Cold, Models: b.Models, Role: b.Role, AsOf: asked - clock.Millis(max(b.AsOfMs, 0)),
+		Cold: b.Cold != nil && *b.Cold, Warm: b.Cold != nil && !*b.Cold, Models: b.Models, Role: b.Role, AsOf: requestedAt - clock.Millis(max(b.AsOfMs, 0)),
 	}}
 }
--- a/internal/engine/load/load_test.go
+++ b/internal/engine/load/load_test.go
@@ -26,11 +26,11 @@
 			assert.Equal(t, r.Report.AsOf, clock.Millis(600))
 			assert.Assert(t, r.Report.Cold)
 		}},
-		{"nonsense numbers", 200, `{"running":-3,"limit":-1,"asOfMs":-9}`, func(t *testing.T, r load.Reading) {
+		{"negative numbers", 200, `{"running":-3,"limit":-1,"asOfMs":-9}`, func(t *testing.T, r load.Reading) {
 			assert.Equal(t, r.Report.Outstanding(), 0)
 			assert.Equal(t, r.Report.AsOf, clock.Millis(1000))
 		}},
-		{"no reports", 404, ``, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Unsupported) }},
+		{"reports not supported", 404, ``, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Unsupported) }},
 		{"failure", 500, ``, func(t *testing.T, r load.Reading) { assert.ErrorType(t, r.Err, &load.StatusError{}) }},
 		{"no JSON", 200, `<html>`, func(t *testing.T, r load.Reading) { assert.Assert(t, r.Err != nil) }},
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPokeReadsAtOnce(t *testing.T) {
+func TestPollNowReadsAtOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "{}") }))
 	defer server.Close()
 	readings := make(chan load.Reading)
--- a/internal/engine/order/giver.go
+++ b/internal/engine/order/giver.go
@@ -13,16 +13,18 @@
 	"github.com/jujubescale/jujubescale/internal/plat/lease"
 )
 
-// Limits of one order.
+// Limits of one order and its answer.
 const (
-	// quickLimit bounds an order that loads nothing.
-	quickLimit = 3 * clock.Second
-	// loadLimit bounds a load, which takes as long as the weight store needs.
-	loadLimit = 10 * clock.Minute
+	// orderTimeout is the timeout of orders that load nothing.
+	orderTimeout = 3 * clock.Second
+	// loadTimeout is the timeout of a load, whose duration depends on the weight
+	// store.
+	loadTimeout = 10 * clock.Minute
+	// maxAnswer is the maximum size of an answer in bytes.
 	maxAnswer = 64 << 10
 )
 
-// FencedError says that the engine has seen a higher fencing number.
+// FencedError is returned when the engine has seen a higher fencing number.
 type FencedError struct {
 	Fence   uint64
 	Highest uint64
@@ -30,20 +32,21 @@
 
 // Error implements error.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("fencing number %d is old: the engine has seen %d", e.Fence, e.Highest)
+	return fmt.Sprintf("fencing number %d is stale: the engine has seen %d", e.Fence, e.Highest)
 }
 
-// ExpiredError says that an order was not given because the lease had lapsed.
+// ExpiredError is returned when an order was not issued because the lease had
+// expired.
 type ExpiredError struct {
 	Order Order
 }
 
 // Error implements error.
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("lease lapsed before order %s of %s", e.Order.Op, e.Order.name())
+	return fmt.Sprintf("lease expired before order %s of %s", e.Order.Op, e.Order.name())
 }
 
-// AnswerError says that the engine did not carry an order out, or that it is
+// AnswerError is returned when the engine did not execute an order, or when it is
 // unknown whether it did.
 type AnswerError struct {
 	Order  Order
@@ -54,7 +57,7 @@
 // Error implements error.
 func (e *AnswerError) Error() string {
 	if e.Cause != nil {
-		return fmt.Sprintf("order %s of %s has no answer: %v", e.Order.Op, e.Order.name(), e.Cause)
+		return fmt.Sprintf("order %s of %s has no valid answer: %v", e.Order.Op, e.Order.name(), e.Cause)
 	}
 	return fmt.Sprintf("order %s of %s was answered with status %d", e.Order.Op, e.Order.name(), e.Status)
 }
@@ -62,8 +65,8 @@
 // Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Cause }
 
-// SupersededError says that another agent took over the engine: this one
-// gives no order any more.
+// SupersededError is returned when another agent has taken over the engine. The
+// Issuer then issues no further orders.
 type SupersededError struct {
 	Holder string
 	Fence  uint64
@@ -71,105 +74,108 @@
 
 // Error implements error.
 func (e *SupersededError) Error() string {
-	return fmt.Sprintf("agent %s gives the orders now, with fencing number %d", e.Holder, e.Fence)
+	return fmt.Sprintf("agent %s has taken over the engine with fencing number %d", e.Holder, e.Fence)
 }
 
-// Issuer gives orders to one engine. It is used by one goroutine.
+// Issuer issues orders to one engine. It is not safe for concurrent use.
 type Issuer struct {
 	lease *lease.Lease
-	// stepped is set when another agent took over.
-	stepped *SupersededError
-	// ignores says that the engine doesn't check fencing numbers: the agent is
-	// the fence.
-	ignores bool
-	clock   *clock.Clock
-	// sendFunc delivers one order.
+	// superseded is set when another agent took over.
+	superseded *SupersededError
+	// ignoresFencing is set if the engine doesn't check fencing numbers, so that the
+	// agent must prevent stale orders itself.
+	ignoresFencing bool
+	clock          *clock.Clock
+	// sendFunc sends one order to the engine.
 	sendFunc func(ctx context.Context, order Order) error
 }
 
-// NewIssuer returns a giver that delivers orders with send.
-func NewIssuer(c *clock.Clock, held *lease.Lease, ignores bool, send func(context.Context, Order) error) *Issuer {
-	return &Issuer{clock: c, lease: held, ignores: ignores, sendFunc: send}
+// NewIssuer returns an Issuer that sends orders with send. ignoresFencing tells
+// that the engine doesn't check fencing numbers.
+func NewIssuer(c *clock.Clock, held *lease.Lease, ignoresFencing bool, send func(context.Context, Order) error) *Issuer {
+	return &Issuer{clock: c, lease: held, ignoresFencing: ignoresFencing, sendFunc: send}
 }
 
-// Issue gives one order. Before it, the giver makes sure that it is the rightful
-// one: its first act is to take a number above all that the platform knows,
-// and each order renews the lease. When another agent took over, it steps back
-// for good: two agents that seize from each other in turn would never settle.
-func (g *Issuer) Issue(ctx context.Context, order Order) error {
-	if err := g.ready(ctx); err != nil {
-		return g.stepBack(err)
+// Issue issues one order. It first makes sure that this agent holds the lease: the
+// first call seizes it with a fencing number above all that the platform knows,
+// and each call renews it. Once another agent has taken over, all calls fail with
+// a SupersededError, because two agents would otherwise seize the lease from each
+// other indefinitely.
+func (i *Issuer) Issue(ctx context.Context, order Order) error {
+	if err := i.ready(ctx); err != nil {
+		return i.recordSuperseded(err)
 	}
-	// The check comes last, after every wait: this process may have been paused
-	// anywhere above, and another agent may have taken over meanwhile.
-	if !g.lease.Valid() {
+	// Check the lease after everything that may wait: this process may have been
+	// paused anywhere above while another agent took over.
+	if !i.lease.Valid() {
 		return &ExpiredError{Order: order}
 	}
-	order.Fence = g.lease.Fence()
-	err := g.sendFunc(ctx, order)
+	order.Fence = i.lease.Fence()
+	err := i.sendFunc(ctx, order)
 	var fenced *FencedError
 	if !errors.As(err, &fenced) {
 		return err
 	}
-	// The engine knows a higher number: another agent took over, which the
-	// renewal finds out, or the platform's store was restored and lost count,
-	// and then a number above the engine's is needed.
-	if renew := g.lease.Renew(ctx); renew != nil {
-		return g.stepBack(renew)
+	// The engine has seen a higher number. Either another agent took over, and the
+	// renewal fails, or the platform's store was restored from an older state, and
+	// the lease needs a number above the engine's.
+	if renewErr := i.lease.Renew(ctx); renewErr != nil {
+		return i.recordSuperseded(renewErr)
 	}
-	if seize := g.lease.Seize(ctx, fenced.Highest+1); seize != nil {
-		return seize
+	if seizeErr := i.lease.Seize(ctx, fenced.Highest+1); seizeErr != nil {
+		return seizeErr
 	}
 	return err
 }
 
-func (g *Issuer) stepBack(err error) error {
+func (i *Issuer) recordSuperseded(err error) error {
 	var held *lease.HeldError
 	if errors.As(err, &held) {
-		g.stepped = &SupersededError{Holder: held.Holder, Fence: held.Fence}
-		return g.stepped
+		i.superseded = &SupersededError{Holder: held.Holder, Fence: held.Fence}
+		return i.superseded
 	}
 	return err
 }
 
-// ready takes the lease once, and renews it before each order. An engine that
-// ignores fencing numbers gets no order before all that an earlier agent may
-// have sent has arrived.
-func (g *Issuer) ready(ctx context.Context) error {
-	if g.stepped != nil {
-		return g.stepped
+// ready seizes the lease for the first order and renews it for each. If the engine
+// ignores fencing numbers, it waits until no order of an earlier agent can still
+// be in transit.
+func (i *Issuer) ready(ctx context.Context) error {
+	if i.superseded != nil {
+		return i.superseded
 	}
-	if g.lease.Fence() == 0 {
-		if err := g.lease.Seize(ctx, 0); err != nil {
+	if i.lease.Fence() == 0 {
+		if err := i.lease.Seize(ctx, 0); err != nil {
 			return err
 		}
 	}
-	if quiet := g.lease.QuietPeriod(); g.ignores && quiet > 0 {
-		if err := g.clock.Sleep(ctx, quiet); err != nil {
+	if quietPeriod := i.lease.QuietPeriod(); i.ignoresFencing && quietPeriod > 0 {
+		if err := i.clock.Sleep(ctx, quietPeriod); err != nil {
 			return err
 		}
 	}
-	return g.lease.Renew(ctx)
+	return i.lease.Renew(ctx)
 }
 
-// Client gives orders over HTTP as docs/INTERFACES.md describes it.
+// Client sends orders over HTTP as described in docs/INTERFACES.md.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient returns a client of the engine at a base URL.
+// NewClient returns a Client of the engine at a base URL.
 func NewClient(base string, h *http.Client) *Client {
 	return &Client{url: base + "/v1/orders", http: h}
 }
 
-// Send gives one order and waits until it is carried out.
+// Send sends one order and waits until the engine has executed it. It fails with a
+// FencedError or an AnswerError.
 func (c *Client) Send(ctx context.Context, order Order) error {
-	limit := quickLimit
+	timeout := orderTimeout
 	if order.Loads() {
-		limit = loadLimit
+		timeout = loadTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	raw, err := json.Marshal(order)
 	if err != nil {
@@ -179,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	request.GetBody = nil // an order is never sent again by the transport
+	request.GetBody = nil // the transport must not repeat an order
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
--- a/internal/engine/order/model_test.go
+++ b/internal/engine/order/model_test.go
@@ -16,8 +16,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/model"
 )
 
-// The model's time goes in ticks. A term is four of them, and a message is on
-// its way for at most one, which is the part of a term that the lease allows.
+// The model measures time in ticks. A term of the lease is four ticks, and a
+// message is in transit for at most one tick, the maximum that the lease assumes.
 const (
 	tick     = 1 * clock.Millis(1)
 	term     = 4 * tick
@@ -25,26 +25,27 @@
 	maxDepth = 40
 )
 
-var errOrderLost = errors.New("connection broke")
+var errOrderLost = errors.New("connection failed")
 
-// bench is the world of the model: the platform's store, the engine, and the
-// orders on their way to it.
-type bench struct {
-	world  *model.World
-	now    clock.Millis
-	object store.Object
-	faults int
-	// late is a write that will arrive after its writer gave it up.
-	late []write
-	// flight is the orders on their way.
-	flight  []*message
-	applied []uint64
-	highest uint64
-	checks  bool
-	// last is the last tick, most the platform faults in one run.
-	last clock.Millis
-	most int
-	errs []error
+// simulation is the state of the model: the platform's store, the engine, and the
+// orders that were sent to it.
+type simulation struct {
+	world       *model.World
+	now         clock.Millis
+	leaseObject store.Object
+	faults      int
+	// lateWrites are writes that arrive after the writer got an UnknownError.
+	lateWrites []write
+	// messages are the orders that were sent.
+	messages      []*message
+	applied       []uint64
+	highest       uint64
+	checksFencing bool
+	// lastTick ends the time of a run; maxFaults is the number of platform faults in
+	// a run.
+	lastTick  clock.Millis
+	maxFaults int
+	errs      []error
 }
 
 type write struct {
@@ -59,55 +60,55 @@
 	refused bool
 }
 
-func (b *bench) String() string {
-	text := fmt.Sprintf("%d %d %s %d %v %d", b.now, b.object.Version, b.object.Value, b.faults, b.applied, b.highest)
-	for _, m := range b.flight {
+func (s *simulation) String() string {
+	text := fmt.Sprintf("%d %d %s %d %v %d", s.now, s.leaseObject.Version, s.leaseObject.Value, s.faults, s.applied, s.highest)
+	for _, m := range s.messages {
 		text += fmt.Sprintf(" %d@%d:%v", m.order.Fence, m.sent, m.arrived)
 	}
-	return text + fmt.Sprint(len(b.late))
+	return text + fmt.Sprint(len(s.lateWrites))
 }
 
-// apply does a conditional write and reports whether it took effect.
-func (b *bench) apply(w write) bool {
-	if b.object.Version != w.want {
+// apply applies a conditional write and reports whether it took effect.
+func (s *simulation) apply(w write) bool {
+	if s.leaseObject.Version != w.want {
 		return false
 	}
-	b.object = store.Object{Name: "l", Version: w.want + 1, Value: w.value}
+	s.leaseObject = store.Object{Name: "l", Version: w.want + 1, Value: w.value}
 	return true
 }
 
-// store is the platform as one actor sees it. A write may be answered, may
+// store returns the platform's store for one actor. A write may be answered, may
 // take effect while its answer is lost, or may take effect later or never.
-func (b *bench) store(a *model.Actor) *store.Store {
+func (s *simulation) store(a *model.Actor) *store.Store {
 	return &store.Store{
 		GetFunc: func(context.Context, string) (store.Object, error) {
 			a.Step("get")
-			a.Note(fmt.Sprint("got", b.object.Version))
-			return b.object, nil
+			a.Note(fmt.Sprint("got", s.leaseObject.Version))
+			return s.leaseObject, nil
 		},
 		PutFunc: func(_ context.Context, _ string, want uint64, value []byte) (store.Object, error) {
 			a.Step("put")
 			w := write{want: want, value: value}
 			kinds := 1
-			if b.faults < b.most {
+			if s.faults < s.maxFaults {
 				kinds = 3
 			}
 			kind := a.Choose(kinds)
 			if kind != 0 {
-				b.faults++
+				s.faults++
 			}
 			switch kind {
 			case 1:
-				b.apply(w)
+				s.apply(w)
 			case 2:
-				b.late = append(b.late, w)
+				s.lateWrites = append(s.lateWrites, w)
 			default:
-				done := b.apply(w)
+				done := s.apply(w)
 				a.Note(fmt.Sprint("put", done))
-				current := b.object
-				// The writer may be paused, or the answer be slow.
+				current := s.leaseObject
+				// The writer may be paused, or the answer delayed.
 				a.Step("answer")
-				a.Note(fmt.Sprint("at", b.now))
+				a.Note(fmt.Sprint("at", s.now))
 				if !done {
 					return store.Object{}, &store.ConflictError{Name: "l", Want: want, Current: current}
 				}
@@ -118,150 +119,150 @@
 	}
 }
 
-// clock is the time as one actor sees it: a sleeper may wake any time later
-// than it wanted to.
-func (b *bench) clock(a *model.Actor) *clock.Clock {
+// clock returns the clock of one actor. A sleep may last any time longer than
+// requested.
+func (s *simulation) clock(a *model.Actor) *clock.Clock {
 	return clock.New(
-		clock.WithNow(func() clock.Millis { return b.now }),
+		clock.WithNow(func() clock.Millis { return s.now }),
 		clock.WithAfter(func(span clock.Millis) (<-chan struct{}, func()) {
 			if span > term+delay {
-				span = 0 // the pause before reading back is short against a tick
+				span = 0 // the pause before reading back is much shorter than a tick
 			}
-			due := b.now + span
-			a.Wait(fmt.Sprint("sleep", due), func() bool { return b.now >= due })
-			a.Note(fmt.Sprint("woke", b.now))
+			due := s.now + span
+			a.Wait(fmt.Sprint("sleep", due), func() bool { return s.now >= due })
+			a.Note(fmt.Sprint("woke", s.now))
 			done := make(chan struct{})
 			close(done)
 			return done, func() {}
 		}))
 }
 
-// send puts an order on its way and waits until it has arrived; the answer may
-// still be lost.
-func (b *bench) send(a *model.Actor) func(context.Context, order.Order) error {
+// send returns a function that sends an order and waits until it has arrived at
+// the engine.
+func (s *simulation) send(a *model.Actor) func(context.Context, order.Order) error {
 	return func(_ context.Context, o order.Order) error {
-		m := &message{order: o, sent: b.now}
-		b.flight = append(b.flight, m)
+		m := &message{order: o, sent: s.now}
+		s.messages = append(s.messages, m)
 		a.Wait(fmt.Sprint("sent", o.Fence), func() bool { return m.arrived })
-		a.Note(fmt.Sprint("answered", m.refused, b.now))
+		a.Note(fmt.Sprint("answered", m.refused, s.now))
 		if m.refused {
-			return &order.FencedError{Fence: o.Fence, Highest: b.highest}
+			return &order.FencedError{Fence: o.Fence, Highest: s.highest}
 		}
 		return nil
 	}
 }
 
-func (b *bench) arrive(m *message) {
+func (s *simulation) arrive(m *message) {
 	m.arrived = true
-	if b.checks && m.order.Fence < b.highest {
+	if s.checksFencing && m.order.Fence < s.highest {
 		m.refused = true
 		return
 	}
-	b.highest = max(b.highest, m.order.Fence)
-	b.applied = append(b.applied, m.order.Fence)
+	s.highest = max(s.highest, m.order.Fence)
+	s.applied = append(s.applied, m.order.Fence)
 }
 
-func (b *bench) waiting() []*message {
-	var waiting []*message
-	for _, m := range b.flight {
+func (s *simulation) undelivered() []*message {
+	var undelivered []*message
+	for _, m := range s.messages {
 		if !m.arrived {
-			waiting = append(waiting, m)
+			undelivered = append(undelivered, m)
 		}
 	}
-	return waiting
+	return undelivered
 }
 
-// overdue reports that a message has been on its way for as long as one can be.
-func (b *bench) overdue() bool {
-	for _, m := range b.waiting() {
-		if b.now >= m.sent+delay {
+// overdue reports whether a message has been in transit for the maximum delay.
+func (s *simulation) overdue() bool {
+	for _, m := range s.undelivered() {
+		if s.now >= m.sent+delay {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *bench) agent(name string, orders int) {
-	b.world.Go(name, func(a *model.Actor) {
+func (s *simulation) agent(name string, orders int) {
+	s.world.Go(name, func(a *model.Actor) {
 		a.Step("start")
-		c := b.clock(a)
+		c := s.clock(a)
 		nonces := 0
-		held := lease.New(b.store(a), "l", name, lease.WithClock(c), lease.WithTerm(term), lease.WithReadBacks(1), lease.WithNonce(func() string {
+		held := lease.New(s.store(a), "l", name, lease.WithClock(c), lease.WithTerm(term), lease.WithReadBacks(1), lease.WithNonce(func() string {
 			nonces++
 			return fmt.Sprint(name, nonces)
 		}))
-		giver := order.NewIssuer(c, held, !b.checks, b.send(a))
+		issuer := order.NewIssuer(c, held, !s.checksFencing, s.send(a))
 		for range orders {
-			if err := giver.Issue(context.Background(), order.Order{Op: order.OpLoad, Model: name}); err != nil {
+			if err := issuer.Issue(context.Background(), order.Order{Op: order.OpLoad, Model: name}); err != nil {
 				a.Note("failed")
-				b.errs = append(b.errs, err)
+				s.errs = append(s.errs, err)
 			}
 		}
 	})
 }
 
-// explore goes through every interleaving of two agents beside one engine.
-func explore(t *testing.T, checks bool, last clock.Millis, most int) model.Result {
+// explore runs every interleaving of two agents that issue orders to one engine.
+func explore(t *testing.T, checksFencing bool, lastTick clock.Millis, maxFaults int) model.Result {
 	t.Helper()
 	return model.Explore(t, maxDepth, func(w *model.World) {
-		b := &bench{world: w, now: 1, checks: checks, last: last, most: most}
-		w.State(b.String)
-		w.Event("tick", func() bool { return b.now < b.last && !b.overdue() }, func() { b.now += tick })
-		w.Event("late write", func() bool { return len(b.late) > 0 }, func() {
-			b.apply(b.late[0])
-			b.late = b.late[1:]
+		s := &simulation{world: w, now: 1, checksFencing: checksFencing, lastTick: lastTick, maxFaults: maxFaults}
+		w.State(s.String)
+		w.Event("tick", func() bool { return s.now < s.lastTick && !s.overdue() }, func() { s.now += tick })
+		w.Event("late write", func() bool { return len(s.lateWrites) > 0 }, func() {
+			s.apply(s.lateWrites[0])
+			s.lateWrites = s.lateWrites[1:]
 		})
 		for i := range 3 {
-			w.Event("arrival", func() bool { return len(b.waiting()) > i }, func() { b.arrive(b.waiting()[i]) })
+			w.Event("arrival", func() bool { return len(s.undelivered()) > i }, func() { s.arrive(s.undelivered()[i]) })
 		}
-		b.agent("old", 1)
-		b.agent("new", 1)
+		s.agent("old", 1)
+		s.agent("new", 1)
 		w.Run()
-		for i := 1; i < len(b.applied); i++ {
-			assert.Check(t, b.applied[i-1] <= b.applied[i], "orders went backwards: %v, errors %v", b.applied, b.errs)
+		for i := 1; i < len(s.applied); i++ {
+			assert.Check(t, s.applied[i-1] <= s.applied[i], "an order with a lower fencing number followed a higher one: %v, errors %v", s.applied, s.errs)
 		}
 		fences := make(map[uint64]bool)
-		for _, m := range b.flight {
+		for _, m := range s.messages {
 			fences[m.order.Fence] = true
 		}
-		assert.Check(t, !fences[0], "an order without a fencing number")
+		assert.Check(t, !fences[0], "an order has no fencing number")
 	})
 }
 
-// An agent is paused or its host is replaced while it orders the engine, and a
-// second agent starts beside the same engine. Writes to the platform are lost,
-// late, or answered by nobody. If an order of the old agent came after one of
-// the new, the engine would go back to models that the operators replaced.
+// Guards against an engine that returns to models which the operators replaced,
+// because an order of an old agent takes effect after one of a new agent. An agent
+// is paused or its host is replaced while it issues orders, and a second agent
+// starts for the same engine. Writes to the platform are lost, delayed or not
+// answered.
 //
-// The model runs the real lease and giver through every interleaving of their
-// platform calls, messages and ticks, up to 40 decisions. With the variable
-// JUJUBESCALE_MODEL=full it takes minutes and goes further.
+// The model runs the real lease and issuer through every interleaving of their
+// platform calls, messages and ticks, up to 40 decisions. With
+// JUJUBESCALE_MODEL=full it also runs longer cases, which take minutes.
 func TestOrdersNeverGoBackwards(t *testing.T) {
 	cases := []modelCase{
 		{"engine checks fencing numbers, one fault", true, 2, 1},
 		// The new agent waits five ticks before its first order.
-		{"engine ignores them", false, 7, 0},
+		{"engine ignores fencing numbers", false, 7, 0},
 	}
 	if os.Getenv("JUJUBESCALE_MODEL") == "full" {
 		cases = append(cases,
 			modelCase{"engine checks fencing numbers, one fault, longer", true, 6, 1},
-			modelCase{"engine ignores them, one fault", false, 8, 1})
+			modelCase{"engine ignores fencing numbers, one fault", false, 8, 1})
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			result := explore(t, c.checks, c.last, c.most)
+			result := explore(t, c.checksFencing, c.lastTick, c.maxFaults)
 			t.Logf("%+v", result)
 			assert.Assert(t, result.Runs > 1000)
 		})
 	}
 }
 
-// modelCase is one kind of engine, with the last tick and the platform faults
-// in a run.
+// modelCase is a kind of engine with the limits of a run.
 type modelCase struct {
-	name   string
-	checks bool
-	last   clock.Millis
-	most   int
+	name          string
+	checksFencing bool
+	lastTick      clock.Millis
+	maxFaults     int
 }
--- a/internal/engine/order/plan.go
+++ b/internal/engine/order/plan.go
@@ -1,7 +1,7 @@
-// Package order brings the models that an engine has loaded to those that the
-// manifest wants: it works out what differs, and gives the orders one at a
-// time, under a fencing number, so that what an earlier agent ordered never
-// comes after what this one did.
+// Package order makes an engine load the models that the manifest specifies. It
+// computes the necessary orders and issues them one at a time. Each carries a
+// fencing number, so that no order of an earlier agent takes effect after one of
+// the current agent.
 package order
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/jujubescale/jujubescale/internal/conf/manif"
 )
 
-// Op is what an order does.
+// Op is the operation of an order.
 type Op string
 
 // Operations of an order.
@@ -31,11 +31,11 @@
 	Fence   uint64 `json:"fence"`
 }
 
-// Loads reports whether the order takes weights from the weight store.
+// Loads reports whether the order loads weights from the weight store.
 func (o *Order) Loads() bool { return o.Op == OpLoad }
 
-// name is how engines list what is loaded: model@version, and
-// model@version+adapter.
+// name returns the name under which engines list the model or adapter:
+// model@version or model@version+adapter.
 func (o *Order) name() string {
 	name := o.Model + "@" + o.Version
 	if o.Adapter != "" {
@@ -44,10 +44,11 @@
 	return name
 }
 
-// Plan returns the orders that lead from what an engine has to what the pool
-// wants, in the order they are to be given: loads first, the most wanted model
-// first and each before its adapters, so that the old version serves until the
-// new one does; then what is wanted no more, adapters before their model.
+// Plan returns the orders that bring an engine from its current models and role
+// to those of its pool, in the order in which they must be issued: first the
+// change of role, then loads in the order of wanted, each model before its
+// adapters, then unloads, adapters before models. Loads precede unloads so that
+// the old version serves until the new one is loaded.
 func Plan(wanted []manif.ModelVersion, role string, have []string, haveRole string) []Order {
 	target := wantedOrders(wanted)
 	var orders []Order
@@ -80,7 +81,7 @@
 	sorted := slices.Clone(have)
 	slices.Sort(sorted)
 	for _, name := range sorted {
-		order, ok := parse(name)
+		order, ok := parseName(name)
 		if !ok || slices.Contains(wanted, name) {
 			continue
 		}
@@ -93,7 +94,7 @@
 	return append(adapters, models...)
 }
 
-func parse(name string) (Order, bool) {
+func parseName(name string) (Order, bool) {
 	model, rest, found := strings.Cut(name, "@")
 	if !found {
 		return Order{}, false
--- a/internal/engine/order/plan_test.go
+++ b/internal/engine/order/plan_test.go
@@ -25,16 +25,16 @@
 		have   []string
 		want   []order.Order
 	}{
-		{"nothing to do", []manif.ModelVersion{sheet("1", "fold")}, []string{"sheet@1", "sheet@1+fold"}, nil},
-		{"an empty engine", []manif.ModelVersion{sheet("1", "fold")}, nil, []order.Order{load("1", ""), load("1", "fold")}},
+		{"no difference", []manif.ModelVersion{sheet("1", "fold")}, []string{"sheet@1", "sheet@1+fold"}, nil},
+		{"empty engine", []manif.ModelVersion{sheet("1", "fold")}, nil, []order.Order{load("1", ""), load("1", "fold")}},
 		{
-			"a new version serves before the old one goes",
+			"new version is loaded before the old one is unloaded",
 			[]manif.ModelVersion{sheet("2")},
 			[]string{"sheet@1", "sheet@1+fold"},
 			[]order.Order{load("2", ""), unload("1", "fold"), unload("1", "")},
 		},
-		{"an adapter goes", []manif.ModelVersion{sheet("1")}, []string{"sheet@1", "sheet@1+fold"}, []order.Order{unload("1", "fold")}},
-		{"a name that is none stays", []manif.ModelVersion{sheet("1")}, []string{"sheet@1", "base"}, nil},
+		{"surplus adapter is unloaded", []manif.ModelVersion{sheet("1")}, []string{"sheet@1", "sheet@1+fold"}, []order.Order{unload("1", "fold")}},
+		{"invalid name is ignored", []manif.ModelVersion{sheet("1")}, []string{"sheet@1", "base"}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/engine/spell/spell.go
+++ b/internal/engine/spell/spell.go
@@ -1,6 +1,6 @@
-// Package spell is the seam between the product and the words that a platform
-// uses on the wire. The product says what it means in these types; the adapter
-// of a platform fills the function fields of Spelling and decides nothing.
+// Package spell separates the product from the wire format of a platform. The
+// product uses the types of this package; the adapter of a platform supplies a
+// Codec that encodes and decodes them and contains no other logic.
 package spell
 
 import (
@@ -9,69 +9,74 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// Part is one part of a prompt. A part that an engine still has in memory is
-// not read again if all parts before it are there too.
+// Part is one part of a prompt. An engine need not process a part again if it
+// still has the part and all parts before it in memory.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// RequestInfo is what a caller's request asks for besides its bytes.
+// RequestInfo is the metadata of a caller's request.
 type RequestInfo struct {
-	// Request identifies the caller's attempt.
+	// Request is the id of the caller's attempt.
 	Request string
-	// Deadline is how long the caller waits; 0 when it doesn't say.
+	// Deadline is the time in ms that the caller allows for the answer; 0 if it sets
+	// none.
 	Deadline clock.Millis
-	// Key that shows which organisation calls.
+	// Key is the API key, which identifies the organisation.
 	Key string
-	// LastEvent is the id of the last event that the caller already has.
+	// LastEvent is the id of the last event that the caller has received.
 	LastEvent string
-	// PromptTokens and OutputTokens are the size of a generation; the output is
-	// the largest that the caller takes.
+	// PromptTokens is the size of the prompt of a generation, OutputTokens the
+	// maximum size of its output.
 	PromptTokens int64
 	OutputTokens int64
-	// LikelyTokens is the caller's estimate of the output, 0 without one.
+	// LikelyTokens is the caller's estimate of the size of the output; 0 if it gives
+	// none.
 	LikelyTokens int64
-	// Parts of the prompt in order; the last belongs to this request alone.
+	// Parts are the parts of the prompt in order. The last one is not shared with
+	// other requests.
 	Parts []Part
 	// Pieces is the number of pieces of each stage.
 	Pieces []int
-	// PieceKey is what stages without inputs work on.
+	// PieceKey identifies the input of stages that use no results of other stages.
 	PieceKey string
 }
 
-// Call is what the product adds to a request that it passes on.
+// Call is the metadata that the product adds to a forwarded request.
 type Call struct {
 	Deadline     clock.Millis
 	Instance     string
 	Organisation string
-	// Inputs are the references that a generation reads; WithInputs tells a
-	// request without any from one that has no stages.
+	// Inputs are the references to the results that a generation reads. HasInputs is
+	// set for requests with stages, even if Inputs is empty.
 	Inputs    []string
 	HasInputs bool
-	// LastEvent is where a stream goes on; empty starts at its beginning.
+	// LastEvent is the id of the event after which a stream resumes; empty starts at
+	// the beginning.
 	LastEvent string
-	// Urgency ranks the request at its engine, 0 first; negative says nothing.
+	// Urgency is the rank of the request at its engine, where 0 is the most urgent.
+	// Negative values are not sent.
 	Urgency int
 }
 
-// ResponseInfo are what an endpoint says of an answer besides its status.
+// ResponseInfo is the metadata of an endpoint's answer.
 type ResponseInfo struct {
-	// Request is the attempt that the answer belongs to.
+	// Request is the id of the attempt that the answer belongs to.
 	Request string
-	// Sealed says that the answer bears the endpoint's seal.
+	// Sealed is set if the answer carries the endpoint's seal.
 	Sealed bool
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and will not run it.
 	NotRun bool
-	// Instance that answered.
+	// Instance is the id of the instance that answered.
 	Instance string
-	// HasLoad says that the endpoint told its load: requests that run, requests
-	// that wait, and its slots.
+	// HasLoad is set if the endpoint reported its load: the numbers of running and
+	// waiting requests and of slots.
 	HasLoad bool
 	Running int
 	Waiting int
 	Slots   int
-	// Cold is how long the endpoint goes on being cold.
+	// Cold is the time in ms for which the endpoint will still be cold.
 	Cold clock.Millis
 }
 
@@ -80,21 +85,22 @@
 	Request string
 	Stage   int
 	Index   int
-	// Left is the time after which the result is of no use; 0 says nothing.
+	// Left is the time in ms after which the result is useless; 0 if there is no
+	// limit.
 	Left clock.Millis
-	// Key is what a piece without inputs works on.
+	// Key identifies the input of a piece that uses no results of other stages.
 	Key    string
 	Inputs []string
 }
 
-// Failure says why a piece has no result.
+// Failure is the reason why a piece has no result.
 type Failure string
 
 // Reasons for a piece without a result.
 const (
-	// FailedLate means that the time of the piece was over at its turn.
+	// FailedLate means that the time of the piece had run out before it started.
 	FailedLate Failure = "late"
-	// FailedInput means that one of its inputs no longer exists.
+	// FailedInput means that an input of the piece no longer exists.
 	FailedInput Failure = "inputGone"
 	// FailedMemory means that the engine had no memory for the result.
 	FailedMemory Failure = "noRoom"
@@ -102,50 +108,51 @@
 	FailedWork Failure = "workFailed"
 )
 
-// Result is what became of one piece: a reference, or why there is none.
+// Result is the outcome of one piece: a reference to its result or a Failure.
 type Result struct {
 	Reference string
 	Failure   Failure
 }
 
-// StageReport is what a stage engine says of itself. It is some hundred
+// StageReport is the status that a stage engine reports. It is some hundred
 // milliseconds old.
 type StageReport struct {
-	// MinFree and FreeMost are how many bytes are free for results: reports give
-	// whole megabytes.
+	// MinFree and MaxFree are the bounds of the memory that is free for results, in
+	// bytes. They differ because reports give whole megabytes.
 	MinFree int64
 	MaxFree int64
-	// Busy says that it works on a call.
+	// Busy is set if the engine is running a call.
 	Busy bool
 }
 
-// Codec spells calls to endpoints and reads what they answer.
+// Codec encodes calls to endpoints and decodes their answers.
 type Codec struct {
-	// ReadyPath is where the platform asks whether this process takes callers.
+	// ReadyPath is the path at which the platform checks whether this process accepts
+	// callers.
 	ReadyPath string
-	// PiecesPath and UnusedPath are where stage engines take work, and hear
-	// which results nobody needs any more.
+	// PiecesPath is the path for calls of pieces to stage engines, FreePath the one
+	// for references to results that are no longer needed.
 	PiecesPath string
 	FreePath   string
-	// ReportPath is where an engine tells its memory for results.
+	// ReportPath is the path at which a stage engine serves its StageReport.
 	ReportPath string
-	// RequestInfoFunc reads what a caller asks for.
+	// RequestInfoFunc decodes the metadata of a caller's request.
 	RequestInfoFunc func(http.Header) (RequestInfo, error)
-	// ReservedFunc reports whether a header, by its canonical name, is the system's
-	// to set and is not passed on as the caller sent it.
+	// ReservedFunc reports whether only the system may set the header of a canonical
+	// name. Such headers of a caller's request are not forwarded.
 	ReservedFunc func(name string) bool
 	// CallFunc appends the header lines of a call.
 	CallFunc func(buf []byte, call *Call) []byte
-	// InstanceFunc appends the header line that names the expected instance.
+	// InstanceFunc appends the header line with the expected instance.
 	InstanceFunc func(buf []byte, instance string) []byte
-	// ResponseInfoFunc reads the marks of an answer.
+	// ResponseInfoFunc decodes the metadata of an answer.
 	ResponseInfoFunc func(http.Header) ResponseInfo
-	// PiecesFunc encodes a call of pieces; ResultsFunc decodes its answer, which
-	// must have count results.
+	// PiecesFunc encodes a call of pieces. ResultsFunc decodes its answer and fails
+	// unless it has count results.
 	PiecesFunc  func(pieces []Piece) ([]byte, error)
 	ResultsFunc func(raw []byte, count int) ([]Result, error)
-	// ReportFunc reads the report of a stage engine.
+	// ReportFunc decodes the report of a stage engine.
 	ReportFunc func(raw []byte) (StageReport, error)
-	// FreeFunc encodes references that nobody needs any more.
+	// FreeFunc encodes references to results that are no longer needed.
 	FreeFunc func(references []string) ([]byte, error)
 }
