--- a/internal/plat/accept/accept.go
+++ b/internal/plat/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept is the contract of the platform's object API as a test. Put
-// every implementation of store.Store through Run: the client in front of the
-// stand-in passes it, and a deployment's real platform must.
+// Package accept contains conformance tests for the platform's object API. Every
+// implementation of store.Store must pass Run: the client with the simulated
+// platform of the tests does, and so must the real platform of a deployment.
 package accept
 
 import (
@@ -20,45 +20,44 @@
 )
 
 const (
-	callLimit = 30 * time.Second
-	longWatch = 20 * clock.Second
-	noWatch   = 1 * clock.Millis(1)
-	racers    = 16
+	callLimit  = 30 * time.Second
+	longWatch  = 20 * clock.Second
+	shortWatch = 1 * clock.Millis(1)
+	racers     = 16
 )
 
-// Subject is one implementation under test. Its object names below Prefix
-// must be free.
+// Subject is an implementation under test. It must have no objects whose names
+// begin with Prefix.
 type Subject struct {
 	Store  *store.Store
 	Prefix string
-	// SetHosts replaces the list of hosts; nil skips the tests of the list.
+	// SetHosts replaces the list of hosts; if nil, the test of the list is skipped.
 	SetHosts func([]store.Host)
 }
 
-// Run puts an implementation through the contract. It calls makeSubject once a
-// case.
+// Run runs all conformance tests. It calls makeSubject once for each of them.
 func Run(t *testing.T, makeSubject func(t *testing.T) Subject) {
 	cases := []struct {
 		name string
 		run  func(ctx context.Context, t *testing.T, s Subject)
 	}{
 		{"an object that was never written has version 0", absent},
-		{"a write returns the version that a read then shows", readBack},
+		{"a read returns the version and value of the last write", readBack},
 		{"versions grow with each write", versionsGrow},
-		{"a create of an existing object conflicts and shows it", createTwice},
-		{"a write at an old version conflicts and changes nothing", oldVersion},
+		{"creating an existing object conflicts and returns the object", createTwice},
+		{"a write at an old version conflicts and has no effect", oldVersion},
 		{"a delete at an old version conflicts", deleteOld},
 		{"a deleted object is absent and can be created again", deleteAndCreate},
-		{"exactly one of many racing writers wins", raceWrites},
+		{"exactly one of many concurrent writes succeeds", raceWrites},
 		{"a watch returns at once when the version differs", watchDiffers},
-		{"a watch returns the change it waited for", watchChange},
+		{"a watch returns the next change", watchChange},
 		{"a watch returns the unchanged object after its wait", watchUnchanged},
-		{"a watch sees the creation of an object", watchCreate},
-		{"a list names the objects below a prefix only", list},
-		{"the largest value is kept whole", largest},
+		{"a watch returns a newly created object", watchCreate},
+		{"a list contains only the objects below the prefix", list},
+		{"a value of the maximum size is stored completely", largest},
 		{"a larger value is refused without effect", tooLarge},
-		{"names keep their characters", oddNames},
-		{"the list of hosts comes in pages, ordered and filtered", hosts},
+		{"names may contain special characters", specialCharacters},
+		{"the list of hosts is ordered, filtered and paginated", hosts},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,13 +134,13 @@
 func deleteAndCreate(ctx context.Context, t *testing.T, s Subject) {
 	first := mustPut(ctx, t, s, "a", 0, "one")
 	assert.NilError(t, s.Store.Delete(ctx, s.Prefix+"a", first.Version))
-	absentNow, err := s.Store.Get(ctx, s.Prefix+"a")
+	deleted, err := s.Store.Get(ctx, s.Prefix+"a")
 	assert.NilError(t, err)
-	assert.Equal(t, absentNow.Version, uint64(0))
-	again := mustPut(ctx, t, s, "a", 0, "two")
-	// A writer that still holds the version of the deleted object must not
-	// overwrite the new one.
-	assert.Assert(t, again.Version != first.Version)
+	assert.Equal(t, deleted.Version, uint64(0))
+	recreated := mustPut(ctx, t, s, "a", 0, "two")
+	// A writer with the version of the deleted object must not overwrite the new
+	// one.
+	assert.Assert(t, recreated.Version != first.Version)
 }
 
 func raceWrites(ctx context.Context, t *testing.T, s Subject) {
@@ -186,7 +185,7 @@
 
 func watchUnchanged(ctx context.Context, t *testing.T, s Subject) {
 	first := mustPut(ctx, t, s, "a", 0, "one")
-	got, err := s.Store.Watch(ctx, s.Prefix+"a", first.Version, noWatch)
+	got, err := s.Store.Watch(ctx, s.Prefix+"a", first.Version, shortWatch)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, first)
 }
@@ -234,7 +233,7 @@
 	assert.Equal(t, got.Version, uint64(0))
 }
 
-func oddNames(ctx context.Context, t *testing.T, s Subject) {
+func specialCharacters(ctx context.Context, t *testing.T, s Subject) {
 	for _, name := range []string{"a b", "ž/č", "x%2Fy", "q?r=1&s#t", "plus+"} {
 		mustPut(ctx, t, s, name, 0, name)
 		got, err := s.Store.Get(ctx, s.Prefix+name)
--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -1,7 +1,7 @@
-// Package call spends the platform's limited rate: every call to the platform
-// has a reason, reasons have priorities, and the control of availability
-// zones goes first. It backs off with jitter while the platform refuses and
-// counts each call by reason and outcome.
+// Package call limits the rate of calls to the platform. Each call has a reason,
+// which sets its priority; calls that control availability zones have the highest.
+// While the platform refuses calls, the package backs off with jitter. It counts
+// all calls by reason and outcome.
 package call
 
 import (
@@ -17,26 +17,28 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Reason says what a call is for. Lower values go first.
+// Reason is the purpose of a call. Lower values have a higher priority.
 type Reason int
 
-// Reasons in the order of their priority.
+// Reasons, from the highest to the lowest priority.
 const (
-	// Zone is the watch of the head, which carries the zones, and operators' changes.
+	// Zone is the watch of the configuration's head, which contains the availability
+	// zones, and changes by operators.
 	Zone Reason = iota
-	// Lease keeps orders to engines safe.
+	// Lease acquires and renews leases, which protect engines from stale orders.
 	Lease
-	// Claim keeps non-idempotent requests at most once.
+	// Claim reads and writes claims, which ensure that non-idempotent requests run at
+	// most once.
 	Claim
 	// Config reads sections of the configuration.
 	Config
-	// Roster reads the list of hosts.
+	// Roster reads the platform's list of hosts.
 	Roster
 
-	reasons
+	reasonCount
 )
 
-// String returns the reason as it stands in metrics.
+// String returns the value of the metrics label for the reason.
 func (r Reason) String() string {
 	switch r {
 	case Zone:
@@ -52,7 +54,7 @@
 	}
 }
 
-// Outcomes of a call in metrics.
+// Values of the metrics label for the outcome of a call.
 const (
 	outcomeOK          = "ok"
 	outcomeConflict    = "conflict"
@@ -63,68 +65,69 @@
 	outcomeFailed      = "failed"
 )
 
-// Defaults of a Caller. The budget of one process shrinks as the fleet grows:
-// see SetFleet.
+// Limits of a Caller. The budget of one process shrinks as the fleet grows; see
+// SetFleetSize. Rates are in calls per second.
 const (
-	defaultMost = 200.0
-	// burstSpan is how many seconds' worth of calls may come at once.
-	burstSpan = 2
-	// fleetRate is what all entries together may call a second. Most of it may
-	// be claims of idempotency keys, four in five of whose calls are writes, and
-	// the platform takes several hundred of those.
+	defaultMaxRate = 200.0
+	// burstSeconds is the size of a burst in seconds of calls at the allowed rate.
+	burstSeconds = 2
+	// fleetRate is the limit for all entries together. Most of these calls may be for
+	// claims of idempotency keys, of which four in five are writes, and the platform
+	// accepts several hundred writes per second.
 	fleetRate    = 500.0
-	leastRate    = 1.0
+	minRate      = 1.0
 	firstBackoff = 100 * clock.Millis(1)
 	maxBackoff   = 5 * clock.Second
-	// zoneProbe is how often the most urgent calls try a platform that refuses.
-	zoneProbe = 250 * clock.Millis(1)
+	// zoneProbeInterval is the interval at which calls for zones are sent during a
+	// backoff.
+	zoneProbeInterval = 250 * clock.Millis(1)
 )
 
-// Caller stands between this process and the platform.
+// Caller limits and counts the calls of this process to the platform.
 type Caller struct {
-	inner *store.Store
-	clock *clock.Clock
-	most  float64
-	rate  float64
-	burst float64
+	inner   *store.Store
+	clock   *clock.Clock
+	maxRate float64
+	rate    float64
+	burst   float64
 
-	mu      sync.Mutex
-	tokens  float64
-	filled  clock.Millis
-	backoff clock.Millis
-	until   clock.Millis
-	probeAt clock.Millis
-	// heard is when the platform answered last.
-	heard clock.Millis
+	mu           sync.Mutex
+	tokens       float64
+	refilledAt   clock.Millis
+	backoff      clock.Millis
+	backoffUntil clock.Millis
+	probeAt      clock.Millis
+	// answeredAt is the instant of the platform's last answer.
+	answeredAt clock.Millis
 
 	calls *prometheus.CounterVec
 	bytes *prometheus.CounterVec
 }
 
-// Option changes a Caller while it is built.
+// Option configures a Caller.
 type Option func(*Caller)
 
 // WithClock replaces the clock.
 func WithClock(c *clock.Clock) Option { return func(k *Caller) { k.clock = c } }
 
-// WithRate sets the most calls a second, however small the fleet is, and how
-// many may come at once.
-func WithRate(most, burst float64) Option {
-	return func(k *Caller) { k.most, k.burst = most, burst }
+// WithRate sets the maximum number of calls per second, which applies to a fleet of
+// any size, and the size of a burst.
+func WithRate(maxRate, burst float64) Option {
+	return func(k *Caller) { k.maxRate, k.burst = maxRate, burst }
 }
 
-// WithRegisterer publishes the counters.
+// WithRegisterer registers the metrics of the caller.
 func WithRegisterer(r prometheus.Registerer) Option {
 	return func(k *Caller) { r.MustRegister(k.calls, k.bytes) }
 }
 
-// New returns a caller in front of a store.
+// New returns a Caller that sends its calls to a store.
 func New(inner *store.Store, opts ...Option) *Caller {
 	k := &Caller{
-		inner: inner, clock: clock.New(), most: defaultMost, burst: defaultMost * burstSpan,
+		inner: inner, clock: clock.New(), maxRate: defaultMaxRate, burst: defaultMaxRate * burstSeconds,
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "jujubescale_platform_calls_total",
-			Help: "Calls to the platform by call, reason and outcome; budget and backoff were not sent.",
+			Help: "Calls to the platform by call, reason and outcome; calls with the outcome budget or backoff were not sent.",
 		}, []string{"call", "reason", "outcome"}),
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "jujubescale_platform_value_bytes_total",
@@ -134,29 +137,31 @@
 	for _, opt := range opts {
 		opt(k)
 	}
-	k.rate = k.most
+	k.rate = k.maxRate
 	k.tokens = k.burst
-	k.filled = k.clock.Now()
+	k.refilledAt = k.clock.Now()
 	return k
 }
 
-// SetFleetSize sets the budget by the number of processes that share the platform.
+// SetFleetSize adapts the budget to the number of processes that share the
+// platform.
 func (k *Caller) SetFleetSize(processes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.rate = min(k.most, max(leastRate, fleetRate/float64(max(processes, 1))))
-	k.burst = burstSpan * k.rate
+	k.rate = min(k.maxRate, max(minRate, fleetRate/float64(max(processes, 1))))
+	k.burst = burstSeconds * k.rate
 }
 
-// Rate returns the calls a second that this process may make now.
+// Rate returns the number of calls per second that this process may make at
+// present.
 func (k *Caller) Rate() float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rate
 }
 
-// ThrottledError is the cause of an UnavailableError when this process did not
-// ask the platform.
+// ThrottledError is the cause of an UnavailableError if the call was not sent to
+// the platform.
 type ThrottledError struct {
 	Reason Reason
 	// LimitedBy is "budget" or "backoff".
@@ -165,10 +170,10 @@
 
 // Error implements error.
 func (e *ThrottledError) Error() string {
-	return fmt.Sprintf("call for %s held back by the %s", e.Reason, e.LimitedBy)
+	return fmt.Sprintf("call for %s not sent because of the %s", e.Reason, e.LimitedBy)
 }
 
-// Store returns the seam for calls of one reason.
+// Store returns a store whose calls have the given reason.
 func (k *Caller) Store(reason Reason) *store.Store {
 	return &store.Store{
 		GetFunc: func(ctx context.Context, name string) (store.Object, error) {
@@ -197,37 +202,38 @@
 }
 
 func run[T any](k *Caller, name string, reason Reason, object string, call func() (T, error)) (T, error) {
-	if why, after := k.admit(reason); why != "" {
-		k.calls.WithLabelValues(name, reason.String(), why).Inc()
-		var none T
-		return none, &store.UnavailableError{
-			Name: object, RetryAfter: after, Cause: &ThrottledError{Reason: reason, LimitedBy: why},
+	if limitedBy, after := k.admit(reason); limitedBy != "" {
+		k.calls.WithLabelValues(name, reason.String(), limitedBy).Inc()
+		var zero T
+		return zero, &store.UnavailableError{
+			Name: object, RetryAfter: after, Cause: &ThrottledError{Reason: reason, LimitedBy: limitedBy},
 		}
 	}
 	result, err := call()
-	k.calls.WithLabelValues(name, reason.String(), k.note(err)).Inc()
+	k.calls.WithLabelValues(name, reason.String(), k.recordOutcome(err)).Inc()
 	if got, ok := any(result).(store.Object); ok && err == nil && name != "put" {
 		k.bytes.WithLabelValues(reason.String(), "read").Add(float64(len(got.Value)))
 	}
 	return result, err
 }
 
-// admit takes one call from the budget. Each reason leaves a part of the
-// budget to those before it; zones are never held back by the budget and only
-// shortly by the backoff.
-func (k *Caller) admit(reason Reason) (why string, after clock.Millis) {
+// admit takes one call from the budget. If the call must not be sent, it returns
+// what limits it and the time in ms after which to retry. Each reason leaves a part
+// of the budget for reasons of higher priority. Calls for zones are never limited
+// by the budget, and during a backoff they are sent every zoneProbeInterval.
+func (k *Caller) admit(reason Reason) (limitedBy string, after clock.Millis) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	k.tokens = min(k.burst, k.tokens+float64(now-k.filled)*k.rate/float64(clock.Second))
-	k.filled = now
-	if now < k.until {
+	k.tokens = min(k.burst, k.tokens+float64(now-k.refilledAt)*k.rate/float64(clock.Second))
+	k.refilledAt = now
+	if now < k.backoffUntil {
 		if reason != Zone || now < k.probeAt {
-			return outcomeBackoff, k.until - now
+			return outcomeBackoff, k.backoffUntil - now
 		}
-		k.probeAt = now + zoneProbe
+		k.probeAt = now + zoneProbeInterval
 	}
-	reserve := k.burst / 2 * float64(reason) / float64(reasons)
+	reserve := k.burst / 2 * float64(reason) / float64(reasonCount)
 	if missing := reserve + 1 - k.tokens; reason != Zone && missing > 0 {
 		return outcomeBudget, clock.Millis(missing/k.rate*float64(clock.Second)) + 1
 	}
@@ -235,21 +241,22 @@
 	return "", 0
 }
 
-// note learns from a call's outcome and names it.
-func (k *Caller) note(err error) string {
+// recordOutcome updates the backoff after a call and returns the outcome for the
+// metrics.
+func (k *Caller) recordOutcome(err error) string {
 	var conflict *store.ConflictError
 	var unknown *store.UnknownError
 	var unavailable *store.UnavailableError
 	switch {
 	case err == nil:
-		k.answered()
+		k.recordAnswer()
 		return outcomeOK
 	case errors.As(err, &conflict):
-		k.answered()
+		k.recordAnswer()
 		return outcomeConflict
 	case errors.As(err, &unavailable):
 		if !errors.Is(err, context.Canceled) {
-			k.refused(unavailable.RetryAfter)
+			k.extendBackoff(unavailable.RetryAfter)
 		}
 		return outcomeUnavailable
 	case errors.As(err, &unknown):
@@ -259,28 +266,28 @@
 	}
 }
 
-func (k *Caller) answered() {
+func (k *Caller) recordAnswer() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.backoff, k.until, k.probeAt = 0, 0, 0
-	k.heard = k.clock.Now()
+	k.backoff, k.backoffUntil, k.probeAt = 0, 0, 0
+	k.answeredAt = k.clock.Now()
 }
 
 // LastAnswer returns the instant of the platform's last answer, 0 before the first.
 func (k *Caller) LastAnswer() clock.Millis {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heard
+	return k.answeredAt
 }
 
-// refused lengthens the backoff. The jitter keeps the processes of a fleet
-// from coming back to a platform that recovers all at the same instant.
-func (k *Caller) refused(after clock.Millis) {
+// extendBackoff starts or lengthens the backoff. The jitter prevents the processes
+// of a fleet from retrying at the same instant when the platform recovers.
+func (k *Caller) extendBackoff(after clock.Millis) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.backoff = min(max(2*k.backoff, firstBackoff), maxBackoff)
 	span := max(after, k.backoff/2) + rand.N(k.backoff/2+1)
 	now := k.clock.Now()
-	k.until = now + span
-	k.probeAt = now + min(zoneProbe, span)
+	k.backoffUntil = now + span
+	k.probeAt = now + min(zoneProbeInterval, span)
 }
--- a/internal/plat/call/call_test.go
+++ b/internal/plat/call/call_test.go
@@ -27,16 +27,16 @@
 	}}
 }
 
-func heldBack(t *testing.T, err error) string {
+func throttledBy(t *testing.T, err error) string {
 	t.Helper()
-	var held *call.ThrottledError
-	assert.Assert(t, errors.As(err, &held), "got %v", err)
-	return held.LimitedBy
+	var throttled *call.ThrottledError
+	assert.Assert(t, errors.As(err, &throttled), "got %v", err)
+	return throttled.LimitedBy
 }
 
-// The list of hosts is read in a burst while an operator takes a zone out. The
-// zone must get through at once, or work goes on into it.
-func TestZonesGoBeforeEverythingElse(t *testing.T) {
+// Guards against work that still goes to an evacuated zone: while the list of hosts
+// is read in a burst, calls for zones must be sent at once.
+func TestZoneCallsHaveTheHighestPriority(t *testing.T) {
 	fake := clock.NewFake(1)
 	p := &platform{}
 	k := call.New(p.store(), call.WithClock(fake.Clock()), call.WithRate(1, 10))
@@ -44,28 +44,28 @@
 	for err == nil {
 		_, err = k.Store(call.Roster).Get(t.Context(), "a")
 	}
-	assert.Equal(t, heldBack(t, err), "budget")
+	assert.Equal(t, throttledBy(t, err), "budget")
 	_, err = k.Store(call.Lease).Get(t.Context(), "a")
-	assert.NilError(t, err, "leases still have a share of the budget")
+	assert.NilError(t, err, "part of the budget is reserved for leases")
 	for range 30 {
 		_, err = k.Store(call.Zone).Get(t.Context(), "a")
 		assert.NilError(t, err)
 	}
 	_, err = k.Store(call.Roster).Get(t.Context(), "a")
-	assert.Equal(t, heldBack(t, err), "budget")
+	assert.Equal(t, throttledBy(t, err), "budget")
 	fake.Advance(clock.Minute)
 	_, err = k.Store(call.Roster).Get(t.Context(), "a")
 	assert.NilError(t, err)
 }
 
-// The platform is down. A fleet that asks it without pause keeps it down; the
-// calls must grow rare, and come back once it answers.
-func TestBackoffWhileThePlatformRefuses(t *testing.T) {
+// Guards against a fleet that overloads a failed platform with calls: their rate
+// must drop while the platform is unavailable and recover once it answers.
+func TestBackoffWhileThePlatformIsUnavailable(t *testing.T) {
 	fake := clock.NewFake(1)
 	p := &platform{err: &store.UnavailableError{Name: "a"}}
 	registry := prometheus.NewRegistry()
 	k := call.New(p.store(), call.WithClock(fake.Clock()), call.WithRegisterer(registry))
-	for range 60 * 100 { // a minute, asked every 10 ms
+	for range 60 * 100 { // one call every 10 ms for a minute
 		_, err := k.Store(call.Config).Get(t.Context(), "a")
 		assert.Assert(t, err != nil)
 		fake.Advance(10)
@@ -85,8 +85,8 @@
 	assert.Equal(t, testutil.CollectAndCount(registry, "jujubescale_platform_calls_total"), 3)
 }
 
-// The fleet grows to 500 entries. If each kept the budget of a small fleet, an
-// outage that ends would bring 50,000 calls a second to the platform.
+// The fleet grows to 500 entries. If each kept the budget of a small fleet, the
+// platform would get 50,000 calls per second at the end of an outage.
 func TestBudgetShrinksAsTheFleetGrows(t *testing.T) {
 	fake := clock.NewFake(1)
 	p := &platform{}
--- a/internal/plat/client/client.go
+++ b/internal/plat/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls the platform over HTTP as docs/INTERFACES.md describes
-// it. It repeats nothing by itself and says of each failed write whether it
-// may have taken effect.
+// Package client calls the platform over HTTP as described in docs/INTERFACES.md.
+// It never retries. The error of a failed write tells whether the write may have
+// taken effect.
 package client
 
 import (
@@ -21,9 +21,10 @@
 )
 
 const (
-	// callTimeout bounds one call, which takes milliseconds on a sound platform.
+	// callTimeout is the default timeout of a call. A healthy platform answers within
+	// milliseconds.
 	callTimeout = 3 * clock.Second
-	// maxList bounds the answer to a list call.
+	// maxList is the maximum size of an answer in bytes; lists are the largest.
 	maxList = 16 << 20
 
 	versionHeader    = "X-Version"
@@ -37,16 +38,17 @@
 	timeout clock.Millis
 }
 
-// Option changes a Client while it is built.
+// Option configures a Client.
 type Option func(*Client)
 
 // WithHTTP replaces the HTTP client.
 func WithHTTP(h *http.Client) Option { return func(c *Client) { c.http = h } }
 
-// WithTimeout bounds one call; a watch gets its wait on top.
+// WithTimeout sets the timeout of a call. The timeout of a watch is longer by its
+// wait.
 func WithTimeout(timeout clock.Millis) Option { return func(c *Client) { c.timeout = timeout } }
 
-// New returns a client of the platform at base, for instance
+// New returns a Client of the platform at a base URL such as
 // "http://127.0.0.1:7070".
 func New(base string, opts ...Option) *Client {
 	c := &Client{
@@ -60,7 +62,7 @@
 	return c
 }
 
-// Store returns the seam that calls this client.
+// Store returns a store that calls the platform through this client.
 func (c *Client) Store() *store.Store {
 	return &store.Store{
 		GetFunc: c.get, PutFunc: c.put, DeleteFunc: c.remove,
@@ -68,8 +70,9 @@
 	}
 }
 
-// AnswerError says that the platform answered with something that
-// docs/INTERFACES.md doesn't allow.
+// AnswerError is returned for an answer with a failure status and for one that
+// docs/INTERFACES.md doesn't allow. It is also returned, without a call, for a value
+// larger than store.MaxValue.
 type AnswerError struct {
 	Status int
 	Detail string
@@ -130,16 +133,17 @@
 	return err
 }
 
-// write sends a conditional write once. What comes back without a clear "no
-// effect" is unknown: the platform may have done it and the answer got lost.
+// write sends a conditional write once. Unless it is certain that the write had no
+// effect, it fails with an UnknownError, because the answer to a successful write
+// may have been lost.
 func (c *Client) write(ctx context.Context, method, name string, want uint64, value []byte) (*answer, error) {
 	if len(value) > store.MaxValue {
-		return nil, &AnswerError{Status: http.StatusRequestEntityTooLarge, Detail: "value is larger than the platform holds"}
+		return nil, &AnswerError{Status: http.StatusRequestEntityTooLarge, Detail: "value is larger than the platform allows"}
 	}
 	header := http.Header{"If-Match": {strconv.FormatUint(want, 10)}}
 	answer, err := c.do(ctx, method, objectPath(name), header, value, c.timeout)
 	if err != nil {
-		if neverSent(err) {
+		if notSent(err) {
 			return nil, &store.UnavailableError{Name: name, Cause: err}
 		}
 		return nil, &store.UnknownError{Name: name, Cause: err}
@@ -160,8 +164,9 @@
 	}
 }
 
-// neverSent reports that no connection came about.
-func neverSent(err error) bool {
+// notSent reports whether the connection could not be opened, so that nothing was
+// sent.
+func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -210,7 +215,7 @@
 	return page, nil
 }
 
-// answer is one HTTP answer, read whole.
+// answer is one complete HTTP answer.
 type answer struct {
 	status int
 	header http.Header
@@ -256,8 +261,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't send a write a second time by
-	// itself, which would turn an own write into a conflict with itself.
+	// Without GetBody the transport can't repeat a write. A repeated write would
+	// conflict with the first one and report a successful write as a conflict.
 	request.GetBody = nil
 	for key, values := range header {
 		request.Header[key] = values
--- a/internal/plat/client/client_test.go
+++ b/internal/plat/client/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-func TestStandInKeepsTheContract(t *testing.T) {
+func TestStandInPassesTheContract(t *testing.T) {
 	accept.Run(t, func(t *testing.T) accept.Subject {
 		platform := plat.New()
 		server := httptest.NewServer(platform.Handler())
@@ -27,25 +27,25 @@
 	})
 }
 
-// What comes back decides what the caller may do next: a write that had no
-// effect is tried again, one that may have had an effect is read back first.
-// Taking the second for the first writes twice; the first for the second
-// leaves an operator waiting.
-func TestFailedWritesSayWhetherTheyMayHaveTakenEffect(t *testing.T) {
+// The type of the error decides what the caller does next: it repeats a write
+// without an effect and first reads back a write that may have had one. A wrong
+// UnavailableError leads to a second write, and a wrong UnknownError makes an
+// operator wait.
+func TestErrorTypeShowsWhetherAWriteMayHaveTakenEffect(t *testing.T) {
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
 		unknown bool
 		after   clock.Millis
 	}{
-		{"refused for its rate", func(w http.ResponseWriter, _ *http.Request) {
+		{"rate limit exceeded", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After-Ms", "70")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, false, 70},
-		{"down", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, false, 0},
-		{"failed inside", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, true, 0},
-		{"gateway gave up", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusGatewayTimeout) }, true, 0},
-		{"connection broken before the answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 0},
+		{"service unavailable", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, false, 0},
+		{"internal error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, true, 0},
+		{"gateway timeout", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusGatewayTimeout) }, true, 0},
+		{"connection closed before the answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 0},
 		{"answer without a version", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }, true, 0},
 	}
 	for _, c := range cases {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Nothing listens at the platform's address: no write can have taken effect.
+// If nothing listens at the platform's address, a write cannot have taken effect.
 func TestNoConnectionMeansNoEffect(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
--- a/internal/plat/lease/lease.go
+++ b/internal/plat/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease holds a name in the platform's object API for one process at a
-// time, and numbers the holders: each has a greater fencing number than those
-// before it. Hosts' clocks differ, so nobody's clock is compared with another's.
-// The holder counts its term from before the call that granted it; everyone
-// else counts from when they saw the object change last.
+// Package lease implements leases on the platform's object API. A lease has at
+// most one valid holder at a time, and each new holder gets a greater fencing
+// number. The clocks of hosts differ, so clocks of different processes are never
+// compared: the holder counts its term from before the call that granted it, and
+// other processes count from when they last saw the object change.
 package lease
 
 import (
@@ -17,30 +17,33 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// DefaultTerm is how long a grant holds without being renewed.
+// DefaultTerm is the default time for which a lease is valid without a renewal.
 const DefaultTerm = 10 * clock.Second
 
-// delayShare: a message is on its way for at most this part of a term.
-const delayShare = 4
+// delayDivisor sets the assumed maximum delay of a message: a term divided by it.
+const delayDivisor = 4
 
-// defaultReadBacks bounds the reads that settle a write whose answer was lost.
+// defaultReadBacks is the default maximum number of reads that determine whether a
+// write with a lost answer took effect.
 const defaultReadBacks = 5
 
-// readBackPause lets a write that is still on its way arrive.
+// readBackPause is the pause after each of these reads, so that a write that is
+// still in transit can arrive.
 const readBackPause = 50 * clock.Millis(1)
 
-// record is the lease object.
+// record is the value of the lease object.
 type record struct {
-	// Holder is empty when the lease was released.
+	// Holder is empty if the lease was released.
 	Holder string `json:"holder,omitempty"`
-	// Fence grows with each new holder and never goes back.
+	// Fence is the fencing number, which grows with each new holder.
 	Fence uint64 `json:"fence"`
-	// Nonce is drawn for each write, to recognise an own one.
+	// Nonce is a random value for each write, by which a process recognises its own
+	// write.
 	Nonce string `json:"nonce"`
 }
 
-// Lease is one process's view of one lease. Its methods may be called at once
-// from several goroutines, but take turns.
+// Lease is one process's view of one lease. It is safe for concurrent use; the
+// methods that call the platform run one after another.
 type Lease struct {
 	store  *store.Store
 	name   string
@@ -48,41 +51,43 @@
 	clock  *clock.Clock
 	term   clock.Millis
 	nonce  func() string
-	// readBacks bounds the reads that settle a write whose answer was lost.
+	// readBacks is the maximum number of reads after a write with a lost answer.
 	readBacks int
 
-	turn sync.Mutex
-
-	mu      sync.Mutex
-	fence   uint64
-	version uint64
-	until   clock.Millis
-	// quiet is until when an earlier holder may still act.
-	quiet clock.Millis
-	// seen and seenAt are the version of another holder's object, and when it
-	// was first seen.
-	seen   uint64
-	seenAt clock.Millis
+	// callMu serialises calls to the platform.
+	callMu sync.Mutex
+
+	mu        sync.Mutex
+	fence     uint64
+	version   uint64
+	expiresAt clock.Millis
+	// quietUntil is the end of the quiet period; see QuietPeriod.
+	quietUntil clock.Millis
+	// seenVersion is the last version that was read while another process held the
+	// lease, and unchangedSince the instant at which it was first read.
+	seenVersion    uint64
+	unchangedSince clock.Millis
 }
 
-// Option changes a Lease while it is built.
+// Option configures a Lease.
 type Option func(*Lease)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(l *Lease) { l.clock = c } }
 
-// WithTerm sets how long a grant holds without being renewed. All processes
-// that share a lease must use the same.
+// WithTerm sets the time for which the lease is valid without a renewal. All
+// processes that share a lease must use the same term.
 func WithTerm(term clock.Millis) Option { return func(l *Lease) { l.term = term } }
 
 // WithNonce replaces the source of nonces.
 func WithNonce(nonce func() string) Option { return func(l *Lease) { l.nonce = nonce } }
 
-// WithReadBacks bounds the reads that settle a write whose answer was lost.
+// WithReadBacks sets the maximum number of reads that determine whether a write
+// with a lost answer took effect.
 func WithReadBacks(reads int) Option { return func(l *Lease) { l.readBacks = reads } }
 
-// New returns a view of the lease kept in the object of that name. The holder
-// must differ for each start of a process.
+// New returns a view of the lease that is stored in the object of that name. The
+// holder must be different for each start of a process.
 func New(platform *store.Store, name, holder string, opts ...Option) *Lease {
 	l := &Lease{store: platform, name: name, holder: holder, clock: clock.New(), term: DefaultTerm, nonce: token.NewRequestID, readBacks: defaultReadBacks}
 	for _, opt := range opts {
@@ -91,12 +96,13 @@
 	return l
 }
 
-// HeldError says that another process holds the lease.
+// HeldError is returned when another process holds the lease.
 type HeldError struct {
 	Name   string
 	Holder string
 	Fence  uint64
-	// Left is how long the holder may be silent before the lease can be taken.
+	// Left is the time in ms after which the lease can be acquired if the holder does
+	// not renew it.
 	Left clock.Millis
 }
 
@@ -112,50 +118,51 @@
 	return l.fence
 }
 
-// Valid reports whether this process holds the lease at this very instant.
-// Ask it after any wait and right before acting: a process that was paused
-// comes back with a lapsed lease and doesn't notice otherwise, and two holders
-// then act at once.
+// Valid reports whether this process holds the lease now. Call it after anything
+// that may wait and immediately before acting: the lease may have expired while
+// the process was paused, and without this check two holders could act at the same
+// time.
 func (l *Lease) Valid() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence != 0 && l.clock.Now() < l.until
+	return l.fence != 0 && l.clock.Now() < l.expiresAt
 }
 
-// Left returns how long the lease stays valid without being renewed.
+// Left returns the time in ms for which the lease stays valid without a renewal.
 func (l *Lease) Left() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.until-l.clock.Now())
+	return max(0, l.expiresAt-l.clock.Now())
 }
 
-// QuietPeriod returns how long what an earlier holder did in good faith may still
-// arrive: its term, and the delay of a message that it sent at the end of it.
-// Who gives orders to something that ignores fencing numbers waits it out.
+// QuietPeriod returns the time in ms for which messages of an earlier holder may
+// still arrive: the rest of its term plus the maximum delay of a message that it
+// sent at the end of the term. Holders that control something which ignores
+// fencing numbers must wait that long.
 func (l *Lease) QuietPeriod() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.quiet-l.clock.Now())
+	return max(0, l.quietUntil-l.clock.Now())
 }
 
-// Acquire takes the lease if it is free, released, or its holder has been silent
-// for a term. Otherwise it fails with a HeldError.
+// Acquire takes the lease if it has no other holder or if the holder hasn't renewed
+// it for a term. Otherwise it fails with a HeldError.
 func (l *Lease) Acquire(ctx context.Context) error { return l.acquire(ctx, 0, false) }
 
-// Seize takes the lease from whoever holds it, with a fencing number of at
-// least floor. The earlier holder finds out when it renews.
+// Seize takes the lease even if another process holds it, with a fencing number of
+// at least floor. The next renewal of the earlier holder fails.
 func (l *Lease) Seize(ctx context.Context, floor uint64) error { return l.acquire(ctx, floor, true) }
 
 func (l *Lease) acquire(ctx context.Context, floor uint64, seize bool) error {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+	l.callMu.Lock()
+	defer l.callMu.Unlock()
 	began := l.clock.Now()
 	current, version, err := l.read(ctx)
 	if err != nil {
 		return err
 	}
 	if !seize {
-		if err := l.free(current, version); err != nil {
+		if err := l.checkFree(current, version); err != nil {
 			return err
 		}
 	}
@@ -166,59 +173,62 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fence, l.version, l.until = next.Fence, version, began+l.term
+	l.fence, l.version, l.expiresAt = next.Fence, version, began+l.term
 	if current.Holder != "" && current.Holder != l.holder {
-		l.quiet = l.clock.Now() + l.term + l.term/delayShare
+		l.quietUntil = l.clock.Now() + l.term + l.term/delayDivisor
 	}
 	return nil
 }
 
-// free fails unless the lease can be taken. The object's version changes with
-// each sign of life, so a holder is gone when it stays the same for a term.
-func (l *Lease) free(current record, version uint64) error {
+// checkFree returns a HeldError unless the lease can be acquired. The object's
+// version changes with each renewal, so the lease has expired if the version has
+// not changed for a term.
+func (l *Lease) checkFree(current record, version uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if current.Holder == "" || current.Holder == l.holder {
 		return nil
 	}
 	now := l.clock.Now()
-	if version != l.seen {
-		l.seen, l.seenAt = version, now
+	if version != l.seenVersion {
+		l.seenVersion, l.unchangedSince = version, now
 	}
-	if left := l.seenAt + l.term - now; left > 0 {
+	if left := l.unchangedSince + l.term - now; left > 0 {
 		return &HeldError{Name: l.name, Holder: current.Holder, Fence: current.Fence, Left: left}
 	}
 	return nil
 }
 
-// Renew extends the term, and shows a sign of life to those who wait for the
-// lease. It is a write, because a read may be stale: it could confirm a lease
-// that another process has taken. A HeldError says that one has.
+// Renew starts a new term. It fails with a HeldError if another process has taken
+// the lease. A renewal is a write, which other processes see as a change of the
+// object; a read would not do, because it may be stale and confirm a lease that
+// another process has taken.
 func (l *Lease) Renew(ctx context.Context) error {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+	l.callMu.Lock()
+	defer l.callMu.Unlock()
 	began := l.clock.Now()
 	l.mu.Lock()
 	next, version := record{Holder: l.holder, Fence: l.fence, Nonce: l.nonce()}, l.version
 	l.mu.Unlock()
 	version, err := l.write(ctx, version, next)
 	if err != nil {
-		return l.lost(err)
+		return l.renewError(err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.version, l.until = version, began+l.term
+	l.version, l.expiresAt = version, began+l.term
 	return nil
 }
 
-// Release gives the lease up, so that the next holder need not wait.
+// Release gives up the lease, so that another process can acquire it without
+// waiting for its expiry.
 func (l *Lease) Release(ctx context.Context) error {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+	l.callMu.Lock()
+	defer l.callMu.Unlock()
 	l.mu.Lock()
 	next, version := record{Fence: l.fence, Nonce: l.nonce()}, l.version
 	held := l.fence != 0
-	l.fence, l.until = 0, 0
+	l.fence, l.expiresAt = 0, 0
 	l.mu.Unlock()
 	if !held {
 		return nil
@@ -227,9 +237,10 @@
 	return err
 }
 
-// lost ends the hold when the object was changed by another process. After
-// any other failure the term goes on to its end.
-func (l *Lease) lost(err error) error {
+// renewError returns the error of a failed renewal. If another process has changed
+// the object, the lease ends and the error is a HeldError. After any other failure
+// the lease stays valid until the end of its term.
+func (l *Lease) renewError(err error) error {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -237,7 +248,7 @@
 	current, _ := decode(conflict.Current)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fence, l.until = 0, 0
+	l.fence, l.expiresAt = 0, 0
 	return &HeldError{Name: l.name, Holder: current.Holder, Fence: current.Fence, Left: l.term}
 }
 
@@ -259,9 +270,10 @@
 	return current, object.Version, err
 }
 
-// write writes a record on the condition of a version. When the answer is
-// lost, it reads back and compares the nonce; a write that might still be on
-// its way counts as failed, and the condition keeps it from doing harm later.
+// write writes a record if the object is at the given version, and returns the new
+// version. If the answer is lost, it reads the object back and compares the nonce.
+// A write that may still be in transit counts as failed. It does no harm later,
+// because it no longer takes effect once the object has another version.
 func (l *Lease) write(ctx context.Context, version uint64, next record) (uint64, error) {
 	raw, err := json.Marshal(next)
 	if err != nil {
@@ -273,12 +285,12 @@
 		return object.Version, err
 	}
 	for range l.readBacks {
-		current, at, readErr := l.read(ctx)
+		current, currentVersion, readErr := l.read(ctx)
 		if readErr == nil && current.Nonce == next.Nonce {
-			return at, nil
+			return currentVersion, nil
 		}
-		if readErr == nil && at != version {
-			return 0, &store.ConflictError{Name: l.name, Want: version, Current: store.Object{Name: l.name, Version: at}}
+		if readErr == nil && currentVersion != version {
+			return 0, &store.ConflictError{Name: l.name, Want: version, Current: store.Object{Name: l.name, Version: currentVersion}}
 		}
 		if l.clock.Sleep(ctx, readBackPause) != nil {
 			break
--- a/internal/plat/lease/lease_test.go
+++ b/internal/plat/lease/lease_test.go
@@ -14,10 +14,11 @@
 
 const term = 1 * clock.Second
 
-// platform holds one object and loses answers on demand.
+// platform stores one object and can lose the answer of a write.
 type platform struct {
 	object store.Object
-	// lose makes the next write take effect (1) or not (2) without an answer.
+	// lose makes the next write return an UnknownError, either after it took effect
+	// (1) or without an effect (2).
 	lose int
 }
 
@@ -42,7 +43,7 @@
 	}
 }
 
-// sleepless is a fake clock whose sleepers don't wait.
+// sleepless returns a fake clock whose sleeps return at once.
 func sleepless(fake *clock.Fake) *clock.Clock {
 	c := fake.Clock()
 	c.AfterFunc = func(clock.Millis) (<-chan struct{}, func()) {
@@ -53,40 +54,41 @@
 	return c
 }
 
-func two(p *platform) (fake *clock.Fake, a, b *lease.Lease) {
+func newPair(p *platform) (fake *clock.Fake, a, b *lease.Lease) {
 	fake = clock.NewFake(1)
 	opts := []lease.Option{lease.WithClock(sleepless(fake)), lease.WithTerm(term)}
 	return fake, lease.New(p.store(), "l", "a", opts...), lease.New(p.store(), "l", "b", opts...)
 }
 
-func held(t *testing.T, err error) *lease.HeldError {
+func mustBeHeld(t *testing.T, err error) *lease.HeldError {
 	t.Helper()
 	var held *lease.HeldError
 	assert.Assert(t, errors.As(err, &held), "got %v", err)
 	return held
 }
 
-// A holder is paused past its term, and another process takes the lease. When
-// the first wakes up it must see by its own clock that it holds nothing.
-func TestPausedHolderFindsItsLeaseLapsed(t *testing.T) {
-	fake, a, b := two(&platform{})
+// Guards against two processes that act as holder: one is paused beyond its term
+// while another acquires the lease. After the pause, the first must find by its own
+// clock that its lease has expired.
+func TestPausedHolderSeesItsLeaseExpired(t *testing.T) {
+	fake, a, b := newPair(&platform{})
 	assert.NilError(t, a.Acquire(t.Context()))
 	assert.Assert(t, a.Valid())
-	assert.Equal(t, held(t, b.Acquire(t.Context())).Holder, "a")
+	assert.Equal(t, mustBeHeld(t, b.Acquire(t.Context())).Holder, "a")
 	fake.Advance(term)
 	assert.Assert(t, !a.Valid())
 	assert.NilError(t, b.Acquire(t.Context()))
 	assert.Assert(t, b.Fence() > 1)
-	assert.Equal(t, held(t, a.Renew(t.Context())).Holder, "b")
+	assert.Equal(t, mustBeHeld(t, a.Renew(t.Context())).Holder, "b")
 	assert.Equal(t, a.Fence(), uint64(0))
 	assert.Assert(t, b.Valid())
 }
 
-func TestRenewedLeaseIsNotTaken(t *testing.T) {
-	fake, a, b := two(&platform{})
+func TestRenewedLeaseIsNotAcquired(t *testing.T) {
+	fake, a, b := newPair(&platform{})
 	assert.NilError(t, a.Acquire(t.Context()))
 	for range 5 {
-		assert.Equal(t, held(t, b.Acquire(t.Context())).Holder, "a")
+		assert.Equal(t, mustBeHeld(t, b.Acquire(t.Context())).Holder, "a")
 		fake.Advance(term / 2)
 		assert.NilError(t, a.Renew(t.Context()))
 		assert.Assert(t, a.Valid())
@@ -94,7 +96,7 @@
 }
 
 func TestReleasedLeaseIsFreeAtOnce(t *testing.T) {
-	_, a, b := two(&platform{})
+	_, a, b := newPair(&platform{})
 	assert.NilError(t, a.Acquire(t.Context()))
 	assert.NilError(t, a.Release(t.Context()))
 	assert.NilError(t, b.Acquire(t.Context()))
@@ -103,17 +105,18 @@
 }
 
 func TestSeizeTakesAHigherNumber(t *testing.T) {
-	_, a, b := two(&platform{})
+	_, a, b := newPair(&platform{})
 	assert.NilError(t, a.Acquire(t.Context()))
 	assert.NilError(t, b.Seize(t.Context(), 40))
 	assert.Equal(t, b.Fence(), uint64(40))
 	assert.Assert(t, b.QuietPeriod() > term)
-	assert.Equal(t, held(t, a.Renew(t.Context())).Fence, uint64(40))
+	assert.Equal(t, mustBeHeld(t, a.Renew(t.Context())).Fence, uint64(40))
 }
 
-// The write that takes the lease has no answer. If the process gave up, nobody
-// would hold the lease for a term; if it believed in it, two might.
-func TestLostAnswers(t *testing.T) {
+// The write that acquires the lease has no answer. If the process ignored a write
+// that took effect, the lease would be unusable for a term; if it assumed an effect
+// of a write that had none, two processes could hold the lease.
+func TestWriteWithLostAnswer(t *testing.T) {
 	cases := []struct {
 		name  string
 		lose  int
@@ -125,7 +128,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := &platform{lose: c.lose}
-			_, a, b := two(p)
+			_, a, b := newPair(p)
 			err := a.Acquire(t.Context())
 			assert.Equal(t, err == nil, c.taken)
 			assert.Equal(t, a.Valid(), c.taken)
@@ -134,11 +137,11 @@
 	}
 }
 
-// The platform's store is restored and the count of holders goes back with it.
-// The seizer names the number that it must exceed.
-func TestFloorAfterARestoredStore(t *testing.T) {
+// After the platform's store was restored from an older state, the fencing number
+// must be at least the floor that the caller of Seize gives.
+func TestSeizeFloorAfterStoreRestore(t *testing.T) {
 	p := &platform{}
-	_, a, b := two(p)
+	_, a, b := newPair(p)
 	assert.NilError(t, a.Seize(t.Context(), 0))
 	p.object = store.Object{}
 	assert.NilError(t, b.Seize(t.Context(), 7))
--- a/internal/plat/slot/slot.go
+++ b/internal/plat/slot/slot.go
@@ -1,6 +1,6 @@
-// Package slot bounds how many processes of the whole fleet do a thing at
-// once, such as loading weights from the rate-limited weight store: a fixed
-// number of leases, one for each place.
+// Package slot limits how many processes of the whole fleet do something at the
+// same time, such as loading weights from the rate-limited weight store. Each slot
+// is a lease, and the number of slots is fixed.
 package slot
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Spans between two tries for a place.
+// Pauses between attempts to acquire a slot, and the renewal of slots.
 const (
 	firstPause = 200 * clock.Millis(1)
 	maxPause   = 8 * clock.Second
-	// renewals in a term, so that two may fail.
-	renewals = 3
+	// renewalsPerTerm allows two renewals in a row to fail.
+	renewalsPerTerm = 3
 )
 
-// Slots is the places of one kind.
+// Slots is one process's view of a fixed number of slots.
 type Slots struct {
 	store  *store.Store
 	prefix string
@@ -33,16 +33,17 @@
 	leases []*lease.Lease
 }
 
-// Option changes Slots while they are built.
+// Option configures Slots.
 type Option func(*Slots)
 
 // WithClock sets the clock.
 func WithClock(c *clock.Clock) Option { return func(s *Slots) { s.clock = c } }
 
-// WithTerm sets after which silence a holder's place is free.
+// WithTerm sets the time after which a slot is free if its holder doesn't renew it.
 func WithTerm(term clock.Millis) Option { return func(s *Slots) { s.term = term } }
 
-// New returns the view of one process on count places below a prefix.
+// New returns one process's view of count slots, whose leases have names below
+// prefix.
 func New(platform *store.Store, prefix string, count int, holder string, opts ...Option) *Slots {
 	s := &Slots{
 		store: platform, prefix: prefix, count: max(1, count), holder: holder,
@@ -58,45 +59,46 @@
 	return s
 }
 
-// Do runs a function while holding a place, waiting for one as long as the
-// context lasts. The function's context ends when the place is lost.
+// Do waits for a slot and runs a function while it holds the slot. It stops waiting
+// when the context ends. The function's context ends if the slot is lost.
 func (s *Slots) Do(ctx context.Context, run func(context.Context) error) error {
-	held, err := s.wait(ctx)
+	held, err := s.acquire(ctx)
 	if err != nil {
 		return err
 	}
-	inner, cancel := context.WithCancel(ctx)
-	kept := make(chan struct{})
+	runCtx, cancel := context.WithCancel(ctx)
+	renewalDone := make(chan struct{})
 	go func() {
-		defer close(kept)
+		defer close(renewalDone)
 		defer cancel()
-		s.keep(inner, held)
+		s.renew(runCtx, held)
 	}()
-	err = run(inner)
+	err = run(runCtx)
 	cancel()
-	<-kept
-	// The place is freed also when the caller's time is over, so that the next
-	// one need not wait for a term.
-	leave, done := context.WithTimeout(context.WithoutCancel(ctx), s.term.Duration())
-	defer done()
-	if release := held.Release(leave); release != nil && err == nil {
-		return nil // it lapses by itself
+	<-renewalDone
+	// Release the slot even if the caller's context has ended, so that the next
+	// process need not wait for a term.
+	releaseCtx, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), s.term.Duration())
+	defer cancelRelease()
+	if releaseErr := held.Release(releaseCtx); releaseErr != nil && err == nil {
+		return nil // the lease expires anyway
 	}
 	return err
 }
 
-// wait tries the places one after another, from a random one on, and then
-// pauses. Pauses grow, so that hundreds that wait don't spend the platform's
-// rate, and are drawn, so that they don't come back together.
-func (s *Slots) wait(ctx context.Context) (*lease.Lease, error) {
+// acquire tries all slots in turn, starting with a random one, until it holds one.
+// It pauses after each round. The pauses grow, so that hundreds of waiting
+// processes don't use up the platform's rate limit, and are random, so that these
+// processes don't retry at the same time.
+func (s *Slots) acquire(ctx context.Context) (*lease.Lease, error) {
 	pause := firstPause
 	for {
 		first := rand.N(s.count)
 		for i := range s.count {
-			one := s.leases[(first+i)%s.count]
-			err := one.Acquire(ctx)
+			candidate := s.leases[(first+i)%s.count]
+			err := candidate.Acquire(ctx)
 			if err == nil {
-				return one, nil
+				return candidate, nil
 			}
 			var unavailable *store.UnavailableError
 			if errors.As(err, &unavailable) {
@@ -110,9 +112,9 @@
 	}
 }
 
-// keep renews until the context ends or the place is lost.
-func (s *Slots) keep(ctx context.Context, held *lease.Lease) {
-	for s.clock.Sleep(ctx, s.term/renewals) == nil {
+// renew renews the lease until the context ends or the slot is lost.
+func (s *Slots) renew(ctx context.Context, held *lease.Lease) {
+	for s.clock.Sleep(ctx, s.term/renewalsPerTerm) == nil {
 		_ = held.Renew(ctx)
 		if !held.Valid() {
 			return
--- a/internal/plat/slot/slot_test.go
+++ b/internal/plat/slot/slot_test.go
@@ -15,10 +15,10 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// A zone returns and all its engines want their weights at once. The weight
-// store slows down for everyone, so only so many may load at a time.
-func TestNeverMoreThanTheSlots(t *testing.T) {
-	const places, processes = 2, 8
+// Guards against overload of the weight store when a zone returns and all its
+// engines load weights at once: no more processes than slots may load at a time.
+func TestConcurrencyIsLimitedToTheSlots(t *testing.T) {
+	const slotCount, processes = 2, 8
 	server := httptest.NewServer(plat.New().Handler())
 	defer server.Close()
 	platform := client.New(server.URL).Store()
@@ -26,7 +26,7 @@
 	var group sync.WaitGroup
 	for i := range processes {
 		group.Go(func() {
-			slots := slot.New(platform, "slots/weights", places, fmt.Sprint("p", i))
+			slots := slot.New(platform, "slots/weights", slotCount, fmt.Sprint("p", i))
 			assert.Check(t, slots.Do(t.Context(), func(context.Context) error {
 				now := running.Add(1)
 				for seen := most.Load(); now > seen && !most.CompareAndSwap(seen, now); seen = most.Load() {
@@ -37,5 +37,5 @@
 		})
 	}
 	group.Wait()
-	assert.Assert(t, most.Load() >= 1 && most.Load() <= places, "%d at once", most.Load())
+	assert.Assert(t, most.Load() >= 1 && most.Load() <= slotCount, "%d at once", most.Load())
 }
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the seam to the platform's object API: versioned objects
-// with conditional updates and watches, and the platform's lagging list of
-// hosts. It is the only place where anything lasts.
+// Package store is the interface to the platform's object API: versioned objects
+// with conditional updates and watches, and the platform's list of hosts, which may
+// be out of date. The platform holds all persistent data of the project.
 package store
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/base/clock"
 )
 
-// MaxValue is the largest value the platform holds, in bytes.
+// MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
 // Object is one object at one version. Versions of a name grow with each
@@ -19,33 +19,33 @@
 	Name    string
 	Version uint64
 	Value   []byte
-	// Status is what has been recorded beside Value, nil where nothing was.
+	// Status is the status that is stored with the object, nil if there is none.
 	Status []byte
 }
 
-// HostState is what the platform says of a host.
+// HostState is the state of a host in the platform's list.
 type HostState string
 
-// States of a host in the platform's list.
+// States of a host.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one line of the platform's list of hosts, which lags.
+// Host is an entry of the platform's list of hosts, which may be out of date.
 type Host struct {
-	// Name is unique; the list is ordered by it.
+	// Name is unique. The list is ordered by name.
 	Name string `json:"name"`
 	// Address is the host:port of the project's process there.
 	Address string `json:"address"`
-	// Operators is the host:port of the process's operators' port; empty when
-	// it is the usual port at the same IP number.
+	// Operators is the host:port of the process's operators' port; empty if it is the
+	// default port at the same IP address.
 	Operators string `json:"operators,omitempty"`
-	// AvailabilityZone the host stands in.
+	// AvailabilityZone is the availability zone of the host.
 	AvailabilityZone string `json:"availabilityZone"`
 	// Role is "entry" or "agent".
 	Role string `json:"role"`
-	// Pool and Endpoint of an agent's host.
+	// Pool and Endpoint are set for hosts of agents.
 	Pool     string    `json:"pool,omitempty"`
 	Endpoint string    `json:"endpoint,omitempty"`
 	State    HostState `json:"state"`
@@ -53,47 +53,49 @@
 
 // HostQuery selects one page of the list.
 type HostQuery struct {
-	// Role and Pool filter when not empty.
+	// Role and Pool filter the list if not empty.
 	Role string
 	Pool string
-	// After is the name to start behind; empty starts at the beginning.
+	// After is the name after which the page starts; empty starts at the beginning.
 	After string
-	// Limit bounds the page.
+	// Limit is the maximum number of hosts in the page; 0 leaves it to the platform.
 	Limit int
 }
 
-// HostPage is one page. Next is the name to continue behind; empty at the end.
+// HostPage is one page of the list. Next is the value of After for the next page,
+// empty on the last one.
 type HostPage struct {
 	Hosts []Host `json:"hosts"`
 	Next  string `json:"next,omitempty"`
 }
 
-// Store calls the platform. Its function fields are the seam: the HTTP client
-// and tests each supply theirs.
+// Store calls the platform through its function fields, which the HTTP client and
+// tests supply.
 type Store struct {
-	// GetFunc reads an object; version 0 means that there is none.
+	// GetFunc reads an object. The version is 0 if it does not exist.
 	GetFunc func(ctx context.Context, name string) (Object, error)
-	// PutFunc writes if the object is at version want (0: must not exist).
+	// PutFunc writes an object if it is at version want; 0 means that it must not
+	// exist.
 	PutFunc func(ctx context.Context, name string, want uint64, value []byte) (Object, error)
 	// StatusFunc writes an object's status if the object is at version want.
 	StatusFunc func(ctx context.Context, name string, want uint64, status []byte) (Object, error)
-	// DeleteFunc deletes if the object is at version want.
+	// DeleteFunc deletes an object if it is at version want.
 	DeleteFunc func(ctx context.Context, name string, want uint64) error
-	// WatchFunc waits up to wait for a version other than seen and returns
-	// the object; an unchanged object comes back after the wait.
+	// WatchFunc waits at most wait ms for a version other than seen and returns the
+	// object, changed or not.
 	WatchFunc func(ctx context.Context, name string, seen uint64, wait clock.Millis) (Object, error)
-	// ListFunc lists the objects below a prefix, without values.
+	// ListFunc lists the objects whose names begin with a prefix, without values.
 	ListFunc func(ctx context.Context, prefix string) ([]Object, error)
 	// HostsFunc reads one page of the list of hosts.
 	HostsFunc func(ctx context.Context, query HostQuery) (HostPage, error)
 	// ScanFunc reads all objects of a kind, with values.
 	ScanFunc func(ctx context.Context, kind string) (Listing, error)
-	// FollowFunc waits up to wait for changes of a kind after a revision. It
-	// fails with a HistoryError when the store no longer has all of them.
+	// FollowFunc waits at most wait ms for changes of a kind after a revision. It
+	// fails with a HistoryError if the store no longer has all of these changes.
 	FollowFunc func(ctx context.Context, kind string, since uint64, wait clock.Millis) (Changes, error)
 }
 
-// Listing is all objects of a kind as of a revision of the whole store.
+// Listing holds all objects of a kind as of a revision of the whole store.
 type Listing struct {
 	Objects  []Object
 	Revision uint64
@@ -105,14 +107,14 @@
 	Deleted bool
 }
 
-// Changes are what happened up to a revision, in order.
+// Changes holds changes in order, up to a revision.
 type Changes struct {
 	Changes  []Change
 	Revision uint64
 }
 
-// HistoryError says that the store has dropped changes that were asked for.
-// Only a new Scan tells what is there now.
+// HistoryError is returned when the store has dropped some of the requested
+// changes. The current state must then be read with Scan.
 type HistoryError struct {
 	Kind  string
 	Since uint64
@@ -120,11 +122,11 @@
 
 // Error implements error.
 func (e *HistoryError) Error() string {
-	return fmt.Sprintf("changes of %q after revision %d are gone", e.Kind, e.Since)
+	return fmt.Sprintf("changes of %q after revision %d are no longer available", e.Kind, e.Since)
 }
 
-// ConflictError says that a conditional update lost: the object stands at
-// Version with Value.
+// ConflictError is returned when a conditional update had no effect because the
+// object is not at version Want but at that of Current.
 type ConflictError struct {
 	Name    string
 	Want    uint64
@@ -136,8 +138,8 @@
 	return fmt.Sprintf("object %q is at version %d, not %d", e.Name, e.Current.Version, e.Want)
 }
 
-// UnknownError says that a write may or may not have taken effect. Read back
-// and compare; never repeat it blindly.
+// UnknownError is returned when it is unknown whether a write took effect. Callers
+// must read the object back before they repeat the write.
 type UnknownError struct {
 	Name  string
 	Cause error
@@ -151,8 +153,9 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// UnavailableError says that the call had no effect: the platform is down,
-// refuses for its rate, or was not asked because the call budget is spent.
+// UnavailableError is returned when a call had no effect: the platform is down, has
+// refused it because of a rate limit, or the call was not sent because the call
+// budget is spent.
 type UnavailableError struct {
 	Name       string
 	RetryAfter clock.Millis
@@ -161,7 +164,7 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("platform can't be used for %q: %v", e.Name, e.Cause)
+	return fmt.Sprintf("platform is not available for %q: %v", e.Name, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -190,7 +193,7 @@
 	return s.WatchFunc(ctx, name, seen, wait)
 }
 
-// List lists the objects below a prefix, without values.
+// List lists the objects whose names begin with a prefix, without values.
 func (s *Store) List(ctx context.Context, prefix string) ([]Object, error) {
 	return s.ListFunc(ctx, prefix)
 }
