--- a/internal/serve/target/target.go
+++ b/internal/serve/target/target.go
@@ -68,7 +68,7 @@
 	}
 	created := &Target{Endpoint: e, parts: make(map[Key]clock.Millis)}
 	created.Conns = conn.New(e.Address, conn.WithClock(s.clock), conn.WithDialed(s.onDial),
-		conn.WithMost(func() int { return s.maxConns(e.Pool) }))
+		conn.WithMaxOpen(func() int { return s.maxConns(e.Pool) }))
 	known, _ := s.byID.LoadOrStore(e, created)
 	return known.(*Target)
 }
--- a/internal/share/node/node.go
+++ b/internal/share/node/node.go
@@ -197,7 +197,7 @@
 		b.contact.RecordPeer(s.Peer().AvailabilityZone, s.LastReceived())
 	}
 	if b.caller != nil {
-		b.contact.RecordPlatform(b.caller.Heard())
+		b.contact.RecordPlatform(b.caller.LastAnswer())
 	}
 }
 
