--- a/internal/e2e/agent_test.go
+++ b/internal/e2e/agent_test.go
@@ -11,19 +11,20 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// All bases of the system's entries.
-func basesOf(system *whole.Whole) func() []string {
-	var bases []string
+// allBaseURLs returns a function that returns the base URLs of all entries.
+func allBaseURLs(system *whole.Whole) func() []string {
+	var baseURLs []string
 	for _, front := range system.Fronts {
-		bases = append(bases, "http://"+front.Address)
+		baseURLs = append(baseURLs, "http://"+front.Address)
 	}
-	return func() []string { return bases }
+	return func() []string { return baseURLs }
 }
 
-// Every engine has just started, three entries push at once, and the agent
-// beside one engine dies and is replaced while that engine still works. Given
-// more than it bears, a cold engine falls over and all its answers are lost.
-func TestColdEnginesDoNotFall(t *testing.T) {
+// Guards against overload of engines that have just started. Three entries send
+// work at the same time, and the agent of one engine is killed and replaced
+// while that engine still runs work. A cold engine that gets more work than its
+// limit crashes and loses all its answers.
+func TestColdEnginesAreNotOverloaded(t *testing.T) {
 	system, err := whole.New(whole.WithEntries(3), whole.WithShapes(
 		whole.Shape{Pool: "engines", Endpoints: 2, TokenMs: 10, Tokens: 20, ColdWorkMs: 1500, LoadLagMs: 200}))
 	assert.NilError(t, err)
@@ -32,12 +33,12 @@
 	for _, place := range engines {
 		place.Slots().Restart()
 	}
-	c := startCrowd(t, 30, basesOf(system), kindSheet)
+	load := startLoad(t, 30, allBaseURLs(system), kindSheet)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if engines[0].Slots().State().Running == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("engines-0 has no work yet")
+		return poll.Continue("engines-0 does not run two calls yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -48,7 +49,7 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	c.stop()
+	load.stop()
 	for _, place := range engines {
 		state := place.Slots().State()
 		assert.Equal(t, state.Falls, 0, place.Endpoint)
@@ -56,26 +57,27 @@
 	}
 }
 
-// Every agent is stopped as planned and started again, one after another, under
-// load. No caller may see a cut answer, and no booking may be lost or doubled.
-func TestRollingRestartOfAgentsCutsNothing(t *testing.T) {
-	system := started(t, whole.WithEntries(2))
-	c := startCrowd(t, 8, basesOf(system), kindSheet, kindBooking)
-	waitFor(t, c, 40)
+// Guards against interrupted answers and lost or repeated bookings when all
+// agents are stopped as planned and restarted, one after another, under load.
+func TestRollingRestartOfAgentsInterruptsNoRequest(t *testing.T) {
+	system := startSystem(t, whole.WithEntries(2))
+	load := startLoad(t, 8, allBaseURLs(system), kindSheet, kindBooking)
+	waitForRequests(t, load, 40)
 	for _, place := range system.Places {
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: place.Endpoint}))
 		awaitAgent(t, place, len(system.Fronts))
 	}
-	waitFor(t, c, c.count()+40)
-	outcomes := c.stop()
-	assert.NilError(t, firstBad(outcomes))
+	waitForRequests(t, load, load.count()+40)
+	outcomes := load.stop()
+	assert.NilError(t, firstFailure(outcomes))
 	total := sum(outcomes)
 	assert.Equal(t, total.refused, 0, "%+v", total)
-	checkOnce(t, outcomes, system.Ledger.Runs)
+	checkRunCounts(t, outcomes, system.Ledger.Runs)
 }
 
-// awaitAgent waits until an agent takes work from so many entries, as operators
-// do before they go on to the next.
+// awaitAgent waits until an agent accepts work and has a session with each of
+// that many entries. Operators wait for the same state before they restart the
+// next agent.
 func awaitAgent(t testing.TB, place *whole.Place, entries int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -86,10 +88,11 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// An engine goes silent: it takes calls and never answers. Its agent takes it
-// out, and callers are answered by the others within their deadlines.
-func TestSilentEngineIsWorkedAround(t *testing.T) {
-	system := started(t)
+// Guards against requests that fail because one engine hangs: it accepts calls
+// and never answers. Its agent must refuse new work, and the other engines must
+// answer all requests within their deadlines.
+func TestRequestsAvoidHungEngine(t *testing.T) {
+	system := startSystem(t)
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointSilent, Target: "engines-0"}))
 	for range 12 {
 		got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
@@ -99,7 +102,7 @@
 		if _, refuses := system.Place("engines-0").Agent.Refuses(); refuses {
 			return poll.Success()
 		}
-		return poll.Continue("the agent still takes work")
+		return poll.Continue("the agent still accepts work")
 	}, poll.WithTimeout(30*time.Second))
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointAlive, Target: "engines-0"}))
 }
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -10,28 +10,29 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// waitFor waits until a crowd has ended so many requests.
-func waitFor(t *testing.T, c *crowd, requests int) {
+// waitForRequests waits until the load generator has completed that many
+// requests.
+func waitForRequests(t *testing.T, load *loadGenerator, requests int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if done := c.count(); done < requests {
+		if done := load.count(); done < requests {
 			return poll.Continue("%d of %d requests", done, requests)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(2*time.Minute))
 }
 
-// Many callers ask at once through two entries, so answers of different
-// requests cross on the same sessions. A mixed-up answer would hand one
-// customer's text to another.
+// Guards against answers that reach the wrong caller. Many concurrent requests
+// through two entries share the same sessions; a mixed-up answer would reveal
+// the text of one customer to another.
 func TestAnswersOfManyCallersAreNotMixedUp(t *testing.T) {
-	system := started(t, whole.WithEntries(2))
-	bases := []string{system.URL(), "http://" + system.Fronts[1].Address}
-	c := startCrowd(t, 6, func() []string { return bases }, kindSheet, kindBooking)
-	waitFor(t, c, 200)
-	outcomes := c.stop()
+	system := startSystem(t, whole.WithEntries(2))
+	baseURLs := []string{system.URL(), "http://" + system.Fronts[1].Address}
+	load := startLoad(t, 6, func() []string { return baseURLs }, kindSheet, kindBooking)
+	waitForRequests(t, load, 200)
+	outcomes := load.stop()
 	total := sum(outcomes)
-	assert.NilError(t, firstBad(outcomes))
+	assert.NilError(t, firstFailure(outcomes))
 	assert.Assert(t, total.answered > total.refused, "%+v", total)
-	checkOnce(t, outcomes, system.Ledger.Runs)
+	checkRunCounts(t, outcomes, system.Ledger.Runs)
 }
--- a/internal/e2e/cold_test.go
+++ b/internal/e2e/cold_test.go
@@ -15,9 +15,9 @@
 	coldCallers = 24
 )
 
-// falls counts how often engines fell over because they got more work than
-// they bear while cold.
-func falls(system *whole.Whole) int {
+// countOverloads returns how often an endpoint crashed because it got more work
+// than its limit while it was cold.
+func countOverloads(system *whole.Whole) int {
 	total := 0
 	for _, place := range system.Places {
 		total += place.Slots().State().Falls
@@ -27,65 +27,67 @@
 
 func coldSystem(t *testing.T) *whole.Whole {
 	t.Helper()
-	return started(t, whole.WithEntries(coldEntries), whole.WithEndpoints(2), whole.WithShapes(whole.Shape{
+	return startSystem(t, whole.WithEntries(coldEntries), whole.WithEndpoints(2), whole.WithShapes(whole.Shape{
 		Pool: "engines", Endpoints: 2, ColdWorkMs: 400,
 	}))
 }
 
-// An engine has just started, and four entries push at once what they think it
-// bears. A cold engine that gets more than it bears falls over and starts anew,
-// cold again: callers would see it flap for minutes.
+// Guards against overload of an engine that has just started. Four entries send
+// work at the same time, each up to its own estimate of the limit. A cold engine
+// that gets more than its limit crashes and starts cold again; this could repeat
+// for minutes.
 func TestStartedEngineIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	system := coldSystem(t)
 	for range 3 {
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
-		c := startCrowd(t, coldCallers, system.InRotation, kindSheet)
-		waitFor(t, c, 120)
-		assert.NilError(t, firstBad(c.stop()))
-		assert.Equal(t, falls(system), 0)
+		load := startLoad(t, coldCallers, system.InRotation, kindSheet)
+		waitForRequests(t, load, 120)
+		assert.NilError(t, firstFailure(load.stop()))
+		assert.Equal(t, countOverloads(system), 0)
 	}
 }
 
-// An engine restarts under full load. Calls that were on their way at that
-// moment can't be called back and may fell it once or twice, but from the first
-// sign of the restart on it must get no more than it bears.
+// Guards against overload of an engine that restarts under full load. Calls that
+// were in flight at that moment can't be cancelled and may overload it once or
+// twice. As soon as the restart is detected, it must not get more than its limit.
 func TestRestartedEngineIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	system := coldSystem(t)
-	c := startCrowd(t, coldCallers, system.InRotation, kindSheet)
-	waitFor(t, c, 100)
+	load := startLoad(t, coldCallers, system.InRotation, kindSheet)
+	waitForRequests(t, load, 100)
 	for range 3 {
-		before := falls(system)
+		before := countOverloads(system)
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
-		checkNoMoreFalls(t, system, c, before)
+		checkNoMoreOverloads(t, system, load, before)
 	}
-	assert.NilError(t, firstBad(c.stop()))
+	assert.NilError(t, firstFailure(load.stop()))
 }
 
-// The agent is replaced while its engine still runs work of the old agent. The
-// new one knows nothing of that work; it must not add a full load to it, and
-// all the less when the engine is cold.
-func TestRestartedAgentCountsWorkOfTheOldOne(t *testing.T) {
+// Guards against overload of an engine whose agent is replaced while the engine
+// still runs work that the previous agent sent. The new agent has no record of
+// that work, but must not add a full load to it, in particular while the engine
+// is cold.
+func TestRestartedAgentCountsWorkOfPreviousAgent(t *testing.T) {
 	t.Parallel()
 	system := coldSystem(t)
-	c := startCrowd(t, coldCallers, system.InRotation, kindSheet)
-	waitFor(t, c, 100)
+	load := startLoad(t, coldCallers, system.InRotation, kindSheet)
+	waitForRequests(t, load, 100)
 	for range 3 {
-		before := falls(system)
+		before := countOverloads(system)
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
-		checkNoMoreFalls(t, system, c, before)
+		checkNoMoreOverloads(t, system, load, before)
 		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: "engines-0"}))
-		checkNoMoreFalls(t, system, c, falls(system))
+		checkNoMoreOverloads(t, system, load, countOverloads(system))
 	}
-	assert.NilError(t, firstBad(c.stop()))
+	assert.NilError(t, firstFailure(load.stop()))
 }
 
-// awaitCold waits until the agent beside an endpoint knows that it is cold.
+// awaitCold waits until the agent of an endpoint reports the endpoint as cold.
 func awaitCold(t *testing.T, place *whole.Place) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -96,17 +98,18 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(time.Millisecond))
 }
 
-// checkNoMoreFalls lets requests run on and allows no fall any more. Before,
-// the calls on their way when the engine restarted, at most its warm limit,
-// can fell it each time that one more than its cold limit of them arrive.
-func checkNoMoreFalls(t *testing.T, system *whole.Whole, c *crowd, before int) {
+// checkNoMoreOverloads checks that no overload happens once the calls have
+// arrived that were in flight when the engine restarted. Those calls, at most
+// the warm limit, can overload the engine each time that coldLimit+1 of them
+// arrive.
+func checkNoMoreOverloads(t *testing.T, system *whole.Whole, load *loadGenerator, before int) {
 	t.Helper()
 	const warmLimit, coldLimit = 8, 2
-	// Every caller has one request in flight: after so many more ends, what was
-	// on its way has arrived.
-	waitFor(t, c, c.count()+2*coldCallers)
-	known := falls(system)
-	assert.Assert(t, known-before <= warmLimit/(coldLimit+1), "%d falls", known-before)
-	waitFor(t, c, c.count()+120)
-	assert.Equal(t, falls(system), known)
+	// Every caller has one request in flight, so after this many more completed
+	// requests the earlier calls have arrived.
+	waitForRequests(t, load, load.count()+2*coldCallers)
+	known := countOverloads(system)
+	assert.Assert(t, known-before <= warmLimit/(coldLimit+1), "%d overloads", known-before)
+	waitForRequests(t, load, load.count()+120)
+	assert.Equal(t, countOverloads(system), known)
 }
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -19,44 +19,46 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// patient returns the sample with a deadline that a busy machine doesn't miss:
-// these tests are about refusals that have another cause.
-func patient() *manif.Manifest {
+// longDeadlineManifest returns the sample manifest with a deadline that even a
+// busy machine meets. Its tests check refusals that have other causes.
+func longDeadlineManifest() *manif.Manifest {
 	manifest := whole.Sample()
 	manifest.Pipelines[0].DeadlineMs = 30 * clock.Second
 	return manifest
 }
 
-// variant returns the sample with another weight, as a change of the manifest.
-func variant(weight int) *manif.Manifest {
-	manifest := patient()
+// manifestWithWeight returns a changed manifest: the weight of the organisation
+// differs.
+func manifestWithWeight(weight int) *manif.Manifest {
+	manifest := longDeadlineManifest()
 	manifest.Organisations[0].Weight = weight
 	return manifest
 }
 
-// apply puts a variant in force and returns its release.
-func applyVariant(t *testing.T, system *whole.Whole, weight int) uint64 {
+// applyWeight applies a manifest with this weight and returns its release.
+func applyWeight(t *testing.T, system *whole.Whole, weight int) uint64 {
 	t.Helper()
-	result, err := system.Operator().Apply(t.Context(), variant(weight), apply.Change{Who: "anna"})
+	result, err := system.Operator().Apply(t.Context(), manifestWithWeight(weight), apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	return result.Head.Release
 }
 
-// noRevert watches all daemons until stopped and reports each that went back.
-type noRevert struct {
+// releaseWatch reports each daemon that reverts to an older release, until it is
+// stopped.
+type releaseWatch struct {
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 }
 
-func watchReleases(t *testing.T, system *whole.Whole) *noRevert {
+func watchReleases(t *testing.T, system *whole.Whole) *releaseWatch {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &noRevert{cancel: cancel}
+	n := &releaseWatch{cancel: cancel}
 	n.group.Go(func() {
 		highest := make(map[string]uint64)
 		for ctx.Err() == nil {
 			for _, daemon := range system.InForce() {
 				if daemon.Release < highest[daemon.Process] {
-					t.Errorf("%s went back from release %d to %d", daemon.Process, highest[daemon.Process], daemon.Release)
+					t.Errorf("%s reverted from release %d to %d", daemon.Process, highest[daemon.Process], daemon.Release)
 				}
 				highest[daemon.Process] = daemon.Release
 			}
@@ -66,16 +68,17 @@
 	return n
 }
 
-func (n *noRevert) stop() {
+func (n *releaseWatch) stop() {
 	n.cancel()
 	n.group.Wait()
 }
 
-func TestChangeComesIntoForceEverywhere(t *testing.T) {
+// Guards against a daemon that doesn't get a configuration change.
+func TestChangeTakesEffectInAllDaemons(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(3))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(3))
 	for weight := 2; weight < 7; weight++ {
-		release := applyVariant(t, system, weight)
+		release := applyWeight(t, system, weight)
 		begin := time.Now()
 		assert.NilError(t, system.WaitInForce(release))
 		t.Logf("release %d in force in %d daemons after %v", release, len(system.InForce()), time.Since(begin))
@@ -88,11 +91,11 @@
 	}
 }
 
-// The platform is bad for a while: it serves stale reads, loses answers to
-// writes that took effect, and its watch events come late, twice or not at
-// all. Operators go on changing things. No daemon may go back, and in the end
-// all have the last change.
-func TestNoDaemonGoesBackOnABadPlatform(t *testing.T) {
+// Guards against daemons that revert to an older release, or miss the last one,
+// while operators apply changes to a faulty platform: it serves stale reads,
+// loses answers to writes that took effect, and delays, repeats or drops watch
+// events.
+func TestNoDaemonRevertsOnPlatformFaults(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name   string
@@ -100,19 +103,19 @@
 	}{
 		{"stale reads", plat.Faults{Stale: 0.5}},
 		{"lost answers", plat.Faults{LoseAnswer: 0.4}},
-		{"watch events late", plat.Faults{WatchLate: 50 * time.Millisecond}},
-		{"watch events lost and doubled", plat.Faults{WatchLost: 0.4, WatchDoubled: 0.4}},
+		{"watch events delayed", plat.Faults{WatchLate: 50 * time.Millisecond}},
+		{"watch events lost and duplicated", plat.Faults{WatchLost: 0.4, WatchDoubled: 0.4}},
 		{"slow", plat.Faults{Delay: 50 * time.Millisecond}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			system := started(t, whole.WithManifest(patient()), whole.WithEntries(3), whole.WithEndpoints(2))
+			system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(3), whole.WithEndpoints(2))
 			watch := watchReleases(t, system)
 			system.Platform.SetFaults(c.faults)
 			var last uint64
 			for weight := 2; weight < 8; weight++ {
-				last = applyVariant(t, system, weight)
+				last = applyWeight(t, system, weight)
 			}
 			system.Platform.SetFaults(plat.Faults{})
 			assert.NilError(t, system.WaitInForce(last))
@@ -122,12 +125,13 @@
 	}
 }
 
-// The platform's store is restored from a backup that lacks the last changes. A
-// zone that was taken out meanwhile must stay out, and the next change must
-// take effect although the store would have numbered it like an older one.
+// Guards against lost changes when the store of the platform is restored from a
+// backup that lacks the last ones. A zone that was evacuated after the backup
+// must stay evacuated, and the next change must take effect although the
+// restored store would give it the number of an earlier release.
 func TestStoreRestoredToAnOlderState(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(2), whole.WithEndpoints(2))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(2), whole.WithEndpoints(2))
 	backup := system.Platform.Snapshot()
 	result, err := system.Operator().LeaveZone(t.Context(), "za", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
@@ -141,20 +145,20 @@
 		}
 		return poll.Continue("store not repaired yet")
 	}, poll.WithTimeout(time.Minute))
-	next := applyVariant(t, system, 3)
+	next := applyWeight(t, system, 3)
 	assert.Assert(t, next > result.Head.Release)
 	assert.NilError(t, system.WaitInForce(next))
 	watch.stop()
 	assert.Assert(t, system.Fronts[0].Holder.Current().ZoneEvacuated("za"))
 }
 
-// The platform goes down, and hosts are replaced while it is: an entry and
-// agents start anew with nothing but the addresses of other entries. They must
-// serve all the same.
+// Guards against processes that can't start while the platform is down. An entry
+// and all agents are replaced during the outage; the new ones only have the
+// addresses of other entries and must serve requests.
 func TestProcessesStartWhileThePlatformIsDown(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(2), whole.WithEndpoints(2))
-	release := applyVariant(t, system, 5)
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(2), whole.WithEndpoints(2))
+	release := applyWeight(t, system, 5)
 	assert.NilError(t, system.WaitInForce(release))
 	system.Platform.SetFaults(plat.Faults{Down: true})
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EntryKill, Target: "entry-0"}))
@@ -171,17 +175,18 @@
 	}, poll.WithTimeout(time.Minute))
 }
 
-// Two operators look at the same release and apply different manifests. One
-// must win and the other must be told who changed what, instead of silently
-// undoing it.
-func TestOperatorsWhoRaceLoseCleanly(t *testing.T) {
+// Guards against operators who silently undo each other's changes. Several
+// operators apply different manifests on top of the same release. One must
+// succeed; the others must get an error that names the operator who made the
+// conflicting change.
+func TestConcurrentAppliesConflict(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(1), whole.WithEndpoints(1))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(1), whole.WithEndpoints(1))
 	var group sync.WaitGroup
 	errs := make([]error, 4)
 	for i := range errs {
 		group.Go(func() {
-			_, errs[i] = system.Operator().Apply(t.Context(), variant(i+2), apply.Change{Who: "operator", Expected: 1})
+			_, errs[i] = system.Operator().Apply(t.Context(), manifestWithWeight(i+2), apply.Change{Who: "operator", Expected: 1})
 		})
 	}
 	group.Wait()
@@ -201,33 +206,33 @@
 	assert.Equal(t, won, 1)
 }
 
-// One operator applies a manifest while another takes a zone out. They don't
-// touch the same thing: both must get through, and neither undo the other.
-func TestZoneLeavesWhileAManifestIsApplied(t *testing.T) {
+// Guards against a conflict between independent changes: one operator applies a
+// manifest while another evacuates a zone. Both changes must take effect.
+func TestZoneIsEvacuatedWhileAManifestIsApplied(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(1), whole.WithEndpoints(1))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(1), whole.WithEndpoints(1))
 	var group sync.WaitGroup
-	var applied, left error
+	var applyErr, evacuateErr error
 	group.Go(func() {
-		_, applied = system.Operator().Apply(t.Context(), variant(9), apply.Change{Who: "anna", Expected: 1})
+		_, applyErr = system.Operator().Apply(t.Context(), manifestWithWeight(9), apply.Change{Who: "anna", Expected: 1})
 	})
 	group.Go(func() {
-		_, left = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
+		_, evacuateErr = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
 	})
 	group.Wait()
-	assert.NilError(t, applied)
-	assert.NilError(t, left)
+	assert.NilError(t, applyErr)
+	assert.NilError(t, evacuateErr)
 	assert.NilError(t, system.WaitInForce(3))
 	current := system.Fronts[0].Holder.Current()
 	assert.Assert(t, current.ZoneEvacuated("zb"))
 	assert.Equal(t, current.Organisation("demo").Weight, 9)
 }
 
-// Someone writes the head object past the operators' client, with a document
-// that is no use. It must not take effect, and the next change must.
-func TestDocumentWrittenByHandNeverTakesEffect(t *testing.T) {
+// Guards against an invalid head object that was written without the operators'
+// client. It must not take effect, and the next valid change must.
+func TestInvalidHeadDocumentNeverTakesEffect(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(2), whole.WithEndpoints(1))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(2), whole.WithEndpoints(1))
 	for _, document := range []string{"not JSON", `{"release":7,"nonce":"x","sections":[{"name":"pools","digest":"1"}]}`} {
 		stored := system.Platform.Get(head.Object)
 		_, done := system.Platform.Put(head.Object, stored.Version, []byte(document))
@@ -236,33 +241,33 @@
 	watch := watchReleases(t, system)
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
-	release := applyVariant(t, system, 4)
+	release := applyWeight(t, system, 4)
 	assert.NilError(t, system.WaitInForce(release))
 	watch.stop()
 }
 
-// A change takes a pipeline away while a request runs through it. The request
-// must run to its end on the release it began with.
-func TestRequestRunsToItsEndOnItsRelease(t *testing.T) {
+// Guards against requests that fail because a change removes their pipeline. A
+// request must complete on the release with which it began.
+func TestRequestCompletesOnItsRelease(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(1))
-	c := startCrowd(t, 8, system.InRotation, kindSheet)
-	waitFor(t, c, 10)
-	other := patient()
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(1))
+	load := startLoad(t, 8, system.InRotation, kindSheet)
+	waitForRequests(t, load, 10)
+	other := longDeadlineManifest()
 	other.Pipelines[0].Name = "setup-sheet-2"
 	other.Services[0].Pipeline = "setup-sheet-2"
 	for i := range 4 {
 		manifest := other
 		if i%2 == 1 {
-			manifest = patient()
+			manifest = longDeadlineManifest()
 		}
 		result, err := system.Operator().Apply(t.Context(), manifest, apply.Change{Who: "anna"})
 		assert.NilError(t, err)
 		assert.NilError(t, system.WaitInForce(result.Head.Release))
-		waitFor(t, c, c.count()+10)
+		waitForRequests(t, load, load.count()+10)
 	}
-	outcomes := c.stop()
+	outcomes := load.stop()
 	total := sum(outcomes)
-	assert.NilError(t, firstBad(outcomes))
+	assert.NilError(t, firstFailure(outcomes))
 	assert.Equal(t, total.refused, 0, "%+v", total)
 }
--- a/internal/e2e/crowd_test.go
+++ b/internal/e2e/crowd_test.go
@@ -19,21 +19,21 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// outcome is what one caller learned of one request.
+// outcome is the result of one request as its caller sees it.
 type outcome struct {
 	key     string
 	kind    string
 	at      time.Time
 	status  int
 	refused refusalBody
-	// cut says that the connection broke before the answer was whole.
-	cut bool
-	// wrong says that the answer was another request's, or not whole.
+	// interrupted is true if the connection broke before the answer was complete.
+	interrupted bool
+	// wrong is true if the answer belongs to another request or is malformed.
 	wrong bool
 	body  string
 }
 
-// refusalBody is the JSON shape of a refusal.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Reason       fault.Reason `json:"reason"`
 	Ran          fault.Ran    `json:"ran"`
@@ -42,101 +42,102 @@
 	Detail       string       `json:"detail"`
 }
 
-func (o *outcome) answered() bool { return o.status == http.StatusOK && !o.cut && !o.wrong }
+func (o *outcome) answered() bool { return o.status == http.StatusOK && !o.interrupted && !o.wrong }
 
-// crowd is a set of callers that call until told to stop.
-type crowd struct {
-	bases  func() []string
-	client *http.Client
-	cancel context.CancelFunc
-	group  sync.WaitGroup
-	next   atomic.Int64
+// loadGenerator runs callers that send requests until it is stopped.
+type loadGenerator struct {
+	baseURLs func() []string
+	client   *http.Client
+	cancel   context.CancelFunc
+	group    sync.WaitGroup
+	next     atomic.Int64
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-// kinds of calls that a crowd makes.
+// Kinds of calls that a load generator sends.
 const (
 	kindSheet   = "sheet"
 	kindBooking = "booking"
 )
 
-// callPause is the least time from one request of a caller to its next: a
-// refusal must not turn a caller into a busy loop that refuses itself.
+// callPause is the shortest time between two requests of a caller. It prevents a
+// refused caller from retrying in a busy loop, which would cause more refusals.
 const callPause = 50 * time.Millisecond
 
-// startCrowd lets callers call the entries that bases returns at the time, in
-// turn: sheets through the pipeline, bookings that may not be repeated.
-func startCrowd(t *testing.T, callers int, bases func() []string, kinds ...string) *crowd {
+// startLoad starts callers that send requests to the entries that baseURLs
+// returns, in turn: sheets run through the pipeline, bookings are plain calls
+// that must not run twice. The callers stop when the test ends at the latest.
+func startLoad(t *testing.T, callers int, baseURLs func() []string, kinds ...string) *loadGenerator {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &crowd{
-		bases: bases, cancel: cancel,
+	g := &loadGenerator{
+		baseURLs: baseURLs, cancel: cancel,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}, Timeout: 30 * time.Second},
 	}
 	for range callers {
-		c.group.Go(func() {
+		g.group.Go(func() {
 			pace := time.NewTicker(callPause)
 			defer pace.Stop()
 			for ctx.Err() == nil {
-				c.one(kinds)
+				g.sendNext(kinds)
 				<-pace.C
 			}
 		})
 	}
-	t.Cleanup(func() { c.stop() })
-	return c
+	t.Cleanup(func() { g.stop() })
+	return g
 }
 
-// stop waits for the callers' last requests and returns every outcome.
-func (c *crowd) stop() []outcome {
-	c.cancel()
-	c.group.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.outcomes
+// stop stops the callers, waits for their open requests and returns all outcomes.
+func (g *loadGenerator) stop() []outcome {
+	g.cancel()
+	g.group.Wait()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.outcomes
 }
 
-// count returns how many requests ended so far.
-func (c *crowd) count() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.outcomes)
+// count returns the number of completed requests.
+func (g *loadGenerator) count() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.outcomes)
 }
 
-func (c *crowd) one(kinds []string) {
-	number := c.next.Add(1)
-	bases := c.bases()
-	base := bases[int(number)%len(bases)]
+func (g *loadGenerator) sendNext(kinds []string) {
+	number := g.next.Add(1)
+	baseURLs := g.baseURLs()
+	baseURL := baseURLs[int(number)%len(baseURLs)]
 	kind := kinds[int(number)%len(kinds)]
 	key := fmt.Sprintf("%s-%d.", kind, number)
 	got := outcome{key: key, kind: kind}
 	switch kind {
 	case kindBooking:
-		c.call(&got, base+"/v1/services/orders/call/bookings", fmt.Sprintf(`{"echo":%q}`, key), key)
+		g.send(&got, baseURL+"/v1/services/orders/call/bookings", fmt.Sprintf(`{"echo":%q}`, key), key)
 	default:
-		c.call(&got, base+"/v1/services/setup-sheets", fmt.Sprintf(`{"input":{"echo":%q}}`, key), "")
+		g.send(&got, baseURL+"/v1/services/setup-sheets", fmt.Sprintf(`{"input":{"echo":%q}}`, key), "")
 	}
 	got.at = time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.outcomes = append(c.outcomes, got)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.outcomes = append(g.outcomes, got)
 }
 
-func (c *crowd) call(got *outcome, url, body, key string) {
+func (g *loadGenerator) send(got *outcome, url, body, key string) {
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the URL is made here
+		panic(err) // the tests build the URL, so it is valid
 	}
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+whole.SampleToken)
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
 	}
-	response, err := c.client.Do(request)
+	response, err := g.client.Do(request)
 	if err != nil {
-		got.cut = true
+		got.interrupted = true
 		got.body = err.Error()
 		return
 	}
@@ -144,9 +145,9 @@
 	content, err := io.ReadAll(response.Body)
 	got.status = response.StatusCode
 	got.body = string(content)
-	got.cut = err != nil
+	got.interrupted = err != nil
 	if got.status != http.StatusOK {
-		if err := json.Unmarshal(content, &got.refused); err != nil && !got.cut {
+		if err := json.Unmarshal(content, &got.refused); err != nil && !got.interrupted {
 			got.wrong = true
 		}
 		return
@@ -156,11 +157,11 @@
 	}
 }
 
-// tally sums outcomes up.
+// tally counts outcomes by result.
 type tally struct {
-	answered, refused, cut, wrong int
-	reasons                       map[fault.Reason]int
-	// details has one example a reason.
+	answered, refused, interrupted, wrong int
+	reasons                               map[fault.Reason]int
+	// details holds one example of each reason.
 	details map[fault.Reason]string
 }
 
@@ -171,8 +172,8 @@
 		switch {
 		case got.wrong:
 			total.wrong++
-		case got.cut:
-			total.cut++
+		case got.interrupted:
+			total.interrupted++
 		case got.answered():
 			total.answered++
 		default:
@@ -184,9 +185,10 @@
 	return total
 }
 
-// checkOnce holds the outcomes against what the service ran: nothing twice,
-// nothing that was said not to have run, everything that was answered.
-func checkOnce(t *testing.T, outcomes []outcome, runs func(key string) int) {
+// checkRunCounts compares the outcomes of bookings with their number of runs at
+// the service: none ran twice, none ran that was reported as not run, and each
+// answered one ran.
+func checkRunCounts(t *testing.T, outcomes []outcome, runs func(key string) int) {
 	t.Helper()
 	for i := range outcomes {
 		got := &outcomes[i]
@@ -199,15 +201,16 @@
 			assert.Check(t, ran == 1, "%s was answered but ran %d times", got.key, ran)
 		}
 		if got.refused.Ran == fault.NotRun {
-			assert.Check(t, ran == 0, "%s was said not to have run, reason %s: %s", got.key, got.refused.Reason, got.refused.Detail)
+			assert.Check(t, ran == 0, "%s ran but was reported as not run, reason %s: %s", got.key, got.refused.Reason, got.refused.Detail)
 		}
 	}
 }
 
-// firstBad returns an outcome that is neither an answer nor a refusal.
-func firstBad(outcomes []outcome) error {
+// firstFailure returns an error for the first outcome that is neither an answer
+// nor a refusal, or nil.
+func firstFailure(outcomes []outcome) error {
 	for i := range outcomes {
-		if got := &outcomes[i]; got.cut || got.wrong {
+		if got := &outcomes[i]; got.interrupted || got.wrong {
 			return errors.New(got.key + ": " + got.body)
 		}
 	}
--- a/internal/e2e/flow_test.go
+++ b/internal/e2e/flow_test.go
@@ -20,8 +20,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// counted returns the sum of a counter over the labels that are given.
-func counted(t *testing.T, registry *prometheus.Registry, name string, labels map[string]string) float64 {
+// counterSum returns the sum of a counter over all series with these labels.
+func counterSum(t *testing.T, registry *prometheus.Registry, name string, labels map[string]string) float64 {
 	t.Helper()
 	families, err := registry.Gather()
 	assert.NilError(t, err)
@@ -31,13 +31,13 @@
 			continue
 		}
 		for _, metric := range family.GetMetric() {
-			fits := 0
+			matches := 0
 			for _, pair := range metric.GetLabel() {
 				if want, named := labels[pair.GetName()]; named && want == pair.GetValue() {
-					fits++
+					matches++
 				}
 			}
-			if fits == len(labels) {
+			if matches == len(labels) {
 				total += metric.GetCounter().GetValue()
 			}
 		}
@@ -45,8 +45,8 @@
 	return total
 }
 
-// openStream starts a streamed request and returns the reader behind the first
-// token.
+// openStream starts a streamed request and reads the first token event. It
+// returns a scanner of the lines that follow.
 func openStream(ctx context.Context, t *testing.T, system *whole.Whole, tokens int) *bufio.Scanner {
 	t.Helper()
 	body := strings.NewReader(fmt.Sprintf(`{"input":{"echo":"long-sheet","tokens":%d},"stream":true}`, tokens))
@@ -62,8 +62,8 @@
 	return lines
 }
 
-// readStream returns the text of the tokens that are left and the whole output
-// of the end event.
+// readStream reads the stream to its end. It returns the concatenated text of
+// the remaining tokens and the complete output of the end event.
 func readStream(t *testing.T, lines *bufio.Scanner) (text, output string) {
 	t.Helper()
 	for lines.Scan() {
@@ -79,19 +79,20 @@
 	return text, output
 }
 
-// endless is more tokens than an engine makes in an hour.
-const endless = 1_000_000
+// endlessTokens is more than an engine generates in an hour.
+const endlessTokens = 1_000_000
 
 func slowEngines() whole.Option {
 	return whole.WithShapes(whole.Shape{Pool: "engines", Endpoints: 3, TokenMs: 20, Tokens: 4})
 }
 
-// In mid-stream something between the ends loses track of every open
-// connection: nothing arrives and nothing breaks, while new ones work. The
-// caller's text must go on where it stopped, whole, with nothing twice.
-func TestStreamGoesOnAfterSilence(t *testing.T) {
+// Guards against lost or repeated tokens when every open connection silently
+// stops delivering data in the middle of a stream, as after a network device
+// lost its connection table. New connections work. The stream must continue
+// where it stopped.
+func TestStreamResumesAfterSilentConnectionLoss(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	system := started(t, slowEngines(), whole.WithEntryOptions(entry.WithRegisterer(registry)))
+	system := startSystem(t, slowEngines(), whole.WithEntryOptions(entry.WithRegisterer(registry)))
 	lines := openStream(t.Context(), t, system, 60)
 	for _, zone := range []string{"za", "zb", "zc"} {
 		system.Net.SilenceZone(zone)
@@ -99,28 +100,30 @@
 	text, output := readStream(t, lines)
 	assert.Assert(t, strings.Contains(output, "long-sheet"), output)
 	assert.Equal(t, text, output)
-	lost := counted(t, registry, "jujubescale_entry_sessions_lost_total", map[string]string{"cause": "silent"})
+	lost := counterSum(t, registry, "jujubescale_entry_sessions_lost_total", map[string]string{"cause": "silent"})
 	assert.Assert(t, lost > 0)
-	assert.Assert(t, counted(t, registry, "jujubescale_entry_resumed_total", nil) > 0)
+	assert.Assert(t, counterSum(t, registry, "jujubescale_entry_resumed_total", nil) > 0)
 }
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, done func() bool) {
+// eventually waits until done returns true. The message describes the state in
+// which it returns false.
+func eventually(t *testing.T, message string, done func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if done() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", message)
 	}, poll.WithDelay(2*time.Millisecond), poll.WithTimeout(time.Minute))
 }
 
-// The caller closes its connection in mid-stream. Nobody will read the answer,
-// so the engine must stop; otherwise it works for the dead.
-func TestEngineStopsWhenCallerGoes(t *testing.T) {
-	system := started(t, slowEngines())
+// Guards against an engine that continues to generate after the caller closed
+// its connection in the middle of a stream. The engine must stop, because the
+// answer can no longer be delivered.
+func TestEngineStopsWhenCallerDisconnects(t *testing.T) {
+	system := startSystem(t, slowEngines())
 	ctx, cancel := context.WithCancel(t.Context())
-	openStream(ctx, t, system, endless)
+	openStream(ctx, t, system, endlessTokens)
 	running := func() int {
 		total := 0
 		for _, place := range system.Places {
@@ -132,28 +135,29 @@
 	}
 	assert.Equal(t, running(), 1)
 	cancel()
-	eventually(t, "the engine still works", func() bool { return running() == 0 })
+	eventually(t, "the engine still runs the request", func() bool { return running() == 0 })
 	eventually(t, "the request is still open", func() bool { return system.Fronts[0].Entry.Open() == 0 })
 }
 
-// The deadline passes while the engine works. The caller is told at the
-// deadline, and the engine stops.
+// Guards against an engine that continues after the deadline of the request.
+// The caller must get a timeout error at the deadline.
 func TestDeadlineStopsEngine(t *testing.T) {
-	system := started(t, slowEngines())
+	system := startSystem(t, slowEngines())
 	header := http.Header{"X-Deadline-Ms": []string{"300"}}
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", header,
-		fmt.Sprintf(`{"input":{"tokens":%d}}`, endless))
+		fmt.Sprintf(`{"input":{"tokens":%d}}`, endlessTokens))
 	assert.Equal(t, got.status, http.StatusGatewayTimeout, got.body)
 	for _, place := range system.Places {
 		if place.Engine != nil {
-			eventually(t, "the engine still works", func() bool { return place.Slots().State().Running == 0 })
+			eventually(t, "the engine still runs the request", func() bool { return place.Slots().State().Running == 0 })
 		}
 	}
 }
 
-// An operator looks a request up by the id that the caller was given.
+// Guards against a request that operators can't find by the id that its caller
+// received.
 func TestRequestCanBeLookedUp(t *testing.T) {
-	system := started(t)
+	system := startSystem(t)
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 	var answer struct{ RequestID string }
 	assert.NilError(t, json.Unmarshal([]byte(got.body), &answer))
@@ -164,26 +168,28 @@
 	assert.Equal(t, request.Attempts[3].Pool, "engines")
 }
 
-// One of three retrievers gets a hundred times slower. Without a way round it
-// a third of the requests, or all of its own zone, would wait for it.
-func TestStragglerIsWorkedAround(t *testing.T) {
+// Guards against requests that wait for one slow endpoint. One of three
+// retrievers becomes a hundred times slower; without hedges or retries, a third
+// of the requests, or all requests of its zone, would wait for it.
+func TestRequestsAvoidStraggler(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	system := started(t, whole.WithEntryOptions(entry.WithRegisterer(registry)))
-	once := func() reply {
+	system := startSystem(t, whole.WithEntryOptions(entry.WithRegisterer(registry)))
+	sendRequest := func() reply {
 		return call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 	}
 	hedged := func() float64 {
 		sum := 0.0
 		for _, outcome := range []hedge.Outcome{hedge.Won, hedge.Lost} {
-			sum += counted(t, registry, "jujubescale_entry_hedged_total", map[string]string{"pool": "retrievers", "outcome": string(outcome)})
+			sum += counterSum(t, registry, "jujubescale_entry_hedged_total", map[string]string{"pool": "retrievers", "outcome": string(outcome)})
 		}
 		return sum
 	}
-	// Each hedge is earned by 25 calls. Beside other load some are spent on calls
-	// that are slow by chance; three are left when the straggler begins.
+	// 25 calls add one hedge to the budget. On a busy machine some hedges are used
+	// for calls that are slow by chance. Three must be left before the straggler
+	// becomes slow.
 	for calls := 0.0; calls < 25*(3+hedged()); calls++ {
-		assert.Equal(t, once().status, http.StatusOK)
-		assert.Assert(t, calls < 1000, "hedges are spent as fast as they are earned")
+		assert.Equal(t, sendRequest().status, http.StatusOK)
+		assert.Assert(t, calls < 1000, "hedges are used as fast as the budget grows")
 	}
 	for _, place := range system.Places {
 		if place.Pool == "retrievers" && place.Zone == system.Fronts[0].Zone {
@@ -191,39 +197,40 @@
 		}
 	}
 	for range 10 {
-		assert.Equal(t, once().status, http.StatusOK)
+		assert.Equal(t, sendRequest().status, http.StatusOK)
 	}
-	won := counted(t, registry, "jujubescale_entry_hedged_total", map[string]string{"pool": "retrievers", "outcome": "won"})
-	retried := counted(t, registry, "jujubescale_entry_retried_total", map[string]string{"pool": "retrievers"})
+	won := counterSum(t, registry, "jujubescale_entry_hedged_total", map[string]string{"pool": "retrievers", "outcome": "won"})
+	retried := counterSum(t, registry, "jujubescale_entry_retried_total", map[string]string{"pool": "retrievers"})
 	assert.Assert(t, won+retried > 0)
 }
 
-// An entry is stopped as planned under load, once its callers go elsewhere as
-// a balancer makes them. No request may be cut, and answers tell callers to
-// close their connections.
-func TestPlannedStopOfEntryCutsNothing(t *testing.T) {
-	system := started(t, whole.WithEntries(2))
-	bases := []string{"http://" + system.Fronts[0].Address, "http://" + system.Fronts[1].Address}
+// Guards against requests that are interrupted by the planned stop of an entry
+// under load. The entry first becomes not ready and tells its callers to close
+// their connections, then the load balancer sends the callers to the other entry,
+// then it stops.
+func TestPlannedStopOfEntryInterruptsNoRequest(t *testing.T) {
+	system := startSystem(t, whole.WithEntries(2))
+	baseURLs := []string{"http://" + system.Fronts[0].Address, "http://" + system.Fronts[1].Address}
 	stopping := system.Fronts[1].Entry
-	left := make(chan struct{})
-	c := startCrowd(t, 6, func() []string {
+	removed := make(chan struct{})
+	load := startLoad(t, 6, func() []string {
 		select {
-		case <-left:
-			return bases[:1]
+		case <-removed:
+			return baseURLs[:1]
 		default:
-			return bases
+			return baseURLs
 		}
 	}, kindSheet, kindBooking)
-	waitFor(t, c, 40)
+	waitForRequests(t, load, 40)
 	stopping.Leave("test")
 	ready, _ := stopping.Ready()
 	assert.Assert(t, !ready)
-	waitFor(t, c, c.count()+20)
-	close(left)
-	cut := stopping.Stop(t.Context(), system.Fronts[1].Shutdown)
-	assert.Equal(t, len(cut), 0)
-	waitFor(t, c, c.count()+20)
-	outcomes := c.stop()
-	assert.NilError(t, firstBad(outcomes))
-	checkOnce(t, outcomes, system.Ledger.Runs)
+	waitForRequests(t, load, load.count()+20)
+	close(removed)
+	interrupted := stopping.Stop(t.Context(), system.Fronts[1].Shutdown)
+	assert.Equal(t, len(interrupted), 0)
+	waitForRequests(t, load, load.count()+20)
+	outcomes := load.stop()
+	assert.NilError(t, firstFailure(outcomes))
+	checkRunCounts(t, outcomes, system.Ledger.Runs)
 }
--- a/internal/e2e/hop_bench_test.go
+++ b/internal/e2e/hop_bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// BenchmarkHops compares a call of a plain service through entry and agent
-// with the same call straight to the endpoint, in turn, and reports the
-// medians and what the two hops add.
+// BenchmarkHops alternates calls of a plain service through entry and agent with
+// the same calls sent directly to the endpoint. It reports both medians and
+// their difference, the time that the two hops add.
 func BenchmarkHops(b *testing.B) {
 	system, err := whole.New(whole.WithEndpoints(2), whole.WithLog(log.New(io.Discard)),
 		whole.WithShapes(whole.Shape{Pool: "orders", Endpoints: 2, WorkMs: 0.01}))
@@ -24,25 +24,25 @@
 	b.Cleanup(system.Close)
 	client := &http.Client{}
 	through := system.URL() + "/v1/services/orders/call/stock/reel"
-	straight := system.Place("orders-0").URL + "/stock/reel"
+	direct := system.Place("orders-0").URL + "/stock/reel"
 	for getOK(b, client, through) == 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	var hops, bare []time.Duration
+	var throughTimes, directTimes []time.Duration
 	b.ResetTimer()
 	for b.Loop() {
-		hops = append(hops, getOK(b, client, through))
-		bare = append(bare, getOK(b, client, straight))
+		throughTimes = append(throughTimes, getOK(b, client, through))
+		directTimes = append(directTimes, getOK(b, client, direct))
 	}
-	slices.Sort(hops)
-	slices.Sort(bare)
-	middle := len(hops) / 2
-	b.ReportMetric(float64(hops[middle].Microseconds()), "through-µs")
-	b.ReportMetric(float64(bare[middle].Microseconds()), "bare-µs")
-	b.ReportMetric(float64((hops[middle] - bare[middle]).Microseconds()), "added-µs")
+	slices.Sort(throughTimes)
+	slices.Sort(directTimes)
+	middle := len(throughTimes) / 2
+	b.ReportMetric(float64(throughTimes[middle].Microseconds()), "through-µs")
+	b.ReportMetric(float64(directTimes[middle].Microseconds()), "bare-µs")
+	b.ReportMetric(float64((throughTimes[middle] - directTimes[middle]).Microseconds()), "added-µs")
 }
 
-// getOK returns how long a call took, 0 if it was not answered.
+// getOK returns the duration of a GET request, or 0 if its status is not 200.
 func getOK(b *testing.B, client *http.Client, url string) time.Duration {
 	b.Helper()
 	request, err := http.NewRequestWithContext(b.Context(), http.MethodGet, url, nil)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -12,35 +12,35 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// leaveGrace is the time after which an endpoint that leaves must get no new
-// work any more.
+// leaveGrace is the time after which a disabled endpoint, or one on a leaving
+// host, must get no new work.
 const leaveGrace = 5 * time.Second
 
-// checkEndpointQuiet lets requests run on past the grace and checks that no
-// work began at the endpoint after it.
-func checkEndpointQuiet(t *testing.T, c *crowd, place *whole.Place, from time.Time) {
+// checkNoNewWorkAtEndpoint checks that no work begins at the endpoint later than
+// leaveGrace after from, while the load continues.
+func checkNoNewWorkAtEndpoint(t *testing.T, load *loadGenerator, place *whole.Place, from time.Time) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if time.Since(from) < leaveGrace+500*time.Millisecond {
-			return poll.Continue("within the grace")
+			return poll.Continue("within the grace period")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	waitFor(t, c, c.count()+20)
+	waitForRequests(t, load, load.count()+20)
 	last := place.Slots().State().LastStart
-	t.Logf("last new work at %s %v after", place.Endpoint, last.Sub(from))
-	assert.Assert(t, last.Before(from.Add(leaveGrace)), "work began %v after", last.Sub(from))
+	t.Logf("last new work at %s began %v after the change", place.Endpoint, last.Sub(from))
+	assert.Assert(t, last.Before(from.Add(leaveGrace)), "work began %v after the change", last.Sub(from))
 }
 
-// An operator takes one endpoint out for repair while callers call. New work
-// there would be cut by the repair.
-func TestEndpointThatOperatorsTakeOutGetsNoNewWork(t *testing.T) {
+// Guards against new work at an endpoint that an operator disabled for repair
+// under load. The repair would interrupt that work.
+func TestDisabledEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
+	system, load := startSystemUnderLoad(t)
 	place := system.Place("engines-1")
 	_, err := system.Operator().LeaveEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
 	assert.NilError(t, err)
-	checkEndpointQuiet(t, c, place, time.Now())
+	checkNoNewWorkAtEndpoint(t, load, place, time.Now())
 	_, err = system.Operator().ReturnEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	returned := time.Now()
@@ -48,16 +48,16 @@
 		if place.Slots().State().LastStart.After(returned) {
 			return poll.Success()
 		}
-		return poll.Continue("no work yet")
+		return poll.Continue("no work at the endpoint yet")
 	}, poll.WithTimeout(time.Minute))
-	checkServed(t, c)
+	checkAllAnswered(t, load)
 }
 
-// The platform is about to take a host away and says so in its list. Whoever
-// reads that must send no new work there, though the host still serves.
+// Guards against new work on a host that the platform lists as leaving. The host
+// still serves, but will be removed.
 func TestEndpointOnALeavingHostGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
+	system, load := startSystemUnderLoad(t)
 	place := system.Place("engines-1")
 	hosts := system.Platform.Hosts(store.HostQuery{Limit: 1000}).Hosts
 	for i := range hosts {
@@ -67,6 +67,6 @@
 	}
 	system.Platform.SetHosts(hosts)
 	from := time.Now()
-	checkEndpointQuiet(t, c, place, from)
-	checkServed(t, c)
+	checkNoNewWorkAtEndpoint(t, load, place, from)
+	checkAllAnswered(t, load)
 }
--- a/internal/e2e/lost_test.go
+++ b/internal/e2e/lost_test.go
@@ -13,20 +13,20 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// lostGrace is the time after which a zone that is lost must get no new work:
-// fast heartbeats on the session that a call waits on, then on all others into
-// the zone, and the time to notice on a busy machine.
+// lostGrace is the time after which a lost zone must get no new work. It covers
+// fast heartbeats on the session of a waiting call, then on all other sessions
+// into the zone, and delays on a busy machine.
 const lostGrace = 4 * clock.Second
 
-// A zone is lost without a word: its connections are not closed, nothing arrives
-// on them any more, and new ones get no answer. Entries outside must notice by
-// themselves and send no new work into it, however many endpoints it has; work
-// sent there meanwhile costs its callers time.
+// Guards against new work for a zone that is lost silently: its connections stay
+// open but deliver nothing, and new ones get no answer. Entries in other zones
+// must detect the loss themselves, however many endpoints the zone has. Work sent
+// there until then delays its callers.
 func TestLostZoneGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	for _, endpoints := range []int{3, 12} {
 		t.Run(fmt.Sprintf("%d endpoints in a pool", endpoints), func(t *testing.T) {
-			system, c := zonedLoad(t, whole.WithEndpoints(endpoints))
+			system, load := startSystemUnderLoad(t, whole.WithEndpoints(endpoints))
 			began := make(map[string]clock.Millis)
 			for _, front := range system.Fronts {
 				began[front.Name] = front.Entry.Now()
@@ -35,18 +35,19 @@
 			lost := time.Now()
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if time.Since(lost) < 2*lostGrace.Duration() {
-					return poll.Continue("within the grace")
+					return poll.Continue("within twice the grace period")
 				}
 				return poll.Success()
 			}, poll.WithTimeout(time.Minute))
-			last := lastSent(system, c.stop(), "zb", began)
-			t.Logf("last new work in the zone %d ms after it was lost", last)
-			assert.Assert(t, last < lostGrace, "%d ms", last)
+			last := lastSent(system, load.stop(), "zb", began)
+			t.Logf("last new work was sent into the zone %d ms after its loss", last)
+			assert.Assert(t, last < lostGrace, "work was sent into the zone %d ms after its loss", last)
 		})
 	}
 }
 
-// lastSent returns when an entry outside the zone sent work into it last.
+// lastSent returns the latest time at which an entry outside the zone sent work
+// into it, in ms since the instants in began, which are keyed by entry.
 func lastSent(system *whole.Whole, outcomes []outcome, zone string, began map[string]clock.Millis) clock.Millis {
 	last := clock.Millis(0)
 	for i := range outcomes {
--- a/internal/e2e/main_test.go
+++ b/internal/e2e/main_test.go
@@ -10,8 +10,9 @@
 	"github.com/jujubescale/jujubescale/internal/cli/oper"
 )
 
-// programEnv makes this test binary run as one of the programs, so that tests
-// can start, kill and freeze real processes without building them first.
+// programEnv is the environment variable that makes this test binary run as one
+// of the programs. Tests can start, kill and freeze real processes without
+// building the programs first.
 const programEnv = "E2E_PROGRAM"
 
 func TestMain(m *testing.M) {
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -16,48 +16,48 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// booker makes bookings under one key through the entries of a system.
+// booker sends bookings with one idempotency key to the entries of a system.
 type booker struct {
 	t      *testing.T
 	system *whole.Whole
-	crowd  *crowd
+	load   *loadGenerator
 	key    string
 }
 
 func newBooker(t *testing.T, system *whole.Whole, key string) *booker {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 30 * time.Second}
-	return &booker{t: t, system: system, crowd: &crowd{client: client}, key: key}
+	return &booker{t: t, system: system, load: &loadGenerator{client: client}, key: key}
 }
 
-// book calls one entry and returns what the caller learned.
+// book sends the booking to one entry and returns its outcome.
 func (b *booker) book(front int) outcome {
 	got := outcome{key: b.key, kind: kindBooking}
 	url := "http://" + b.system.Fronts[front].Address + "/v1/services/orders/call/bookings"
-	b.crowd.call(&got, url, fmt.Sprintf(`{"echo":%q}`, b.key), b.key)
+	b.load.send(&got, url, fmt.Sprintf(`{"echo":%q}`, b.key), b.key)
 	return got
 }
 
-// bookSoon books in the background.
-func (b *booker) bookSoon(front int) <-chan outcome {
+// bookAsync sends the booking in the background.
+func (b *booker) bookAsync(front int) <-chan outcome {
 	done := make(chan outcome, 1)
 	go func() { done <- b.book(front) }()
 	return done
 }
 
-// runs waits until the service began the call.
+// awaitRun waits until the service runs the booking.
 func (b *booker) awaitRun() {
 	b.t.Helper()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
 		if b.system.Ledger.Runs(b.key) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("the service has not begun the call")
+		return poll.Continue("the booking does not run yet")
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-// eachOrder does something to every endpoint of the plain service.
-func (b *booker) eachOrder(do func(*whole.Place)) {
+// forEachOrdersEndpoint calls do for every endpoint of the plain service.
+func (b *booker) forEachOrdersEndpoint(do func(*whole.Place)) {
 	for _, place := range b.system.Places {
 		if place.Pool == "orders" {
 			do(place)
@@ -65,29 +65,30 @@
 	}
 }
 
-func (b *booker) slow() {
-	b.eachOrder(func(p *whole.Place) { p.Slots().SetSlow(60) })
+func (b *booker) slowDown() {
+	b.forEachOrdersEndpoint(func(p *whole.Place) { p.Slots().SetSlow(60) })
 }
 
 func (b *booker) closeAt(at plain.CloseAt) {
-	b.eachOrder(func(p *whole.Place) { p.Plain.SetClose(at) })
+	b.forEachOrdersEndpoint(func(p *whole.Place) { p.Plain.SetClose(at) })
 }
 
-// A caller books a reel under a key, something breaks at the worst moment, and
-// the caller repeats the key through the same and through another entry. A
-// user notices a fault as a doubled booking, or as one that was called not run
-// and is there all the same. Runs are counted at the service itself.
+// Guards against a booking that runs twice, or that runs although it was reported
+// as not run. A failure happens during the first attempt, then the caller sends
+// the same idempotency key through the same entry and through another one. The
+// service itself counts the runs.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		// first breaks things around the first try and returns its outcome.
+		// first causes the failure, sends the first attempt and returns its outcome.
 		first func(*booker) outcome
-		// ran is what the first try's refusal says; empty if it must be answered.
+		// ran is the value in the refusal of the first attempt; empty if it must be
+		// answered.
 		ran fault.Ran
-		// runs that must be counted at the end.
+		// runs is the expected number of runs after all attempts.
 		runs int
 	}{
-		{"nothing breaks", func(b *booker) outcome { return b.book(0) }, "", 1},
+		{"no failure", func(b *booker) outcome { return b.book(0) }, "", 1},
 		{"endpoint closes before running", func(b *booker) outcome {
 			b.closeAt(plain.CloseBefore)
 			return b.book(0)
@@ -100,25 +101,25 @@
 			b.closeAt(plain.CloseAfter)
 			return b.book(0)
 		}, fault.MayHaveRun, 1},
-		{"agents die while it runs", func(b *booker) outcome {
-			b.slow()
-			done := b.bookSoon(0)
+		{"agents are killed while it runs", func(b *booker) outcome {
+			b.slowDown()
+			done := b.bookAsync(0)
 			b.awaitRun()
-			b.eachOrder(func(p *whole.Place) {
+			b.forEachOrdersEndpoint(func(p *whole.Place) {
 				assert.Check(b.t, b.system.Cause(whole.Fault{Name: whole.AgentKill, Target: p.Endpoint}))
 			})
 			return <-done
 		}, fault.MayHaveRun, 1},
-		{"sessions go silent while it runs", func(b *booker) outcome {
-			b.slow()
-			done := b.bookSoon(0)
+		{"sessions stop delivering while it runs", func(b *booker) outcome {
+			b.slowDown()
+			done := b.bookAsync(0)
 			b.awaitRun()
 			b.system.Net.SilenceZone("za")
 			b.system.Net.SilenceZone("zb")
 			b.system.Net.SilenceZone("zc")
 			return <-done
 		}, "", 1},
-		{"the platform takes the claim but its answer is lost", func(b *booker) outcome {
+		{"the platform stores the claim but its answer is lost", func(b *booker) outcome {
 			b.system.Platform.SetFaults(plat.Faults{LoseAnswer: 1})
 			got := b.book(0)
 			b.system.Platform.SetFaults(plat.Faults{})
@@ -128,46 +129,47 @@
 			b.system.Platform.SetFaults(plat.Faults{Down: true})
 			return b.book(0)
 		}, fault.MayHaveRun, 0},
-		{"the platform shows old versions and loses all answers", func(b *booker) outcome {
+		{"the platform serves stale reads and loses all answers", func(b *booker) outcome {
 			b.system.Platform.SetFaults(plat.Faults{Stale: 1, LoseAnswer: 1})
 			return b.book(0)
 		}, fault.MayHaveRun, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			system := started(t, whole.WithEntries(2))
+			system := startSystem(t, whole.WithEntries(2))
 			b := newBooker(t, system, "reel-"+t.Name())
 			outcomes := []outcome{test.first(b)}
 			assert.Equal(t, outcomes[0].refused.Ran, test.ran, "%+v", outcomes[0])
 			outcomes = append(outcomes, b.book(0), b.book(1))
-			checkOnce(t, outcomes, system.Ledger.Runs)
+			checkRunCounts(t, outcomes, system.Ledger.Runs)
 			assert.Equal(t, system.Ledger.Runs(b.key), test.runs)
 		})
 	}
 }
 
-// The entry dies with a booking in its hands, and the caller comes back through
-// another one. Nothing is kept on hosts, so only the claim in the platform
-// tells the second entry that the booking may have run.
-func TestEntryDiesWithBooking(t *testing.T) {
-	system := started(t, whole.WithEntries(2))
+// Guards against a second run of a booking whose entry was killed while it ran.
+// The caller retries through another entry. Hosts store nothing, so the second
+// entry can only see from the claim in the platform that the booking may have
+// run.
+func TestEntryIsKilledDuringBooking(t *testing.T) {
+	system := startSystem(t, whole.WithEntries(2))
 	b := newBooker(t, system, "reel-entry")
-	b.slow()
-	done := b.bookSoon(0)
+	b.slowDown()
+	done := b.bookAsync(0)
 	b.awaitRun()
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EntryKill, Target: system.Fronts[0].Name}))
 	first := <-done
 	second := b.book(1)
 	assert.Assert(t, !second.answered())
 	assert.Assert(t, second.refused.Ran != fault.NotRun)
-	checkOnce(t, []outcome{first, second}, system.Ledger.Runs)
+	checkRunCounts(t, []outcome{first, second}, system.Ledger.Runs)
 	assert.Equal(t, system.Ledger.Runs(b.key), 1)
 }
 
-// An impatient caller sends the same key many times at once, through both
-// entries.
-func TestSameKeyManyTimesAtOnce(t *testing.T) {
-	system := started(t, whole.WithEntries(2))
+// Guards against repeated runs when a caller sends many concurrent requests with
+// the same idempotency key through both entries.
+func TestSameKeyInConcurrentRequests(t *testing.T) {
+	system := startSystem(t, whole.WithEntries(2))
 	b := newBooker(t, system, "reel-many")
 	outcomes := make([]outcome, 20)
 	var group sync.WaitGroup
@@ -175,7 +177,7 @@
 		group.Go(func() { outcomes[i] = b.book(i % 2) })
 	}
 	group.Wait()
-	checkOnce(t, outcomes, system.Ledger.Runs)
+	checkRunCounts(t, outcomes, system.Ledger.Runs)
 	assert.Equal(t, system.Ledger.Runs(b.key), 1)
 	total := sum(outcomes)
 	assert.Equal(t, total.answered+total.reasons[fault.KeyInUse], len(outcomes), "%+v", total)
--- a/internal/e2e/operator_test.go
+++ b/internal/e2e/operator_test.go
@@ -16,7 +16,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// jujubectl runs the operators' client as it is typed.
+// jujubectl runs the operators' client with command line arguments and returns
+// its exit code and output.
 func jujubectl(t *testing.T, system *whole.Whole, args ...string) (exit.Code, string) {
 	t.Helper()
 	t.Setenv("JUJUBECTL_PLATFORM", system.PlatformURL)
@@ -28,11 +29,11 @@
 	return code, out.String()
 }
 
-// An operator takes a zone out, looks at the system, follows a caller's
-// request, changes the manifest and goes back, all by jujubectl against running
-// daemons.
-func TestOperatorsDay(t *testing.T) {
-	system := started(t)
+// Guards against commands of jujubectl that fail against running daemons: an
+// operator evacuates a zone, shows the status and a request, returns the zone,
+// applies a manifest and rolls it back.
+func TestOperatorCommands(t *testing.T) {
+	system := startSystem(t)
 	assert.NilError(t, system.OpenOperators())
 
 	code, out := jujubectl(t, system, "zone", "leave", "za", "--reason=power", "--wait", "--wait-limit-ms=60000")
@@ -53,7 +54,7 @@
 	code, out = jujubectl(t, system, "request", "show", response.Header.Get("X-Request-Id"))
 	assert.Equal(t, code, exit.OK, out)
 	assert.Assert(t, strings.Contains(out, "setup-sheets for demo, answered"), out)
-	assert.Assert(t, !strings.Contains(out, "engines-0"), "the zone that left got work:\n%s", out)
+	assert.Assert(t, !strings.Contains(out, "engines-0"), "the evacuated zone got work:\n%s", out)
 
 	code, out = jujubectl(t, system, "zone", "return", "za", "--wait", "--wait-limit-ms=60000")
 	assert.Equal(t, code, exit.OK, out)
--- a/internal/e2e/order_test.go
+++ b/internal/e2e/order_test.go
@@ -15,9 +15,9 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// lastOrders waits until each engine's orders end with the unload of an old
-// version, and returns them.
-func lastOrders(t *testing.T, system *whole.Whole, version string) map[string][]engine.Order {
+// awaitUnload waits until the last order of each engine is the unload of this
+// version. It returns the orders of each engine.
+func awaitUnload(t *testing.T, system *whole.Whole, version string) map[string][]engine.Order {
 	t.Helper()
 	all := make(map[string][]engine.Order)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -28,7 +28,7 @@
 			orders := place.Engine.Orders()
 			all[place.Endpoint] = orders
 			if len(orders) == 0 || orders[len(orders)-1].Op != engine.OpUnload || orders[len(orders)-1].Version != version {
-				return poll.Continue("%s has %v", place.Endpoint, orders)
+				return poll.Continue("orders of %s: %v", place.Endpoint, orders)
 			}
 		}
 		return poll.Success()
@@ -36,8 +36,8 @@
 	return all
 }
 
-func withVersion(version string, fencing manif.Fencing) *manif.Manifest {
-	manifest := patient()
+func manifestWithVersion(version string, fencing manif.Fencing) *manif.Manifest {
+	manifest := longDeadlineManifest()
 	for i := range manifest.Pools {
 		if manifest.Pools[i].Kind == manif.KindGenerate {
 			manifest.Pools[i].Models[0].Version = version
@@ -47,39 +47,41 @@
 	return manifest
 }
 
-// Operators replace a model's version, and between two replacements every
-// agent dies and is started anew. Engines must follow the manifest, get no
-// order with an older number than one before, and not all load at once from the
-// weight store, which would slow down for all of them.
+// Guards against engines that don't load the version in the manifest. Operators
+// replace the version of a model twice, and every agent is killed and replaced in
+// between. Fencing numbers of orders must not decrease. The number of engines
+// that load from the weight store at the same time is limited, because too many
+// loads would slow each other down.
 func TestEnginesFollowTheManifest(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(withVersion("1", manif.FencingChecked)), whole.WithEndpoints(8),
+	system := startSystem(t, whole.WithManifest(manifestWithVersion("1", manif.FencingChecked)), whole.WithEndpoints(8),
 		whole.WithWeightLoad(100*time.Millisecond))
 	for _, version := range []string{"2", "3"} {
-		_, err := system.Operator().Apply(t.Context(), withVersion(version, manif.FencingChecked), apply.Change{Who: "anna"})
+		_, err := system.Operator().Apply(t.Context(), manifestWithVersion(version, manif.FencingChecked), apply.Change{Who: "anna"})
 		assert.NilError(t, err)
-		lastOrders(t, system, map[string]string{"2": "1", "3": "2"}[version])
+		awaitUnload(t, system, map[string]string{"2": "1", "3": "2"}[version])
 		for _, place := range system.Places {
 			if place.Engine != nil && version == "2" {
 				assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 			}
 		}
 	}
-	for endpoint, orders := range lastOrders(t, system, "2") {
+	for endpoint, orders := range awaitUnload(t, system, "2") {
 		sorted := slices.IsSortedFunc(orders, func(a, b engine.Order) int { return int(a.Fence) - int(b.Fence) })
 		assert.Assert(t, sorted, "%s: %v", endpoint, orders)
 		assert.Equal(t, orders[0].Fence, uint64(1))
-		assert.Assert(t, orders[len(orders)-1].Fence > 1, "the new agent has a number of its own")
+		assert.Assert(t, orders[len(orders)-1].Fence > 1, "the new agent must have a fencing number of its own")
 	}
-	assert.Assert(t, system.Weights.MostAtOnce() <= agent.DefaultWeightSlots, "%d loads at once", system.Weights.MostAtOnce())
+	assert.Assert(t, system.Weights.MostAtOnce() <= agent.DefaultWeightSlots, "%d concurrent loads", system.Weights.MostAtOnce())
 }
 
-// Operators change the role of a pool's engines, for instance to split prefill
-// from decode. Every engine must get that order once, and keep its models.
-func TestEnginesTakeTheRoleOfTheirPool(t *testing.T) {
+// Guards against engines that miss a change of the role of their pool, for
+// instance to separate prefill from decode. Every engine must get exactly one
+// order, with the new role, and keep its models.
+func TestEnginesGetTheRoleOfTheirPool(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(withVersion("1", manif.FencingChecked)), whole.WithEndpoints(2))
-	next := withVersion("1", manif.FencingChecked)
+	system := startSystem(t, whole.WithManifest(manifestWithVersion("1", manif.FencingChecked)), whole.WithEndpoints(2))
+	next := manifestWithVersion("1", manif.FencingChecked)
 	for i := range next.Pools {
 		if next.Pools[i].Kind == manif.KindGenerate {
 			next.Pools[i].Role = "decode"
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -1,4 +1,5 @@
-// Package e2e_test drives the daemons as callers and operators do.
+// Package e2e_test tests the daemons through the interfaces that callers and
+// operators use.
 package e2e_test
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// reply is what a caller gets.
+// reply is the answer that a caller gets.
 type reply struct {
 	status int
 	body   string
@@ -35,8 +36,8 @@
 	return reply{status: response.StatusCode, body: string(content)}
 }
 
-// started returns a system whose sessions are open.
-func started(t *testing.T, opts ...whole.Option) *whole.Whole {
+// startSystem starts a system and waits until it answers a pipeline request.
+func startSystem(t *testing.T, opts ...whole.Option) *whole.Whole {
 	t.Helper()
 	system, err := whole.New(opts...)
 	assert.NilError(t, err)
@@ -51,8 +52,8 @@
 	return system
 }
 
-func TestPipelineAnswersWhole(t *testing.T) {
-	system := started(t)
+func TestPipelineReturnsCompleteAnswer(t *testing.T) {
+	system := startSystem(t)
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":{"echo":"fold-7"}}`)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 	var answer struct {
@@ -64,7 +65,7 @@
 }
 
 func TestPipelineStreams(t *testing.T) {
-	system := started(t)
+	system := startSystem(t)
 	header := http.Header{"Accept": []string{"text/event-stream"}}
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", header, `{"input":"x"}`)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -73,7 +74,7 @@
 }
 
 func TestPlainCallRunsOnce(t *testing.T) {
-	system := started(t)
+	system := startSystem(t)
 	header := http.Header{"Idempotency-Key": []string{"reel-1"}}
 	got := call(t, http.MethodPost, system.URL()+"/v1/services/orders/call/bookings", header, `{"reel":1}`)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
--- a/internal/e2e/planned_test.go
+++ b/internal/e2e/planned_test.go
@@ -15,77 +15,78 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// Every process is replaced, one after another, while callers call: a new
-// version is rolled out. The balancer notices a leaving entry only after a
-// while. A caller whose request is cut, or who gets no answer although other
-// processes could give it, would see the roll-out as an outage.
-func TestRollingRestartCutsNothing(t *testing.T) {
+// Guards against requests that are interrupted or refused by the rollout of a new
+// version, which replaces every process, one after another, under load. The load
+// balancer detects a leaving entry only after a delay. Other processes can answer
+// each request, so callers would see each failure as an outage.
+func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, 2)
-	crowd := startCrowd(t, 6, c.rotation, kindBooking, kindSheet)
-	waitFor(t, crowd, 40)
+	load := startLoad(t, 6, c.rotation, kindBooking, kindSheet)
+	waitForRequests(t, load, 40)
 	for i := range c.report.Endpoints {
 		endpoint := c.report.Endpoints[i].Endpoint
-		assert.Check(t, c.agents[endpoint].terminate(t) == 0, "agent of %s cut something", endpoint)
+		assert.Check(t, c.agents[endpoint].terminate(t) == 0, "agent of %s interrupted requests", endpoint)
 		c.restartAgent(endpoint)
 		c.awaitAgent(i)
-		waitFor(t, crowd, crowd.count()+30)
+		waitForRequests(t, load, load.count()+30)
 	}
 	for i := range c.entries {
 		stopped := make(chan struct{})
 		go func() {
 			defer close(stopped)
-			assert.Check(t, c.entries[i].terminate(t) == 0, "entry %d cut something", i)
+			assert.Check(t, c.entries[i].terminate(t) == 0, "entry %d interrupted requests", i)
 		}()
-		waitFor(t, crowd, crowd.count()+10) // the balancer is late
-		c.take(i, true)
+		waitForRequests(t, load, load.count()+10) // the load balancer reacts with a delay
+		c.setOutOfRotation(i, true)
 		<-stopped
 		c.startEntry(i)
 		c.awaitServing(i)
-		c.take(i, false)
-		waitFor(t, crowd, crowd.count()+30)
+		c.setOutOfRotation(i, false)
+		waitForRequests(t, load, load.count()+30)
 	}
-	outcomes := crowd.stop()
-	assert.NilError(t, firstBad(outcomes))
-	checkOnce(t, outcomes, c.runs)
+	outcomes := load.stop()
+	assert.NilError(t, firstFailure(outcomes))
+	checkRunCounts(t, outcomes, c.runCount)
 	total := sum(outcomes)
 	assert.Check(t, total.refused == 0, "%+v", total)
 }
 
-// The platform's store is away while everything else works. Callers notice
-// nothing, but for bookings with a key: whether that key has run before can't
-// be known without the store, so they are refused as not run.
-func TestPlatformOutageStopsNothing(t *testing.T) {
+// Guards against refused requests while only the store of the platform is
+// unreachable. Bookings with an idempotency key are the exception: without the
+// store it is unknown whether that key has run before, so they are refused as
+// not run.
+func TestPlatformOutageRefusesOnlyKeyedCalls(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, 2)
-	c.cause(whole.Fault{Name: whole.PlatformDown})
-	crowd := startCrowd(t, 6, c.rotation, kindSheet, kindBooking)
-	waitFor(t, crowd, 150)
-	outcomes := crowd.stop()
-	assert.NilError(t, firstBad(outcomes))
-	checkOnce(t, outcomes, c.runs)
+	c.injectFault(whole.Fault{Name: whole.PlatformDown})
+	load := startLoad(t, 6, c.rotation, kindSheet, kindBooking)
+	waitForRequests(t, load, 150)
+	outcomes := load.stop()
+	assert.NilError(t, firstFailure(outcomes))
+	checkRunCounts(t, outcomes, c.runCount)
 	total := sum(outcomes)
 	assert.Check(t, total.refused == total.reasons[fault.KeyUnavailable], "%+v", total)
 }
 
-// terminate asks for a planned stop and returns the exit code.
+// terminate requests a planned stop and returns the exit code.
 func (p *process) terminate(t *testing.T) int {
 	t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(exitLimit):
-		t.Errorf("%s did not end within %v of SIGTERM", p.name, exitLimit)
+	case <-time.After(exitTimeout):
+		t.Errorf("%s did not exit within %v of SIGTERM", p.name, exitTimeout)
 	}
 	return p.command.ProcessState.ExitCode()
 }
 
-// awaitAgent waits until every entry has a session to the agent of the n-th
-// endpoint, as whoever rolls out a version waits before the next host.
+// awaitAgent waits until the agent of the i-th endpoint is ready and every entry
+// has a session with it. A rollout waits for the same state before the next host.
 func (c *cluster) awaitAgent(i int) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
-		got := c.try(http.MethodGet, "http://"+address(c.ports+portAgentsAdmin+i)+"/v1/status", "")
+		got := c.send(http.MethodGet, "http://"+address(c.ports+portAgentsAdmin+i)+"/v1/status", "")
 		var status admin.Status
 		if err := json.Unmarshal([]byte(got.body), &status); err != nil {
 			return poll.Continue("%s", got.body)
@@ -94,5 +95,5 @@
 			return poll.Continue("%s", got.body)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(startLimit))
+	}, poll.WithTimeout(startTimeout))
 }
--- a/internal/e2e/prefix_bench_test.go
+++ b/internal/e2e/prefix_bench_test.go
@@ -10,12 +10,12 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// BenchmarkPrefixHits reports the share of prompts whose prefix the chosen
-// engine had cached, with three engines that hold four prefixes each and ten
-// prefixes in turn, for the default choice and the round-robin baseline.
+// BenchmarkPrefixHits reports the share of prompts whose prefix was cached by the
+// chosen engine. Three engines cache four prefixes each, and the prompts use ten
+// prefixes in turn. It compares the default choice with the round-robin baseline.
 func BenchmarkPrefixHits(b *testing.B) {
-	ways := map[string][]entry.Option{"default": nil, "baseline": {entry.WithRuns(runs.WithBaseline())}}
-	for name, options := range ways {
+	variants := map[string][]entry.Option{"default": nil, "baseline": {entry.WithRuns(runs.WithBaseline())}}
+	for name, options := range variants {
 		b.Run(name, func(b *testing.B) {
 			system, err := whole.New(whole.WithEntryOptions(options...), whole.WithShapes(
 				whole.Shape{Pool: "engines", Endpoints: 3, CacheSize: 4, Tokens: 1, PrefillMs: 5, CachedMs: 1, TokenMs: 1}))
@@ -41,7 +41,7 @@
 
 func post(b *testing.B, url, body string) {
 	b.Helper()
-	c := &crowd{client: http.DefaultClient}
+	load := &loadGenerator{client: http.DefaultClient}
 	got := outcome{kind: kindSheet}
-	c.call(&got, url, body, "")
+	load.send(&got, url, body, "")
 }
--- a/internal/e2e/prefix_test.go
+++ b/internal/e2e/prefix_test.go
@@ -14,9 +14,9 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// BenchmarkPrefixMisses counts what export and import of KV cache could save at
-// most: prompts whose prefix was not cached where they ran although another
-// engine had seen it. docs/design/prefix.md quotes it.
+// BenchmarkPrefixMisses measures the most that export and import of the KV cache
+// could save: the share of prompts whose prefix was not cached by their engine,
+// although an engine had computed it before. docs/design/prefix.md quotes it.
 func BenchmarkPrefixMisses(b *testing.B) {
 	const prefixes, callers = 24, 8
 	for _, size := range []int{64, 12} {
@@ -30,14 +30,14 @@
 			for _, place := range system.Places {
 				awaitAgent(b, place, len(system.Fronts))
 			}
-			bases := basesOf(system)()
+			baseURLs := allBaseURLs(system)()
 			var group sync.WaitGroup
 			for caller := range callers {
 				group.Go(func() {
 					for i := caller; i < b.N; i += callers {
-						prefix := fmt.Sprintf("%-300d", rand.IntN(prefixes)) // longer than what affinity looks at
+						prefix := fmt.Sprintf("%-300d", rand.IntN(prefixes)) // longer than the part that affinity compares
 						body := fmt.Sprintf(`{"input":{"prefix":%q,"echo":"%d"}}`, prefix, i)
-						request, err := http.NewRequestWithContext(b.Context(), http.MethodPost, bases[i%len(bases)]+"/v1/services/setup-sheets", strings.NewReader(body))
+						request, err := http.NewRequestWithContext(b.Context(), http.MethodPost, baseURLs[i%len(baseURLs)]+"/v1/services/setup-sheets", strings.NewReader(body))
 						if err != nil {
 							b.Error(err)
 							return
--- a/internal/e2e/procs_test.go
+++ b/internal/e2e/procs_test.go
@@ -30,14 +30,14 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// Limits of waiting in tests. They are generous because a busy machine is
-// slow, and cost nothing when all goes well.
+// Timeouts of tests. They are long because a busy machine is slow; a test that
+// passes doesn't wait for them.
 const (
-	startLimit = 90 * time.Second
-	exitLimit  = 60 * time.Second
+	startTimeout = 90 * time.Second
+	exitTimeout  = 60 * time.Second
 )
 
-// process is a program that a test started.
+// process is a program started by a test.
 type process struct {
 	name    string
 	command *exec.Cmd
@@ -47,20 +47,21 @@
 	log bytes.Buffer
 }
 
-// Write keeps what the program says.
+// Write records the standard error of the program.
 func (p *process) Write(text []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(text)
 }
 
-func (p *process) said() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// launch starts a program of this project with arguments.
+// launch starts a program of this project and returns its process and its
+// standard output. The process is killed when the test ends.
 func launch(t *testing.T, name, program string, args ...string) (*process, *bufio.Reader) {
 	t.Helper()
 	p := &process{name: name, done: make(chan struct{})}
@@ -77,7 +78,7 @@
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
-			t.Logf("%s said:\n%s", name, tail(p.said()))
+			t.Logf("log of %s:\n%s", name, tail(p.logText()))
 		}
 	})
 	return p, bufio.NewReader(out)
@@ -87,7 +88,7 @@
 
 func tail(text string) string { return text[max(0, len(text)-tailBytes):] }
 
-func (p *process) ended() bool {
+func (p *process) exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -98,7 +99,7 @@
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill ends the process at once, as the loss of its host does.
+// kill ends the process immediately, as the loss of its host would.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
@@ -106,50 +107,51 @@
 
 // cluster is a deployment of separate processes.
 type cluster struct {
-	t       *testing.T
-	ports   int
-	report  devel.StandReport
-	client  *http.Client
-	agents  map[string]*process
-	entries []*process
-	bases   []string
+	t        *testing.T
+	ports    int
+	report   devel.StandReport
+	client   *http.Client
+	agents   map[string]*process
+	entries  []*process
+	baseURLs []string
 
 	mu sync.Mutex
-	// out holds the entries that the balancer has taken out of rotation.
-	out map[int]bool
+	// outOfRotation holds the indices of the entries that get no requests from
+	// the load balancer.
+	outOfRotation map[int]bool
 }
 
-// portSpan is how many ports one cluster may use.
-const portSpan = 64
+// portsPerCluster is the size of the port range of one cluster.
+const portsPerCluster = 64
 
-// Ports that clusters use: below the range that the system hands out itself.
+// Clusters use ports below the ephemeral range of the operating system.
 const (
 	lowestPort  = 12000
 	highestPort = 30000
 )
 
-// nextPort is where the search of the next cluster begins, so that clusters
-// of tests that run side by side never get the same ports.
+// nextPort is the position from which the next cluster searches for ports.
+// Clusters of parallel tests therefore never get the same ports.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(int64(lowestPort + rand.IntN(highestPort-lowestPort))) }
 
-// freePorts finds a run of free ports.
+// freePorts returns the first of portsPerCluster consecutive free ports.
 func freePorts(t *testing.T) int {
 	t.Helper()
-	for range (highestPort - lowestPort) / portSpan {
-		next := int(nextPort.Add(portSpan))
+	for range (highestPort - lowestPort) / portsPerCluster {
+		next := int(nextPort.Add(portsPerCluster))
 		first := lowestPort + next%(highestPort-lowestPort)
 		if allFree(first) {
 			return first
 		}
 	}
-	t.Fatal("no run of free ports found")
+	t.Fatal("no range of free ports found")
 	return 0
 }
 
 func allFree(first int) bool {
-	for port := first; port < first+portSpan; port++ {
+	for port := first; port < first+portsPerCluster; port++ {
 		listener, err := net.Listen("tcp", address(port))
 		if err != nil {
 			return false
@@ -161,7 +163,7 @@
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// Offsets of ports within a cluster's run.
+// Offsets of ports within the port range of a cluster.
 const (
 	portAgents      = 1
 	portAgentsAdmin = 20
@@ -169,12 +171,12 @@
 	portEntryAdmin  = 50
 )
 
-// newCluster starts stand-ins, one agent beside each endpoint and the entries
-// as separate processes, and waits until a pipeline answers at each entry.
+// newCluster starts the stand-ins, one agent for each endpoint and the entries
+// as separate processes. It waits until every entry serves requests.
 func newCluster(t *testing.T, endpoints, entries int) *cluster {
 	t.Helper()
 	c := &cluster{
-		t: t, ports: freePorts(t), agents: make(map[string]*process), out: make(map[int]bool),
+		t: t, ports: freePorts(t), agents: make(map[string]*process), outOfRotation: make(map[int]bool),
 		client: &http.Client{Timeout: 20 * time.Second},
 	}
 	_, out := launch(t, "stand", "jujubedev", "stand", "--platform", address(c.ports),
@@ -189,7 +191,7 @@
 		c.startAgent(i)
 	}
 	for i := range entries {
-		c.bases = append(c.bases, "http://"+address(c.ports+portEntries+i))
+		c.baseURLs = append(c.baseURLs, "http://"+address(c.ports+portEntries+i))
 		c.entries = append(c.entries, nil)
 		c.startEntry(i)
 	}
@@ -199,7 +201,7 @@
 	return c
 }
 
-func (c *cluster) common(name, zone string, admin int) []string {
+func (c *cluster) commonFlags(name, zone string, admin int) []string {
 	return []string{
 		"--process", name, "--availability-zone", zone, "--platform-url", c.report.PlatformURL,
 		"--operators", address(admin), "--log-level", "debug", "--drain-ms", "20000",
@@ -209,13 +211,14 @@
 func (c *cluster) startAgent(i int) {
 	c.t.Helper()
 	place := c.report.Endpoints[i]
-	args := append([]string{"agent"}, c.common("agent-"+place.Endpoint, place.AvailabilityZone, c.ports+portAgentsAdmin+i)...)
+	args := append([]string{"agent"}, c.commonFlags("agent-"+place.Endpoint, place.AvailabilityZone, c.ports+portAgentsAdmin+i)...)
 	args = append(args, "--sessions", place.AgentAddress, "--pool", place.Pool, "--endpoint", place.Endpoint,
 		"--kind", place.Kind, "--endpoint-url", place.URL, "--host", "host-"+place.Endpoint)
 	c.agents[place.Endpoint], _ = launch(c.t, "agent-"+place.Endpoint, "jujubed", args...)
 }
 
-// restartAgent starts the agent of an endpoint anew under its old address.
+// restartAgent starts a new agent for an endpoint at the address of the previous
+// agent.
 func (c *cluster) restartAgent(endpoint string) {
 	c.t.Helper()
 	for i := range c.report.Endpoints {
@@ -230,28 +233,29 @@
 func (c *cluster) startEntry(i int) {
 	c.t.Helper()
 	name := fmt.Sprintf("entry-%d", i)
-	args := append([]string{"entry"}, c.common(name, zones[i%len(zones)], c.ports+portEntryAdmin+i)...)
+	args := append([]string{"entry"}, c.commonFlags(name, zones[i%len(zones)], c.ports+portEntryAdmin+i)...)
 	args = append(args, "--callers", address(c.ports+portEntries+i), "--balancer-lag-ms", "1000")
 	c.entries[i], _ = launch(c.t, name, "jujubed", args...)
 }
 
-// awaitServing waits until the entry answers a pipeline and a plain call.
+// awaitServing waits until the entry answers a pipeline request and a call of a
+// plain service.
 func (c *cluster) awaitServing(i int) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
-		if c.entries[i].ended() {
-			return poll.Error(errors.New("the entry ended"))
+		if c.entries[i].exited() {
+			return poll.Error(errors.New("the entry process exited"))
 		}
-		sheet := c.try(http.MethodPost, c.bases[i]+"/v1/services/setup-sheets", `{"input":"warm"}`)
-		stock := c.try(http.MethodGet, c.bases[i]+"/v1/services/orders/call/stock/reel", "")
+		sheet := c.send(http.MethodPost, c.baseURLs[i]+"/v1/services/setup-sheets", `{"input":"warm"}`)
+		stock := c.send(http.MethodGet, c.baseURLs[i]+"/v1/services/orders/call/stock/reel", "")
 		if sheet.status == http.StatusOK && stock.status == http.StatusOK {
 			return poll.Success()
 		}
 		return poll.Continue("%d %s, %d %s", sheet.status, sheet.body, stock.status, stock.body)
-	}, poll.WithTimeout(startLimit), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(startTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
-func (c *cluster) try(method, url, body string) reply {
+func (c *cluster) send(method, url, body string) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -267,41 +271,43 @@
 	return reply{status: response.StatusCode, body: text.String()}
 }
 
-// rotation returns the entries that the balancer sends callers to.
+// rotation returns the base URLs of the entries to which the load balancer
+// sends requests.
 func (c *cluster) rotation() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var bases []string
-	for i, base := range c.bases {
-		if !c.out[i] {
-			bases = append(bases, base)
+	var baseURLs []string
+	for i, baseURL := range c.baseURLs {
+		if !c.outOfRotation[i] {
+			baseURLs = append(baseURLs, baseURL)
 		}
 	}
-	return bases
+	return baseURLs
 }
 
-// take puts an entry out of the balancer's rotation, or back.
-func (c *cluster) take(i int, out bool) {
+// setOutOfRotation removes an entry from the rotation of the load balancer or
+// adds it again.
+func (c *cluster) setOutOfRotation(i int, out bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.out[i] = out
+	c.outOfRotation[i] = out
 }
 
-// runs asks the stand-ins how often a call of a plain service ran.
-func (c *cluster) runs(key string) int {
+// runCount returns how often the stand-ins ran the plain call with this key.
+func (c *cluster) runCount(key string) int {
 	c.t.Helper()
-	got := c.try(http.MethodGet, c.report.ControlURL+"/ledger?key="+key, "")
+	got := c.send(http.MethodGet, c.report.ControlURL+"/ledger?key="+key, "")
 	var ledger devel.StandLedger
 	assert.NilError(c.t, json.Unmarshal([]byte(got.body), &ledger))
 	return ledger.Runs
 }
 
-// running asks an endpoint how much work it runs.
+// running returns the number of calls that run at an endpoint.
 func (c *cluster) running(endpoint string) int {
 	c.t.Helper()
 	for _, place := range c.report.Endpoints {
 		if place.Endpoint == endpoint {
-			got := c.try(http.MethodGet, place.URL+"/v1/load", "")
+			got := c.send(http.MethodGet, place.URL+"/v1/load", "")
 			var load slots.Load
 			assert.NilError(c.t, json.Unmarshal([]byte(got.body), &load))
 			return load.Running
@@ -310,11 +316,11 @@
 	return 0
 }
 
-// cause makes a fault happen at the stand-ins.
-func (c *cluster) cause(fault whole.Fault) {
+// injectFault causes a fault at the stand-ins.
+func (c *cluster) injectFault(fault whole.Fault) {
 	c.t.Helper()
 	body, err := json.Marshal(fault)
 	assert.NilError(c.t, err)
-	got := c.try(http.MethodPost, c.report.ControlURL+"/faults", string(body))
+	got := c.send(http.MethodPost, c.report.ControlURL+"/faults", string(body))
 	assert.Equal(c.t, got.status, http.StatusOK, got.body)
 }
--- a/internal/e2e/promises_test.go
+++ b/internal/e2e/promises_test.go
@@ -16,11 +16,12 @@
 const (
 	promisesPage = "../../docs/PROMISES.md"
 	metricsPage  = "../../docs/METRICS.md"
-	promises     = 9
+	promiseCount = 9
 )
 
-// declared returns the names of all functions in the tests of a package.
-func declared(t *testing.T, directory string) map[string]bool {
+// declaredFunctions returns the names of all functions in the test files of a
+// directory.
+func declaredFunctions(t *testing.T, directory string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("../..", directory, "*_test.go"))
 	assert.NilError(t, err)
@@ -37,24 +38,24 @@
 	return names
 }
 
-// A promise whose test was renamed or deleted is no promise any more, and
-// nobody would notice from the page. The same goes for its counter.
+// Guards against a page of promises that names tests or metrics that were renamed
+// or deleted. Such a promise would be untested without a sign on the page.
 func TestPromisesPageNamesTestsAndMetricsThatExist(t *testing.T) {
 	page, err := os.ReadFile(promisesPage)
 	assert.NilError(t, err)
 	metrics, err := os.ReadFile(metricsPage)
 	assert.NilError(t, err)
 	rows := regexp.MustCompile(`(?m)^\| [1-9] \|.*$`).FindAllString(string(page), -1)
-	assert.Equal(t, len(rows), promises)
-	named := regexp.MustCompile("`(internal/[a-z0-9/]+)\\.(Test[A-Za-z0-9]+)`")
-	counter := regexp.MustCompile("`(jujubescale_[a-z_]+)`")
+	assert.Equal(t, len(rows), promiseCount)
+	testPattern := regexp.MustCompile("`(internal/[a-z0-9/]+)\\.(Test[A-Za-z0-9]+)`")
+	counterPattern := regexp.MustCompile("`(jujubescale_[a-z_]+)`")
 	for _, row := range rows {
-		tests := named.FindAllStringSubmatch(row, -1)
+		tests := testPattern.FindAllStringSubmatch(row, -1)
 		assert.Check(t, len(tests) > 0, "no test in %s", row)
 		for _, test := range tests {
-			assert.Check(t, declared(t, test[1])[test[2]], "%s has no %s", test[1], test[2])
+			assert.Check(t, declaredFunctions(t, test[1])[test[2]], "%s has no %s", test[1], test[2])
 		}
-		counters := counter.FindAllStringSubmatch(row, -1)
+		counters := counterPattern.FindAllStringSubmatch(row, -1)
 		assert.Check(t, len(counters) > 0, "no counter in %s", row)
 		for _, name := range counters {
 			assert.Check(t, strings.Contains(string(metrics), "`"+name[1]+"`"), "no metric %s", name[1])
--- a/internal/e2e/restart_test.go
+++ b/internal/e2e/restart_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A model engine starts anew in mid-stream. It no longer knows the stream when
-// the agent wants to take it up again, and says so with 404. The caller must
-// get the whole answer from another engine, and not a refusal that blames the
-// request.
+// Guards against a refusal when a model engine restarts in the middle of a
+// stream. It has lost the stream and answers 404 when the agent tries to resume
+// it. This must not count as an error of the request: the caller must get the
+// complete answer from another engine.
 func TestEngineRestartsInMidStream(t *testing.T) {
-	system := started(t, slowEngines())
+	system := startSystem(t, slowEngines())
 	lines := openStream(t.Context(), t, system, 25)
 	restarted := 0
 	for _, place := range system.Places {
--- a/internal/e2e/stall_test.go
+++ b/internal/e2e/stall_test.go
@@ -10,16 +10,17 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// All retrievers of a small pool stall for a moment. The entry gives each of
-// them up as a straggler and runs out of endpoints, although the request has
-// most of its time left. The caller must get its answer once the stall is over.
-func TestStallOfAWholePoolIsOutlasted(t *testing.T) {
-	system := started(t, whole.WithEndpoints(2))
-	once := func() reply {
+// Guards against a refusal when all endpoints of a small pool stall briefly. The
+// entry abandons each of them as a straggler and has no endpoint left, although
+// most of the time until the deadline remains. The caller must get its answer
+// after the stall.
+func TestRequestSurvivesStallOfAWholePool(t *testing.T) {
+	system := startSystem(t, whole.WithEndpoints(2))
+	sendRequest := func() reply {
 		return call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 	}
 	for range 40 {
-		assert.Equal(t, once().status, http.StatusOK)
+		assert.Equal(t, sendRequest().status, http.StatusOK)
 	}
 	stall := func(factor float64) {
 		for _, place := range system.Places {
@@ -29,8 +30,8 @@
 		}
 	}
 	stall(60)
-	over := time.AfterFunc(time.Second, func() { stall(1) })
-	defer over.Stop()
-	got := once()
+	timer := time.AfterFunc(time.Second, func() { stall(1) })
+	defer timer.Stop()
+	got := sendRequest()
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -16,56 +16,61 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// zoneGrace is the time after which a zone that was taken out must get no new
-// work any more.
+// zoneGrace is the time after which an evacuated zone must get no new work.
 const zoneGrace = 2 * time.Second
 
-// leaveZone takes a zone out and returns when that was accepted.
-func leaveZone(t *testing.T, system *whole.Whole, zone string) time.Time {
+// evacuateZone evacuates a zone and returns the time at which the change was
+// accepted.
+func evacuateZone(t *testing.T, system *whole.Whole, zone string) time.Time {
 	t.Helper()
 	_, err := system.Operator().LeaveZone(t.Context(), zone, apply.Change{Who: "anna", Reason: "test"})
 	assert.NilError(t, err)
 	return time.Now()
 }
 
-// checkQuiet lets requests run on past the grace and checks that no work began
-// in the zone after it.
-func checkQuiet(t *testing.T, system *whole.Whole, c *crowd, zone string, accepted time.Time) {
+// checkNoNewWorkInZone checks that no work begins in the zone later than zoneGrace
+// after the change was accepted, while the load continues.
+func checkNoNewWorkInZone(t *testing.T, system *whole.Whole, load *loadGenerator, zone string, accepted time.Time) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if time.Since(accepted) < zoneGrace+500*time.Millisecond {
-			return poll.Continue("within the grace")
+			return poll.Continue("within the grace period")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	waitFor(t, c, c.count()+20)
+	waitForRequests(t, load, load.count()+20)
 	last := system.LastStart(zone)
-	t.Logf("last new work in %s %v after the release was accepted", zone, last.Sub(accepted))
-	assert.Assert(t, last.Before(accepted.Add(zoneGrace)), "work began %v after", last.Sub(accepted))
+	t.Logf("last new work in %s began %v after the release was accepted", zone, last.Sub(accepted))
+	assert.Assert(t, last.Before(accepted.Add(zoneGrace)), "work began %v after the release was accepted", last.Sub(accepted))
 }
 
-// checkServed allows no request to be cut, mixed up or refused.
-func checkServed(t *testing.T, c *crowd) {
+// checkAllAnswered stops the load and checks that each request got its answer:
+// none was interrupted, refused or given a wrong answer.
+func checkAllAnswered(t *testing.T, load *loadGenerator) {
 	t.Helper()
-	outcomes := c.stop()
+	outcomes := load.stop()
 	total := sum(outcomes)
-	assert.NilError(t, firstBad(outcomes))
+	assert.NilError(t, firstFailure(outcomes))
 	assert.Equal(t, total.refused, 0, "%+v", total)
 }
 
-func zonedLoad(t *testing.T, opts ...whole.Option) (*whole.Whole, *crowd) {
+// startSystemUnderLoad starts a system with three entries, one in each zone, and
+// a load of pipeline requests.
+func startSystemUnderLoad(t *testing.T, opts ...whole.Option) (*whole.Whole, *loadGenerator) {
 	t.Helper()
-	system := started(t, append([]whole.Option{whole.WithManifest(patient()), whole.WithEntries(3)}, opts...)...)
-	c := startCrowd(t, 4, system.InRotation, kindSheet)
-	waitFor(t, c, 20)
-	return system, c
+	system := startSystem(t, append([]whole.Option{whole.WithManifest(longDeadlineManifest()), whole.WithEntries(3)}, opts...)...)
+	load := startLoad(t, 4, system.InRotation, kindSheet)
+	waitForRequests(t, load, 20)
+	return system, load
 }
 
-func TestZoneLeavesAndReturns(t *testing.T) {
+// Guards against new work in an evacuated zone, and against a zone that gets no
+// work after its return.
+func TestEvacuatedZoneReturns(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
-	accepted := leaveZone(t, system, "zb")
-	checkQuiet(t, system, c, "zb", accepted)
+	system, load := startSystemUnderLoad(t)
+	accepted := evacuateZone(t, system, "zb")
+	checkNoNewWorkInZone(t, system, load, "zb", accepted)
 	_, err := system.Operator().ReturnZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	returned := time.Now()
@@ -75,25 +80,27 @@
 		}
 		return poll.Continue("no work in the zone yet")
 	}, poll.WithTimeout(time.Minute))
-	checkServed(t, c)
+	checkAllAnswered(t, load)
 }
 
-// The platform is slow when the zone must go: each call takes 400 ms. The
-// operator waits longer, but once accepted the zone empties as fast as ever.
-func TestZoneLeavesWhileTheStoreIsSlow(t *testing.T) {
+// Guards against a slow evacuation while each call of the platform takes 400 ms.
+// The operator waits longer for the change to be accepted, but from then on the
+// zone must drain as fast as usual.
+func TestZoneIsEvacuatedWhileTheStoreIsSlow(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
+	system, load := startSystemUnderLoad(t)
 	system.Platform.SetFaults(plat.Faults{Delay: 400 * time.Millisecond})
-	accepted := leaveZone(t, system, "zb")
-	checkQuiet(t, system, c, "zb", accepted)
-	checkServed(t, c)
+	accepted := evacuateZone(t, system, "zb")
+	checkNoNewWorkInZone(t, system, load, "zb", accepted)
+	checkAllAnswered(t, load)
 }
 
-// Two operators decide on the same zone, one to take it out and one to bring it
-// back, both looking at the same release. The second must be told of the first.
-func TestTwoOperatorsDecideOnOneZone(t *testing.T) {
+// Guards against operators who silently undo each other's decision on a zone. Both
+// start from the same release: one returns the zone, the other evacuates it. The
+// second must get a conflict error that names the first.
+func TestConflictingZoneChanges(t *testing.T) {
 	t.Parallel()
-	system := started(t, whole.WithManifest(patient()), whole.WithEntries(1), whole.WithEndpoints(1))
+	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(1), whole.WithEndpoints(1))
 	left, err := system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	seen := left.Head.Release
@@ -105,25 +112,25 @@
 	assert.Equal(t, conflict.Between[0].ChangedBy, "beat")
 }
 
-// The zone's switch breaks, so the processes inside hear of nothing any more,
-// and the operators take the zone out. Entries inside must refuse their callers
-// and agents inside must take no new work, all by themselves; outside, service
-// goes on.
-func TestZoneIsCutOffAndTakenOut(t *testing.T) {
+// Guards against processes that serve in an evacuated zone because they can't
+// receive the change: the network of the zone fails before operators evacuate it.
+// Without any message, entries in the zone must refuse their callers and agents
+// must accept no new work. The other zones must continue to serve.
+func TestIsolatedZoneIsEvacuated(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
-	c.stop()
+	system, load := startSystemUnderLoad(t)
+	load.stop()
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
-	accepted := leaveZone(t, system, "zb")
+	accepted := evacuateZone(t, system, "zb")
 	inside := "http://" + system.Front("entry-1").Address
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		got := call(t, http.MethodPost, inside+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
-		if got.status == http.StatusServiceUnavailable && contains(got.body, fault.Isolated) {
+		if got.status == http.StatusServiceUnavailable && hasReason(got.body, fault.Isolated) {
 			return poll.Success()
 		}
 		return poll.Continue("%d %s", got.status, got.body)
 	}, poll.WithTimeout(time.Minute))
-	t.Logf("entry inside refused %v after", time.Since(accepted))
+	t.Logf("the entry in the zone refused %v after the evacuation", time.Since(accepted))
 	for _, place := range system.Places {
 		if place.Zone != "zb" {
 			continue
@@ -134,24 +141,24 @@
 			} else if reason != "" {
 				return poll.Continue("%s", reason)
 			}
-			return poll.Continue("%s takes work", place.Endpoint)
+			return poll.Continue("%s still accepts work", place.Endpoint)
 		}, poll.WithTimeout(time.Minute))
 	}
 	outside := []string{"http://" + system.Fronts[0].Address, "http://" + system.Fronts[2].Address}
-	rest := startCrowd(t, 4, func() []string { return outside }, kindSheet)
-	waitFor(t, rest, 40)
-	checkServed(t, rest)
-	// The switch is mended: the processes inside hear that their zone is out, and
-	// take nothing on before that.
+	outsideLoad := startLoad(t, 4, func() []string { return outside }, kindSheet)
+	waitForRequests(t, outsideLoad, 40)
+	checkAllAnswered(t, outsideLoad)
+	// When the network recovers, the processes in the zone learn that it is
+	// evacuated. They must accept no work before that.
 	before := lastStarts(system, "zb")
-	within := startCrowd(t, 4, func() []string { return []string{inside} }, kindSheet)
+	insideLoad := startLoad(t, 4, func() []string { return []string{inside} }, kindSheet)
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneHeal, Target: "zb"}))
 	assert.NilError(t, system.WaitInForce(2))
-	within.stop()
+	insideLoad.stop()
 	assert.DeepEqual(t, lastStarts(system, "zb"), before)
 }
 
-// lastStarts is when each endpoint of a zone last began work.
+// lastStarts returns the time at which each endpoint of a zone last began work.
 func lastStarts(system *whole.Whole, zone string) map[string]time.Time {
 	starts := make(map[string]time.Time)
 	for _, place := range system.Places {
@@ -162,82 +169,86 @@
 	return starts
 }
 
-func contains(body string, reason fault.Reason) bool {
+func hasReason(body string, reason fault.Reason) bool {
 	return strings.Contains(body, `"`+string(reason)+`"`)
 }
 
-// An endpoint of the zone restarts while the zone leaves, and its agent is
-// replaced: the new one must hear that its zone is out before it takes work.
-func TestEndpointRestartsWhileItsZoneLeaves(t *testing.T) {
+// Guards against new work in an evacuated zone after its endpoints restarted and
+// their agents were replaced during the evacuation. The new agents must learn of
+// the evacuation before they accept work.
+func TestEndpointRestartsWhileItsZoneIsEvacuated(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
-	accepted := leaveZone(t, system, "zb")
+	system, load := startSystemUnderLoad(t)
+	accepted := evacuateZone(t, system, "zb")
 	for _, place := range system.Places {
 		if place.Zone == "zb" {
 			assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: place.Endpoint}))
 			assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 		}
 	}
-	checkQuiet(t, system, c, "zb", accepted)
-	assert.NilError(t, firstBad(c.stop()))
+	checkNoNewWorkInZone(t, system, load, "zb", accepted)
+	assert.NilError(t, firstFailure(load.stop()))
 }
 
-// Operators take a zone out and bring it back twice in a row, faster than
-// everybody hears of it. The last word must hold.
-func TestZoneLeavesAndReturnsTwiceInARow(t *testing.T) {
+// Guards against an older change that wins over the last one. Operators evacuate
+// and return a zone twice, faster than the changes reach all processes, and then
+// evacuate it again.
+func TestRepeatedZoneEvacuation(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
+	system, load := startSystemUnderLoad(t)
 	operator := system.Operator()
 	for range 2 {
-		leaveZone(t, system, "zb")
+		evacuateZone(t, system, "zb")
 		_, err := operator.ReturnZone(t.Context(), "zb", apply.Change{Who: "anna"})
 		assert.NilError(t, err)
 	}
-	accepted := leaveZone(t, system, "zb")
+	accepted := evacuateZone(t, system, "zb")
 	again, err := operator.LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
-	assert.Assert(t, !again.Changed, "leaving twice changes nothing")
-	checkQuiet(t, system, c, "zb", accepted)
-	checkServed(t, c)
+	assert.Assert(t, !again.Changed, "the second evacuation must change nothing")
+	checkNoNewWorkInZone(t, system, load, "zb", accepted)
+	checkAllAnswered(t, load)
 }
 
-// One zone is out when a second one fails without a word. The third must carry
-// on; requests that were in the failed zone may be refused, but none be wrong.
-func TestSecondZoneFailsWhileOneIsOut(t *testing.T) {
+// Guards against an outage of the third zone when a second zone fails silently
+// while one is evacuated. The third zone must continue to serve. Requests that
+// ran in the failed zone may be refused, but none may get a wrong answer.
+func TestSecondZoneFailsWhileOneIsEvacuated(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
-	accepted := leaveZone(t, system, "zb")
-	checkQuiet(t, system, c, "zb", accepted)
-	c.stop()
+	system, load := startSystemUnderLoad(t)
+	accepted := evacuateZone(t, system, "zb")
+	checkNoNewWorkInZone(t, system, load, "zb", accepted)
+	load.stop()
 	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zc"}))
-	inside := []string{system.URL()}
+	remaining := []string{system.URL()}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		got := call(t, http.MethodPost, inside[0]+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
+		got := call(t, http.MethodPost, remaining[0]+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 		if got.status == http.StatusOK {
 			return poll.Success()
 		}
 		return poll.Continue("%d %s", got.status, got.body)
 	}, poll.WithTimeout(time.Minute))
-	rest := startCrowd(t, 2, func() []string { return inside }, kindSheet)
-	waitFor(t, rest, 30)
-	outcomes := rest.stop()
-	assert.NilError(t, firstBad(outcomes))
+	remainingLoad := startLoad(t, 2, func() []string { return remaining }, kindSheet)
+	waitForRequests(t, remainingLoad, 30)
+	outcomes := remainingLoad.stop()
+	assert.NilError(t, firstFailure(outcomes))
 	assert.Assert(t, sum(outcomes).answered > 0)
 	assert.Assert(t, system.LastStart("zb").Before(accepted.Add(zoneGrace)))
 }
 
-// The platform is down for the whole run. It must cost nothing but changes.
-func TestPlatformOutageAloneStopsNothing(t *testing.T) {
+// Guards against refused requests while the platform is down. Only configuration
+// changes may be impossible.
+func TestPlatformOutageRefusesNoRequest(t *testing.T) {
 	t.Parallel()
-	system, c := zonedLoad(t)
+	system, load := startSystemUnderLoad(t)
 	system.Platform.SetFaults(plat.Faults{Down: true})
 	down := time.Now()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if time.Since(down) < 5*time.Second {
-			return poll.Continue("longer than any process goes on isolated")
+			return poll.Continue("waiting for longer than any isolated process serves")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	waitFor(t, c, c.count()+20)
-	checkServed(t, c)
+	waitForRequests(t, load, load.count()+20)
+	checkAllAnswered(t, load)
 }
