--- a/internal/cli/daemon/agent.go
+++ b/internal/cli/daemon/agent.go
@@ -55,7 +55,7 @@
 		{Name: "log", Run: r.StartLog},
 		{Name: "metrics", Run: r.StartMetrics},
 		{Name: "certificates", Run: r.ReadCertificates},
-		{Name: "platform", Run: r.ReachPlatform},
+		{Name: "platform", Run: r.CreatePlatformClient},
 		{Name: "agent", Run: r.startAgent},
 		{Name: "operators' port", Run: r.openOperatorsPort},
 		{Name: "sessions' port", Run: r.openSessions},
--- a/internal/cli/daemon/daemon_test.go
+++ b/internal/cli/daemon/daemon_test.go
@@ -60,7 +60,7 @@
 	cmd := daemon.New()
 	cmd.SetErr(r.log)
 	cmd.SetOut(r.log)
-	go func() { r.code <- exit.RunContext(exit.WithHurry(ctx, r.hurry), cmd, args) }()
+	go func() { r.code <- exit.RunContext(exit.WithForceStop(ctx, r.hurry), cmd, args) }()
 	t.Cleanup(cancel)
 	return r
 }
--- a/internal/cli/daemon/entry.go
+++ b/internal/cli/daemon/entry.go
@@ -72,7 +72,7 @@
 		{Name: "metrics", Run: r.StartMetrics},
 		{Name: "certificates", Run: r.ReadCertificates},
 		{Name: "certificate towards callers", Run: r.readCallersCertificate},
-		{Name: "platform", Run: r.ReachPlatform},
+		{Name: "platform", Run: r.CreatePlatformClient},
 		{Name: "sessions' port", Run: r.openSessions},
 		{Name: "entry", Run: r.startEntry},
 		{Name: "operators' port", Run: r.openOperatorsPort},
--- a/internal/cli/daemon/metrics_test.go
+++ b/internal/cli/daemon/metrics_test.go
@@ -65,12 +65,12 @@
 	cancel()
 	e := newEntryRun(&config.Entry{Process: config.Process{PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}}, io.Discard)
 	t.Cleanup(func() { e.close(func() {}) })
-	for _, run := range []func(context.Context) error{e.StartLog, e.StartMetrics, e.ReachPlatform, e.startEntry} {
+	for _, run := range []func(context.Context) error{e.StartLog, e.StartMetrics, e.CreatePlatformClient, e.startEntry} {
 		assert.NilError(t, run(over))
 	}
 	a := newAgentRun(&config.Agent{Process: config.Process{PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}, Kind: "plain"}, io.Discard)
 	t.Cleanup(func() { a.close(func() {}) })
-	for _, run := range []func(context.Context) error{a.StartLog, a.StartMetrics, a.ReachPlatform, a.startAgent} {
+	for _, run := range []func(context.Context) error{a.StartLog, a.StartMetrics, a.CreatePlatformClient, a.startAgent} {
 		assert.NilError(t, run(over))
 	}
 	settings := &config.Gateway{Process: config.Process{Process: "g", PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}, Rollouts: true}
--- a/internal/cli/desk/desk.go
+++ b/internal/cli/desk/desk.go
@@ -26,8 +26,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// Desk is one operator's desk.
-type Desk struct {
+// System is one operator's desk.
+type System struct {
 	Platform *plat.Plat
 	// Operator is another operator, who acts without jujubectl.
 	Operator *apply.Operator
@@ -37,24 +37,24 @@
 }
 
 // New starts a platform. It ends with the test.
-func New(t *testing.T) *Desk {
+func New(t *testing.T) *System {
 	t.Helper()
 	platform := plat.New()
 	server := httptest.NewServer(platform.Handler())
 	t.Cleanup(server.Close)
 	operator := apply.New(client.New(server.URL).Store(), apply.WithCheck(check.Fill))
-	return &Desk{Platform: platform, Operator: operator, url: server.URL}
+	return &System{Platform: platform, Operator: operator, url: server.URL}
 }
 
 // Apply puts a manifest into force as another operator.
-func (d *Desk) Apply(t *testing.T, manifest *manif.Manifest, who string) {
+func (d *System) Apply(t *testing.T, manifest *manif.Manifest, who string) {
 	t.Helper()
 	_, err := d.Operator.Apply(t.Context(), manifest, apply.Change{Who: who})
 	assert.NilError(t, err)
 }
 
 // Head reads the head as the platform holds it.
-func (d *Desk) Head(t *testing.T) *head.Head {
+func (d *System) Head(t *testing.T) *head.Head {
 	t.Helper()
 	current, err := head.Decode(d.Platform.Get(head.Object).Value)
 	assert.NilError(t, err)
@@ -71,22 +71,22 @@
 	platform *plat.Plat
 }
 
-// Set changes what the daemon says.
-func (d *Daemon) Set(change func(status *admin.Status)) {
+// SetStatus changes what the daemon says.
+func (d *Daemon) SetStatus(change func(status *admin.Status)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.status)
 }
 
-// Follow makes the daemon say at once what the platform holds.
-func (d *Daemon) Follow(platform *plat.Plat) {
+// FollowRelease makes the daemon say at once what the platform holds.
+func (d *Daemon) FollowRelease(platform *plat.Plat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.platform = platform
 }
 
-// Remember gives the daemon a request that it knows.
-func (d *Daemon) Remember(request *admin.Request) {
+// SetRequest gives the daemon a request that it knows.
+func (d *Daemon) SetRequest(request *admin.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.request = request
@@ -114,8 +114,8 @@
 	return d.request
 }
 
-// Add starts a daemon on a host and puts the host on the platform's list.
-func (d *Desk) Add(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
+// AddDaemon starts a daemon on a host and puts the host on the platform's list.
+func (d *System) AddDaemon(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
 	t.Helper()
 	daemon := &Daemon{status: admin.Status{Process: host.Name, Role: host.Role, Ready: true}}
 	options = append(options, admin.WithStatus(daemon.said), admin.WithRequest(daemon.remembered))
@@ -128,27 +128,27 @@
 	return daemon
 }
 
-// Ran is what a command came to.
-type Ran struct {
+// Result is what a command came to.
+type Result struct {
 	Out  string
 	Err  string
 	Code exit.Code
 }
 
 // JSON reads the command's output into a value.
-func (r Ran) JSON(t *testing.T, into any) {
+func (r Result) JSON(t *testing.T, into any) {
 	t.Helper()
 	assert.NilError(t, json.Unmarshal([]byte(r.Out), into), "%s%s", r.Out, r.Err)
 }
 
 // Run runs one of the commands that build returns, as an operator types it.
-func (d *Desk) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Ran {
+func (d *System) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
 	return d.RunWith(t, "", build, args...)
 }
 
 // RunWith runs a command with a standard input.
-func (d *Desk) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Ran {
+func (d *System) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
 	t.Setenv("JUJUBECTL_PLATFORM", d.url)
 	t.Setenv("JUJUBECTL_WHO", "tester")
@@ -161,5 +161,5 @@
 	root.SetErr(&errs)
 	root.SetIn(strings.NewReader(input))
 	code := exit.RunContext(t.Context(), root, args)
-	return Ran{Out: out.String(), Err: errs.String(), Code: code}
+	return Result{Out: out.String(), Err: errs.String(), Code: code}
 }
--- a/internal/cli/devel/stand.go
+++ b/internal/cli/devel/stand.go
@@ -20,8 +20,8 @@
 	endpoints int
 }
 
-// StandPlace is one endpoint as `jujubedev stand` prints it.
-type StandPlace struct {
+// StandEndpoint is one endpoint as `jujubedev stand` prints it.
+type StandEndpoint struct {
 	Pool             string `json:"pool"`
 	Endpoint         string `json:"endpoint"`
 	Kind             string `json:"kind"`
@@ -32,9 +32,9 @@
 
 // StandReport is the line that `jujubedev stand` prints once it serves.
 type StandReport struct {
-	PlatformURL string       `json:"platformUrl"`
-	ControlURL  string       `json:"controlUrl"`
-	Endpoints   []StandPlace `json:"endpoints"`
+	PlatformURL string          `json:"platformUrl"`
+	ControlURL  string          `json:"controlUrl"`
+	Endpoints   []StandEndpoint `json:"endpoints"`
 }
 
 func newStand() *cobra.Command {
@@ -74,7 +74,7 @@
 	defer control.Close()
 	report := StandReport{PlatformURL: system.PlatformURL, ControlURL: control.URL()}
 	for _, place := range system.Places {
-		report.Endpoints = append(report.Endpoints, StandPlace{
+		report.Endpoints = append(report.Endpoints, StandEndpoint{
 			Pool: place.Pool, Endpoint: place.Endpoint, Kind: string(place.Kind),
 			AvailabilityZone: place.Zone, URL: place.URL, AgentAddress: place.Address,
 		})
--- a/internal/cli/exit/exit.go
+++ b/internal/cli/exit/exit.go
@@ -165,7 +165,7 @@
 		defer close(done)
 		relay(signals, ended, cancel, hurry)
 	}()
-	code := RunContext(WithHurry(ctx, hurry), cmd, args)
+	code := RunContext(WithForceStop(ctx, hurry), cmd, args)
 	close(ended)
 	<-done
 	return int(code)
@@ -186,15 +186,15 @@
 
 type hurryKey struct{}
 
-// WithHurry gives a command the channel that closes when a stop must not wait
+// WithForceStop gives a command the channel that closes when a stop must not wait
 // any longer.
-func WithHurry(ctx context.Context, hurry <-chan struct{}) context.Context {
+func WithForceStop(ctx context.Context, hurry <-chan struct{}) context.Context {
 	return context.WithValue(ctx, hurryKey{}, hurry)
 }
 
-// Hurry returns the channel that closes when a stop must not wait any longer;
+// ForceStop returns the channel that closes when a stop must not wait any longer;
 // one that never closes when the context has none.
-func Hurry(ctx context.Context) <-chan struct{} {
+func ForceStop(ctx context.Context) <-chan struct{} {
 	hurry, _ := ctx.Value(hurryKey{}).(<-chan struct{})
 	return hurry
 }
--- a/internal/cli/mancli/check.go
+++ b/internal/cli/mancli/check.go
@@ -18,8 +18,8 @@
 	file string
 }
 
-// Checked is what a check came to.
-type Checked struct {
+// CheckResult is what a check came to.
+type CheckResult struct {
 	Valid  bool    `json:"valid"`
 	Faults []Fault `json:"faults,omitempty"`
 }
@@ -50,9 +50,9 @@
 		return err
 	}
 	if list == nil {
-		return shared.Print(cmd.OutOrStdout(), Checked{Valid: true}, func(out io.Writer) { writeSummary(out, manifest) })
+		return shared.Print(cmd.OutOrStdout(), CheckResult{Valid: true}, func(out io.Writer) { writeSummary(out, manifest) })
 	}
-	found := Checked{}
+	found := CheckResult{}
 	for _, f := range list.Faults {
 		found.Faults = append(found.Faults, Fault(f))
 	}
--- a/internal/cli/mancli/mancli_test.go
+++ b/internal/cli/mancli/mancli_test.go
@@ -49,7 +49,7 @@
 	for _, path := range []string{"pools[0].kind", "organisations[0].weight"} {
 		assert.Assert(t, strings.Contains(shown.Out, path), shown.Out)
 	}
-	var checked mancli.Checked
+	var checked mancli.CheckResult
 	d.Run(t, mancli.New, "manifest", "check", bad, "--output=json").JSON(t, &checked)
 	assert.Assert(t, !checked.Valid && len(checked.Faults) >= 2)
 
@@ -88,7 +88,7 @@
 
 func TestApplyHistoryRollback(t *testing.T) {
 	d := desk.New(t)
-	var done reach.Done
+	var done reach.ChangeResult
 	d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same), "--reason=first", "--output=json").JSON(t, &done)
 	assert.Assert(t, done.Changed && done.Release == 1)
 	assert.Equal(t, d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower)).Code, exit.OK)
@@ -136,17 +136,17 @@
 // sees which is which, and the code says that it is not in force everywhere.
 func TestWaitNamesWhoIsBehind(t *testing.T) {
 	d := desk.New(t)
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"}).Follow(d.Platform)
-	second := d.Add(t, store.Host{Name: "entry-2", Role: "entry"})
-	d.Add(t, store.Host{Name: "entry-3", Role: "entry"}).Close()
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}).FollowRelease(d.Platform)
+	second := d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry"})
+	d.AddDaemon(t, store.Host{Name: "entry-3", Role: "entry"}).Close()
 	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same), "--wait", "--wait-limit-ms=1", "--output=json")
 	assert.Equal(t, ran.Code, exit.NotInForce, ran.Err)
-	var done reach.Done
+	var done reach.ChangeResult
 	ran.JSON(t, &done)
 	assert.Equal(t, done.Waited.InForce, 1)
 	assert.Equal(t, len(done.Waited.Behind), 1)
 	assert.Equal(t, len(done.Waited.NotSeen), 1)
-	second.Follow(d.Platform)
+	second.FollowRelease(d.Platform)
 	ran = d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower), "--wait")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	assert.Assert(t, strings.Contains(ran.Out, "release 2 is in force on 2 daemons"), ran.Out)
@@ -156,7 +156,7 @@
 // newer release. A change made then would never take effect.
 func TestApplyOnAStoreThatIsBehind(t *testing.T) {
 	d := desk.New(t)
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"}).Set(func(s *admin.Status) { s.Release = 7 })
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}).SetStatus(func(s *admin.Status) { s.Release = 7 })
 	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same))
 	assert.Equal(t, ran.Code, exit.Unavailable)
 	assert.Assert(t, strings.Contains(ran.Err, "release 7 is in force"), ran.Err)
--- a/internal/cli/proc/process.go
+++ b/internal/cli/proc/process.go
@@ -104,8 +104,8 @@
 	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithFailed(failed))
 }
 
-// ReachPlatform builds the caller of the platform; it calls nobody yet.
-func (p *Process) ReachPlatform(context.Context) error {
+// CreatePlatformClient builds the caller of the platform; it calls nobody yet.
+func (p *Process) CreatePlatformClient(context.Context) error {
 	plain := client.New(p.Settings.PlatformURL, client.WithHTTP(httpClient(p.Settings.PlatformURL, p.platformTLS)))
 	p.Platform = call.New(plain.Store(), call.WithClock(p.Clock), call.WithRegisterer(p.Registry),
 		call.WithRate(float64(p.Settings.PlatformCalls), float64(2*p.Settings.PlatformCalls)))
--- a/internal/cli/proc/stop.go
+++ b/internal/cli/proc/stop.go
@@ -22,12 +22,14 @@
 
 // CutError says that a stop ended while work was open.
 type CutError struct {
-	Why string
-	Cut []string
+	Reason string
+	Cut    []string
 }
 
 // Error implements error.
-func (e *CutError) Error() string { return fmt.Sprintf("%s: %d requests were cut", e.Why, len(e.Cut)) }
+func (e *CutError) Error() string {
+	return fmt.Sprintf("%s: %d requests were cut", e.Reason, len(e.Cut))
+}
 
 // Causes of a stop that does not wait any longer.
 var (
@@ -42,7 +44,7 @@
 		return err
 	}
 	s.Process.Log.Info("leaving", "limitMs", int64(s.Process.Settings.DrainMs))
-	bounded, release := s.bound(exit.Hurry(ctx))
+	bounded, release := s.bound(exit.ForceStop(ctx))
 	defer release()
 	cut := s.StopFunc(bounded)
 	if len(cut) == 0 {
@@ -100,5 +102,5 @@
 		s.Process.Log.Warn("request cut", "reason", cause, "what", line)
 	}
 	s.Process.Log.Warn("stopped", "reason", cause, "cut", len(lines))
-	return exit.With(exit.Cut, &CutError{Why: fmt.Sprint(cause), Cut: lines})
+	return exit.With(exit.Cut, &CutError{Reason: fmt.Sprint(cause), Cut: lines})
 }
--- a/internal/cli/quar/quar.go
+++ b/internal/cli/quar/quar.go
@@ -55,7 +55,7 @@
 			"three on a request reaches no endpoint for a quarter of an hour.",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			from, err := options.Routed()
+			from, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return exit.With(exit.Usage, err)
 	}
-	from, err := options.Routed()
+	from, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -130,8 +130,8 @@
 	routedMargin  = clock.Second
 )
 
-// Routed returns the store of a platform with routed services.
-func (o *Options) Routed() (*store.Store, error) {
+// RoutedStore returns the store of a platform with routed services.
+func (o *Options) RoutedStore() (*store.Store, error) {
 	if err := o.checkOutput(); err != nil {
 		return nil, err
 	}
@@ -209,8 +209,8 @@
 	return encoder.Encode(document)
 }
 
-// Waited is what waiting for a release came to.
-type Waited struct {
+// WaitResult is what waiting for a release came to.
+type WaitResult struct {
 	Release uint64 `json:"release"`
 	// InForce counts the daemons that have the release.
 	InForce int `json:"inForce"`
@@ -221,10 +221,10 @@
 }
 
 // Wait waits until a release is in force on every daemon that can be asked.
-func (c *Client) Wait(ctx context.Context, release uint64, limit clock.Millis) (Waited, error) {
+func (c *Client) Wait(ctx context.Context, release uint64, limit clock.Millis) (WaitResult, error) {
 	hosts, err := c.Fleet.Hosts(ctx, "")
 	if err != nil {
-		return Waited{Release: release}, err
+		return WaitResult{Release: release}, err
 	}
 	var last []apply.ProcessRelease
 	ask := c.Fleet.InForce(hosts, release)
@@ -245,8 +245,8 @@
 	return out
 }
 
-func waited(release uint64, answers []apply.ProcessRelease) Waited {
-	out := Waited{Release: release}
+func waited(release uint64, answers []apply.ProcessRelease) WaitResult {
+	out := WaitResult{Release: release}
 	for _, answer := range answers {
 		switch {
 		case answer.Cause != nil:
@@ -261,7 +261,7 @@
 }
 
 // Write prints what waiting came to for people.
-func (w Waited) Write(out io.Writer) {
+func (w WaitResult) Write(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "release %d is in force on %d daemons\n", w.Release, w.InForce)
 	for _, name := range w.Behind {
 		_, _ = fmt.Fprintln(out, "  not yet on", name)
@@ -285,13 +285,13 @@
 	cmd.Flags().Int64Var((*int64)(&w.Limit), "wait-limit-ms", int64(defaultWaitLimit), "longest wait in milliseconds")
 }
 
-// Done is what a change came to.
-type Done struct {
-	Release   uint64  `json:"release"`
-	Changed   bool    `json:"changed"`
-	Action    string  `json:"action,omitempty"`
-	ChangedBy string  `json:"changedBy,omitempty"`
-	Waited    *Waited `json:"waited,omitempty"`
+// ChangeResult is what a change came to.
+type ChangeResult struct {
+	Release   uint64      `json:"release"`
+	Changed   bool        `json:"changed"`
+	Action    string      `json:"action,omitempty"`
+	ChangedBy string      `json:"changedBy,omitempty"`
+	Waited    *WaitResult `json:"waited,omitempty"`
 }
 
 // Report prints what a change came to and waits for it when asked to.
@@ -299,7 +299,7 @@
 	if result.Head == nil {
 		return errors.New("the platform holds no configuration")
 	}
-	done := Done{
+	done := ChangeResult{
 		Release: result.Head.Release, Changed: result.Changed,
 		Action: string(result.Head.Action), ChangedBy: result.Head.ChangedBy,
 	}
--- a/internal/cli/rolls/history.go
+++ b/internal/cli/rolls/history.go
@@ -45,7 +45,7 @@
 			"order: an order that is aborted takes them along.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.Routed()
+			from, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
--- a/internal/cli/rolls/rolls.go
+++ b/internal/cli/rolls/rolls.go
@@ -131,7 +131,7 @@
 	case order.Duration < leastDuration || order.Duration > mostDuration:
 		return exit.With(exit.Usage, fmt.Errorf("--duration is %d ms, and has to be from %d to %d", order.Duration, leastDuration, mostDuration))
 	}
-	to, err := options.Routed()
+	to, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 		Short: "Shows what became of orders",
 		Args:  exit.Args(cobra.MaximumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.Routed()
+			from, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
@@ -197,7 +197,7 @@
 }
 
 func runWatch(cmd *cobra.Command, options *reach.Options, pool string) error {
-	from, err := options.Routed()
+	from, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 			"endpoints have been stopped.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.Routed()
+			from, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
--- a/internal/cli/state/state_test.go
+++ b/internal/cli/state/state_test.go
@@ -24,11 +24,11 @@
 func TestStatus(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry", AvailabilityZone: "za"}).Set(func(s *admin.Status) { s.Release = 1 })
-	d.Add(t, store.Host{Name: "entry-2", Role: "entry", AvailabilityZone: "zb"}).Set(func(s *admin.Status) {
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry", AvailabilityZone: "za"}).SetStatus(func(s *admin.Status) { s.Release = 1 })
+	d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry", AvailabilityZone: "zb"}).SetStatus(func(s *admin.Status) {
 		s.Ready, s.NotReady = false, "leaving"
 	})
-	d.Add(t, store.Host{Name: "entry-3", Role: "entry", AvailabilityZone: "zc"}).Close()
+	d.AddDaemon(t, store.Host{Name: "entry-3", Role: "entry", AvailabilityZone: "zc"}).Close()
 	ran := d.Run(t, state.NewStatus, "status")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	for _, part := range []string{"release 1 by anna", "ready", "not ready: leaving", "not seen: "} {
@@ -43,8 +43,8 @@
 // A caller reports the id of a request that failed. Only one entry saw it.
 func TestRequestIsFoundWhereverItWas(t *testing.T) {
 	d := desk.New(t)
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"})
-	d.Add(t, store.Host{Name: "entry-2", Role: "entry"}).Remember(&admin.Request{
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"})
+	d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry"}).SetRequest(&admin.Request{
 		RequestID: "5f", Process: "entry-2", Service: "orders", State: "refused", Reason: fault.QueueFull, Ran: fault.NotRun,
 		Attempts: []admin.Attempt{{Pool: "orders", Endpoint: "orders-1", State: "refused", Reason: fault.QueueFull}},
 	})
@@ -61,7 +61,7 @@
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
 	sum := sha256.Sum256([]byte("secret"))
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"}, admin.WithTokenHashes([]string{hex.EncodeToString(sum[:])}))
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}, admin.WithTokenHashes([]string{hex.EncodeToString(sum[:])}))
 	ran := d.Run(t, state.NewStatus, "status")
 	assert.Assert(t, strings.Contains(ran.Out, "answered status 401"), ran.Out)
 }
--- a/internal/cli/zones/zones_test.go
+++ b/internal/cli/zones/zones_test.go
@@ -19,14 +19,14 @@
 )
 
 // newDesk has one engine in each of three zones, with the running calls given.
-func newDesk(t *testing.T, running ...int) *desk.Desk {
+func newDesk(t *testing.T, running ...int) *desk.System {
 	t.Helper()
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
 	for i, zone := range []string{"za", "zb", "zc"} {
 		name := fmt.Sprintf("engine-%d", i)
-		agent := d.Add(t, store.Host{Name: name, Role: "agent", AvailabilityZone: zone, Pool: "engines", Endpoint: name})
-		agent.Set(func(s *admin.Status) {
+		agent := d.AddDaemon(t, store.Host{Name: name, Role: "agent", AvailabilityZone: zone, Pool: "engines", Endpoint: name})
+		agent.SetStatus(func(s *admin.Status) {
 			s.Release = 2
 			s.Endpoint = &admin.Endpoint{Pool: "engines", Endpoint: name, Running: running[i], Limit: 8}
 		})
@@ -87,7 +87,7 @@
 
 func TestEndpointLeaveAndReturn(t *testing.T) {
 	d := newDesk(t, 1, 1, 1)
-	var done reach.Done
+	var done reach.ChangeResult
 	d.Run(t, zones.NewEndpoint, "endpoint", "leave", "engines", "engine-0", "--output=json").JSON(t, &done)
 	assert.Assert(t, done.Changed)
 	assert.Assert(t, d.Head(t).EndpointDisabled("engines", "engine-0"))
