--- a/internal/cli/daemon/agent.go
+++ b/internal/cli/daemon/agent.go
@@ -20,10 +20,10 @@
 func newAgent() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "agent",
-		Short: "Stands beside one endpoint and alone admits work to it",
-		Long: "Stands beside one endpoint and alone admits work to it.\n\n" +
-			"SIGTERM begins a planned stop that cuts no request; a second one, or the limit\n" +
-			"drainMs, ends it at once and says what was cut (exit code 10).",
+		Short: "Admits work to one endpoint; it is the only process that calls the endpoint",
+		Long: "Admits work to one endpoint; it is the only process that calls the endpoint.\n\n" +
+			"SIGTERM begins a planned stop that lets open requests end. A second SIGTERM, or the\n" +
+			"time limit drainMs, ends it at once; the log then lists the requests that were cut\n(exit code 10).",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings, err := readSettings(cmd, config.AgentSteps())
@@ -49,7 +49,7 @@
 	return &agentRun{Process: proc.New(roleAgent, &settings.Process, out), settings: settings}
 }
 
-// tasks lists the steps of the start.
+// tasks returns the steps of the start in their order.
 func (r *agentRun) tasks() []proc.Task {
 	return []proc.Task{
 		{Name: "log", Run: r.StartLog},
@@ -75,7 +75,8 @@
 
 func (r *agentRun) stop(ctx context.Context) []string { return r.agent.Shutdown(ctx).Cut }
 
-// close ends everything at once, also after a start that failed half-way.
+// close stops the agent and closes its ports at once. It may also be called
+// after a start that failed at some step.
 func (r *agentRun) close(stop context.CancelFunc) {
 	stop()
 	if r.agent != nil {
--- a/internal/cli/daemon/daemon_test.go
+++ b/internal/cli/daemon/daemon_test.go
@@ -27,45 +27,46 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// lines collects what a daemon logs.
-type lines struct {
+// logBuffer collects the log output of a daemon.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(raw []byte) (int, error) {
+func (l *logBuffer) Write(raw []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(raw)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// running is one daemon in this process.
+// running is a daemon that runs in the test process.
 type running struct {
-	log    *lines
-	signal context.CancelFunc
-	hurry  chan struct{}
-	code   chan exit.Code
+	log       *logBuffer
+	signal    context.CancelFunc
+	forceStop chan struct{}
+	code      chan exit.Code
 }
 
 func start(t *testing.T, args ...string) *running {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{log: &lines{}, signal: cancel, hurry: make(chan struct{}), code: make(chan exit.Code, 1)}
+	r := &running{log: &logBuffer{}, signal: cancel, forceStop: make(chan struct{}), code: make(chan exit.Code, 1)}
 	cmd := daemon.New()
 	cmd.SetErr(r.log)
 	cmd.SetOut(r.log)
-	go func() { r.code <- exit.RunContext(exit.WithForceStop(ctx, r.hurry), cmd, args) }()
+	go func() { r.code <- exit.RunContext(exit.WithForceStop(ctx, r.forceStop), cmd, args) }()
 	t.Cleanup(cancel)
 	return r
 }
 
-// address waits until the daemon serves and returns one of its addresses.
+// address waits until the daemon has logged that it serves, and returns the
+// address that the line holds under the key name.
 func (r *running) address(t *testing.T, name string) string {
 	t.Helper()
 	pattern := regexp.MustCompile(`msg=serving .*\b` + name + `=(\S+)`)
@@ -84,7 +85,7 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// service is a plain service whose calls wait until they are released.
+// service is a plain service whose bookings block until release is closed.
 type service struct {
 	entered chan struct{}
 	release chan struct{}
@@ -100,7 +101,7 @@
 	_, _ = io.WriteString(w, `{"booked":true}`)
 }
 
-// system is an entry and an agent beside a plain service.
+// system is an entry, an agent and the plain service that they serve.
 type system struct {
 	service  *service
 	platform *plat.Plat
@@ -148,8 +149,8 @@
 	err    error
 }
 
-// book calls the service, waits until the call reaches it, and returns where
-// the answer will come.
+// book sends a booking, waits until it reaches the service, and returns a channel
+// that receives the answer.
 func (s *system) book(t *testing.T) <-chan reply {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -180,8 +181,8 @@
 	return reply{status: response.StatusCode, body: string(body), err: err}
 }
 
-// An operator stops an entry while a booking is open. The booking is answered
-// whole, and the process ends by itself with code 0.
+// Guards against a planned stop that cuts open requests: the open booking gets a
+// complete answer, and the process ends with code 0.
 func TestPlannedStopCutsNoRequest(t *testing.T) {
 	s := newSystem(t)
 	answer := s.book(t)
@@ -196,22 +197,23 @@
 	assert.Equal(t, <-s.agent.code, exit.OK)
 }
 
-// The stop takes too long for the operator, who sends a second SIGTERM. The
-// process ends at once and says which request it cut.
-func TestSecondSignalSaysWhatItCut(t *testing.T) {
+// Guards against requests that are cut without a trace: after a second SIGTERM the
+// process ends at once and logs the ids of the cut requests.
+func TestSecondSignalLogsCutRequests(t *testing.T) {
 	s := newSystem(t)
 	answer := s.book(t)
 	s.entry.signal()
 	s.entry.waitLog(t, "msg=leaving")
-	close(s.entry.hurry)
+	close(s.entry.forceStop)
 	assert.Equal(t, <-s.entry.code, exit.Cut)
 	s.entry.waitLog(t, `msg="request cut" .*reason="second signal" what=[0-9a-f]{24}`)
 	close(s.service.release)
 	<-answer
 }
 
-// A request never ends. The stop does not wait for it longer than its limit.
-func TestTimeLimitSaysWhatItCut(t *testing.T) {
+// Guards against a planned stop that waits forever for a request that doesn't end:
+// at the time limit the process ends and logs the ids of the cut requests.
+func TestTimeLimitLogsCutRequests(t *testing.T) {
 	s := newSystem(t, "--drain-ms=50")
 	answer := s.book(t)
 	s.entry.signal()
@@ -241,7 +243,7 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-func TestWrongSettingsAreListedAndNothingStarts(t *testing.T) {
+func TestInvalidSettingsAreListedAndNothingStarts(t *testing.T) {
 	r := start(t, "entry", "--process=entry-1", "--callers=localhost:1", "--drain-ms=x")
 	assert.Equal(t, <-r.code, exit.Invalid)
 	assert.Assert(t, strings.Contains(r.log.String(), "--drain-ms"), r.log.String())
@@ -252,13 +254,13 @@
 	}
 }
 
-func TestUnknownFlagIsAWrongCommandLine(t *testing.T) {
+func TestUnknownFlagIsAUsageError(t *testing.T) {
 	r := start(t, "agent", "--pol=x")
 	assert.Equal(t, <-r.code, exit.Usage)
 }
 
-// Another process holds the address: the start fails, names the step, and
-// leaves nothing behind.
+// The start fails if another process listens on the address, and the error names
+// the step.
 func TestAddressInUse(t *testing.T) {
 	s := newSystem(t)
 	taken := strings.TrimPrefix(s.callers, "http://")
@@ -268,9 +270,9 @@
 	assert.Assert(t, strings.Contains(r.log.String(), "callers' port"), r.log.String())
 }
 
-// A caller sends more than it may. It is refused before the process keeps what
-// it sent, and the others are served.
-func TestCallersAreBounded(t *testing.T) {
+// Guards against callers that exhaust the memory of the process: a request above
+// one of the limits is refused, and other requests are served.
+func TestLimitsForCallers(t *testing.T) {
 	s := newSystem(t, "--max-body-bytes=1000", "--max-header-bytes=4096", "--max-open=1")
 	answer := s.book(t)
 	send := func(body, header string) int {
@@ -288,7 +290,7 @@
 	assert.Equal(t, (<-answer).status, http.StatusOK)
 	assert.Equal(t, send("{}", strings.Repeat("x", 32<<10)), http.StatusRequestHeaderFieldsTooLarge)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		// The slot of the booking is given back just after its answer.
+		// The slot of the booking is released shortly after its answer.
 		status := send(strings.Repeat(" ", 2000), "")
 		if status == http.StatusRequestEntityTooLarge {
 			return poll.Success()
--- a/internal/cli/daemon/entry.go
+++ b/internal/cli/daemon/entry.go
@@ -31,10 +31,10 @@
 func newEntry() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "entry",
-		Short: "Takes callers' requests and runs the stages of their pipelines",
-		Long: "Takes callers' requests and runs the stages of their pipelines.\n\n" +
-			"SIGTERM begins a planned stop that cuts no request; a second one, or the limit\n" +
-			"drainMs, ends it at once and says what was cut (exit code 10).",
+		Short: "Accepts callers' requests and runs the stages of their pipelines",
+		Long: "Accepts callers' requests and runs the stages of their pipelines.\n\n" +
+			"SIGTERM begins a planned stop that lets open requests end. A second SIGTERM, or the\n" +
+			"time limit drainMs, ends it at once; the log then lists the requests that were cut\n(exit code 10).",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings, err := readSettings(cmd, config.EntrySteps())
@@ -55,7 +55,7 @@
 	callersTLS *certs.Source
 	entry      *entry.Entry
 	callers    *proc.Port
-	// sessions is the port for other entries, nil without one.
+	// sessions is the port for other entries; nil if the settings have none.
 	sessions       *proc.Port
 	sessionHandler lateHandler
 }
@@ -64,8 +64,8 @@
 	return &entryRun{Process: proc.New(roleEntry, &settings.Process, out), settings: settings}
 }
 
-// tasks lists the steps of the start. The callers' port comes last: whoever
-// reaches it finds a process that can serve.
+// tasks returns the steps of the start in their order. The callers' port opens
+// last, so that the process can serve each request that arrives there.
 func (r *entryRun) tasks() []proc.Task {
 	return []proc.Task{
 		{Name: "log", Run: r.StartLog},
@@ -92,12 +92,14 @@
 	return s.Run(ctx)
 }
 
-// stop lets open requests end and returns the ids of those that it cut.
+// stop waits until open requests end and returns the ids of those that were
+// still open when the context ended.
 func (r *entryRun) stop(ctx context.Context) []string {
 	return r.entry.Stop(ctx, r.callers.Shutdown)
 }
 
-// close ends everything at once, also after a start that failed half-way.
+// close stops the entry and closes its ports at once. It may also be called
+// after a start that failed at some step.
 func (r *entryRun) close(stop context.CancelFunc) {
 	stop()
 	if r.entry != nil {
@@ -140,8 +142,8 @@
 	return nil
 }
 
-// dialTLS connects to processes of one role and shows them this process's
-// certificate.
+// dialTLS returns a dial function for connections to processes of one role. It
+// verifies their certificate and presents that of this process.
 func dialTLS(source *certs.Source, role string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := tls.Dialer{Config: source.Client(role)}
 	return dialer.DialContext
@@ -151,25 +153,26 @@
 	return r.OpenOperators(ctx, admin.WithStatus(r.entry.Status), admin.WithRequest(r.entry.Lookup))
 }
 
-// firstLimit bounds how long the start waits for a configuration. Afterwards
-// the process goes on trying, and is not ready until it has one.
+// configurationTimeout bounds how long the start waits for a configuration.
+// After it, the start continues; the process is not ready until it has read a
+// configuration. configurationPoll is the time between two checks.
 const (
-	firstLimit = 2 * clock.Second
-	firstStep  = 10 * clock.Millis(1)
+	configurationTimeout = 2 * clock.Second
+	configurationPoll    = 10 * clock.Millis(1)
 )
 
 func (r *entryRun) awaitConfiguration(ctx context.Context) error {
-	end := r.Clock.Now() + firstLimit
+	end := r.Clock.Now() + configurationTimeout
 	for r.Holder.Number() == 0 && r.Clock.Now() < end {
-		if err := r.Clock.Sleep(ctx, firstStep); err != nil {
+		if err := r.Clock.Sleep(ctx, configurationPoll); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openSessions opens the port for other entries. It comes before the entry,
-// which tells the others its address.
+// openSessions opens the port for other entries. The port opens before the
+// entry is created, because the entry publishes the port's address.
 func (r *entryRun) openSessions(ctx context.Context) error {
 	if r.settings.Sessions == "" {
 		return nil
@@ -179,10 +182,12 @@
 	return err
 }
 
-// maxPeerSessions bounds the sessions of other entries; each holds a few.
+// maxPeerSessions bounds the connections for sessions of other entries, each of
+// which opens a few.
 const maxPeerSessions = 256
 
-// lateHandler serves once its handler is known.
+// lateHandler passes requests to a handler that is set after the port opened.
+// Until then it answers with status 503.
 type lateHandler struct {
 	handler atomic.Pointer[http.Handler]
 }
--- a/internal/cli/daemon/gateway.go
+++ b/internal/cli/daemon/gateway.go
@@ -25,17 +25,17 @@
 
 const roleGateway = "gateway"
 
-// callersPort names the port that callers reach.
+// callersPort is the name of the callers' port in logs and metrics.
 const callersPort = "callers"
 
 func newGateway() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "gateway",
-		Short: "Takes requests by host and path and hosts the stage engines among its peers",
-		Long: "Takes requests by host and path, runs the stages of their routes and passes them to\n" +
-			"endpoints. Gateways share the stage engines among them; no agent is needed.\n\n" +
+		Short: "Routes requests by host and path and runs stage engines together with its peers",
+		Long: "Routes requests by host and path, runs the stages of their routes and forwards them to\n" +
+			"endpoints. Gateways divide the stage engines among themselves; no agent is needed.\n\n" +
 			"Without --config the path of the settings file is read from $" + platform.SettingsVariable + ".\n" +
-			"SIGTERM begins a planned stop; SIGHUP, or a change of the file, reads the settings again.",
+			"SIGTERM begins a planned stop; SIGHUP, or a change of the file, reloads the settings.",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			read := func() (*config.Gateway, error) { return readGateway(cmd) }
@@ -62,7 +62,7 @@
 }
 
 func readGateway(cmd *cobra.Command) (*config.Gateway, error) {
-	return readSettingsOf(cmd, config.GatewaySteps(), gatewayFile(cmd), platform.SettingsVariable)
+	return readSettingsFile(cmd, config.GatewaySteps(), gatewayFile(cmd), platform.SettingsVariable)
 }
 
 // gatewayRun is one run of the gateway daemon.
@@ -105,7 +105,7 @@
 		<-r.trail.Done()
 	}()
 	defer r.close(stop)
-	boundMemory(r.settings)
+	limitMemory(r.settings)
 	r.Process = proc.New(roleGateway, &r.settings.Process, r.trail)
 	if err := proc.RunTasks(background, roleGateway, r.tasks()); err != nil {
 		return err
@@ -120,17 +120,18 @@
 }
 
 const (
-	// memoryShare of the memory that the process may use is where the runtime
-	// starts to collect garbage eagerly; stacks, buffers of the kernel and the C
-	// library need the rest.
+	// memoryShare is the part of the process's memory that is set as the soft
+	// limit of the Go runtime, near which it collects garbage more often. Stacks,
+	// kernel buffers and the C library need the rest.
 	memoryShare = 0.6
-	// garbagePercent trades processor time for memory: the live heap is a few
-	// megabytes, and memory at its peak is paid for.
+	// garbagePercent is below the default of 100, which saves memory at the cost
+	// of processor time: the live heap is a few megabytes, and memory is paid for
+	// by its peak.
 	garbagePercent = 60
 	megabyte       = 1 << 20
 )
 
-func boundMemory(settings *config.Gateway) {
+func limitMemory(settings *config.Gateway) {
 	debug.SetGCPercent(garbagePercent)
 	if settings.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(settings.MemoryMb * memoryShare * megabyte))
@@ -143,9 +144,9 @@
 
 func (r *gatewayRun) readCertificates(ctx context.Context) error { return r.ReadCertificates(ctx) }
 
-// storeTimeout bounds one call to the platform's store, which takes
-// milliseconds; a slow one takes sixty times as long. watchMargin is what a call
-// that waits for changes may take beyond its wait.
+// storeTimeout bounds one call to the platform's store. A call normally takes
+// milliseconds, and up to sixty times as long when the store is slow.
+// watchMargin is the time that a watch call may take in addition to its wait.
 const (
 	storeTimeout = 1500 * clock.Millis(1)
 	watchMargin  = 450 * clock.Millis(1)
@@ -189,15 +190,15 @@
 	return r.open(ctx, &r.ready, "ready", r.settings.Ready, r.gateway.ReadyHandler())
 }
 
-// Bounds of the ports that callers and the balancer reach.
+// Limits of the ports for callers and for the balancer.
 const (
 	smallConnections = 64
 	smallHeader      = 16 << 10
 	callersHeader    = 64 << 10
 	callersTimeout   = 10 * clock.Second
 	callersIdle      = 75 * clock.Second
-	// callersFds is the part of the descriptors that callers may use; the rest
-	// is for endpoints, peers and files.
+	// callersFds is the part of the file descriptors that callers' connections
+	// may use. Connections to endpoints and peers and files need the rest.
 	callersFds = 0.5
 )
 
@@ -222,43 +223,45 @@
 }
 
 const (
-	// endShare is the part of the grace that is kept between the end of a planned stop
-	// and the kill that follows: a process without processor time notices the signal
-	// late.
-	endShare = 0.15
-	// answerTime is how long callers whose requests were cut have for their answers,
-	// withdrawTime what taking this process off the list may take, also while the
-	// store is silent.
-	answerTime   = 100 * clock.Millis(1)
-	withdrawTime = 200 * clock.Millis(1)
+	// killMargin is the part of the grace period that a planned stop leaves unused
+	// before the process is killed, because a process that lacks processor time
+	// notices the signal late.
+	killMargin = 0.15
+	// errorAnswerTimeout bounds the wait for the error answers of cut requests to be
+	// sent.
+	errorAnswerTimeout = 100 * clock.Millis(1)
+	// deregisterTimeout bounds the removal of this process from the member list, also
+	// when the store doesn't answer.
+	deregisterTimeout = 200 * clock.Millis(1)
 )
 
-// stop is the planned stop: the process stops being ready, goes on accepting
-// until the balancer has noticed, refuses what still comes, lets open requests end,
-// and ends those that are left before it would be killed.
+// stop runs the planned stop. The process reports that it is not ready and still
+// accepts requests for the balancer's lag. Then it refuses new requests, waits for
+// the open ones, and cuts those that remain shortly before the process would be
+// killed.
 func (r *gatewayRun) stop() {
 	began := r.Clock.Now()
 	grace := clock.Millis(r.settings.GraceSeconds * float64(clock.Second))
-	limit, cancel := context.WithTimeout(context.Background(), clock.Millis((1-endShare)*float64(grace)).Duration())
+	limit, cancel := context.WithTimeout(context.Background(), clock.Millis((1-killMargin)*float64(grace)).Duration())
 	defer cancel()
 	r.Log.Info("leaving", "graceMs", int64(grace), "open", r.gateway.OpenRequests())
 	r.gateway.StartDrain()
-	_ = r.Clock.Sleep(limit, r.settings.BalancerLagMs) // the limit ends the stop, too
+	_ = r.Clock.Sleep(limit, r.settings.BalancerLagMs) // an error means that the time limit of the stop has passed
 	r.gateway.RefuseNew()
 	r.Log.Info("callers' port closing", "open", r.gateway.OpenRequests(), "tookMs", int64(r.Clock.Since(began)))
 	var cut int64
 	if err := r.callers.Shutdown(limit); err != nil {
 		cut = r.gateway.Wait(limit)
 		r.Log.Info("callers' connections left open", "error", err, "cut", cut)
-		within(answerTime, func(ctx context.Context) { _ = r.callers.Shutdown(ctx) }) // logged already
+		within(errorAnswerTimeout, func(ctx context.Context) { _ = r.callers.Shutdown(ctx) }) // logged above
 	}
-	within(withdrawTime, r.gateway.Deregister)
+	within(deregisterTimeout, r.gateway.Deregister)
 	r.Log.Info("stopped", "cut", cut, "tookMs", int64(r.Clock.Since(began)))
 }
 
-// within calls a function with a context that ends after a while.
-func within(span clock.Millis, call func(context.Context)) {
-	ctx, cancel := context.WithTimeout(context.Background(), span.Duration())
+// within calls a function with a context that ends after the timeout.
+func within(timeout clock.Millis, call func(context.Context)) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
 	defer cancel()
 	call(ctx)
 }
--- a/internal/cli/daemon/metrics_test.go
+++ b/internal/cli/daemon/metrics_test.go
@@ -31,59 +31,61 @@
 about it, is in [OPERATORS.md](OPERATORS.md#what-to-watch).
 `
 
-// shown is one metric as the page lists it.
-type shown struct {
+// metric is one metric as the page lists it.
+type metric struct {
 	name, labels, help string
 }
 
 var description = regexp.MustCompile(`^Desc\{fqName: "([^"]+)", help: "(.*?)"(?:, unit: "[^"]*")?, constLabels: \{.*\}, variableLabels: \{(.*)\}\}$`)
 
-// described lists what a registry holds, also metrics without a value so far.
-func described(t *testing.T, registry *prometheus.Registry) []shown {
+// metricsOf returns the metrics of a registry by name, also those that have no
+// value yet.
+func metricsOf(t *testing.T, registry *prometheus.Registry) []metric {
 	t.Helper()
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		registry.Describe(descriptions)
 		close(descriptions)
 	}()
-	var all []shown
+	var all []metric
 	for d := range descriptions {
 		match := description.FindStringSubmatch(d.String())
 		assert.Assert(t, match != nil, d.String())
 		if strings.HasPrefix(match[1], "jujubescale_") {
-			all = append(all, shown{name: match[1], labels: strings.ReplaceAll(match[3], ",", ", "), help: match[2]})
+			all = append(all, metric{name: match[1], labels: strings.ReplaceAll(match[3], ",", ", "), help: match[2]})
 		}
 	}
-	slices.SortFunc(all, func(a, b shown) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(all, func(a, b metric) int { return strings.Compare(a.name, b.name) })
 	return all
 }
 
-// registries starts both daemons as far as their metrics exist.
+// registries runs the first steps of each daemon's start, up to the one that
+// registers its metrics, and returns their registries.
 func registries(t *testing.T) (entry, agent, gateway *prometheus.Registry) {
 	t.Helper()
-	over, cancel := context.WithCancel(context.Background())
+	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	e := newEntryRun(&config.Entry{Process: config.Process{PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}}, io.Discard)
 	t.Cleanup(func() { e.close(func() {}) })
 	for _, run := range []func(context.Context) error{e.StartLog, e.StartMetrics, e.CreatePlatformClient, e.startEntry} {
-		assert.NilError(t, run(over))
+		assert.NilError(t, run(ended))
 	}
 	a := newAgentRun(&config.Agent{Process: config.Process{PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}, Kind: "plain"}, io.Discard)
 	t.Cleanup(func() { a.close(func() {}) })
 	for _, run := range []func(context.Context) error{a.StartLog, a.StartMetrics, a.CreatePlatformClient, a.startAgent} {
-		assert.NilError(t, run(over))
+		assert.NilError(t, run(ended))
 	}
 	settings := &config.Gateway{Process: config.Process{Process: "g", PlatformURL: "http://127.0.0.1:1", LogLevel: "error"}, Rollouts: true}
 	g := newGatewayRun(settings, nil, "", io.Discard)
 	g.Process = proc.New(roleGateway, &settings.Process, io.Discard)
 	t.Cleanup(func() { g.close(func() {}) })
 	for _, run := range []func(context.Context) error{g.startLog, g.startMetrics, g.startGateway} {
-		assert.NilError(t, run(over))
+		assert.NilError(t, run(ended))
 	}
 	return e.Registry, a.Registry, g.Registry
 }
 
-func table(metrics []shown) string {
+func table(metrics []metric) string {
 	var page strings.Builder
 	page.WriteString("\n| metric | labels | meaning |\n|---|---|---|\n")
 	for _, m := range metrics {
@@ -92,23 +94,23 @@
 	return page.String()
 }
 
-// An operator looks for a metric that the page does not have, or watches one
-// that no daemon has any more.
+// Guards against a page that lacks a metric, or that lists one that no daemon
+// registers any more.
 func TestMetricsPage(t *testing.T) {
 	entry, agent, gateway := registries(t)
 	golden.Assert(t, metricsIntroduction+
-		"\n## jujubed entry\n"+table(described(t, entry))+
-		"\n## jujubed agent\n"+table(described(t, agent))+
-		"\n## jujubed gateway\n"+table(described(t, gateway)), "../../../../docs/METRICS.md")
+		"\n## jujubed entry\n"+table(metricsOf(t, entry))+
+		"\n## jujubed agent\n"+table(metricsOf(t, agent))+
+		"\n## jujubed gateway\n"+table(metricsOf(t, gateway)), "../../../../docs/METRICS.md")
 }
 
-// A counter is declared and counts, but no daemon registers it: it can't be
-// seen by anyone.
+// Guards against metrics that are declared and updated, but that no daemon
+// registers and exposes.
 func TestEveryDeclaredMetricIsRegistered(t *testing.T) {
 	entry, agent, gateway := registries(t)
 	var known []string
 	for _, registry := range []*prometheus.Registry{entry, agent, gateway} {
-		for _, m := range described(t, registry) {
+		for _, m := range metricsOf(t, registry) {
 			known = append(known, m.name)
 		}
 	}
--- a/internal/cli/daemon/reload.go
+++ b/internal/cli/daemon/reload.go
@@ -10,13 +10,13 @@
 	"github.com/jujubescale/jujubescale/internal/ops/logs"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// a signal.
-const lookEvery = clock.Second
+// pollInterval is the time between two checks of the settings file, which may
+// change without a signal.
+const pollInterval = clock.Second
 
-// watchSettings reads the settings again at SIGHUP and when their file changes,
-// until the context ends; the channel it returns closes then. Settings with
-// faults change nothing: the process goes on with those that it has.
+// watchSettings reloads the settings at SIGHUP and when their file changes. It
+// stops when the context ends, and then closes the channel that it returns.
+// Invalid settings are logged and ignored; the old ones stay in force.
 func (r *gatewayRun) watchSettings(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	hangup := make(chan os.Signal, 1)
@@ -24,34 +24,35 @@
 	go func() {
 		defer close(done)
 		defer signal.Stop(hangup)
-		seen := r.fileState()
+		loaded := r.fileContent()
 		for {
-			look, stopLook := r.Clock.After(lookEvery)
+			poll, stopPoll := r.Clock.After(pollInterval)
 			cause := "file"
 			select {
 			case <-ctx.Done():
-				stopLook()
+				stopPoll()
 				return
 			case <-hangup:
-				stopLook()
+				stopPoll()
 				cause = "signal"
-			case <-look:
-				if r.fileState() == seen {
+			case <-poll:
+				if r.fileContent() == loaded {
 					continue
 				}
 			}
-			seen = r.fileState()
+			loaded = r.fileContent()
 			r.reload(cause)
 		}
 	}()
 	return done
 }
 
-// fileState tells two contents of the settings file apart.
-func (r *gatewayRun) fileState() string {
+// fileContent returns the content of the settings file, or an empty string if it
+// can't be read.
+func (r *gatewayRun) fileContent() string {
 	raw, err := os.ReadFile(r.file)
 	if err != nil {
-		return "" // reported by the next reload
+		return "" // the next reload logs the error
 	}
 	return string(raw)
 }
@@ -59,10 +60,10 @@
 func (r *gatewayRun) reload(cause string) {
 	settings, err := r.readFunc()
 	if err != nil {
-		r.Log.Error("settings not usable, old ones stay", "cause", cause, logs.KeyError, err)
+		r.Log.Error("can't load the settings; the old ones stay in force", "cause", cause, logs.KeyError, err)
 		return
 	}
 	r.gateway.SetBounds(bounds(settings))
-	boundMemory(settings)
+	limitMemory(settings)
 	r.Log.Info("settings reloaded", "cause", cause, "extraShare", settings.ExtraShare, "coldShare", settings.ColdShare)
 }
--- a/internal/cli/daemon/root.go
+++ b/internal/cli/daemon/root.go
@@ -1,4 +1,5 @@
-// Package daemon is the command line of jujubed, the program of the hosts.
+// Package daemon holds the command line of jujubed, the program that runs the
+// entry, the agent and the gateway.
 package daemon
 
 import (
@@ -11,7 +12,7 @@
 func New() *cobra.Command {
 	root := exit.Group(&cobra.Command{
 		Use:   "jujubed",
-		Short: "Serves multi-stage model pipelines: the entry, the agent and the gateway",
+		Short: "Runs a daemon that serves multi-stage model pipelines: entry, agent or gateway",
 	})
 	root.AddCommand(newEntry(), newAgent(), newGateway())
 	return root
--- a/internal/cli/daemon/settings.go
+++ b/internal/cli/daemon/settings.go
@@ -18,8 +18,8 @@
 	configEnv  = layer.Prefix + "CONFIG"
 )
 
-// addFlags gives a command one flag for each setting, explained by the words
-// of the schema.
+// addFlags adds one flag for each setting to a command. The usage texts are the
+// descriptions in the schema.
 func addFlags(cmd *cobra.Command, schema []byte, fields []layer.Field) {
 	flags := cmd.Flags()
 	flags.String(configFlag, "", "JSON file with settings ($"+configEnv+")")
@@ -41,14 +41,15 @@
 	if cmd.Flags().Changed(configFlag) {
 		file, _ = cmd.Flags().GetString(configFlag) // the flag was defined as a string
 	}
-	return readSettingsOf(cmd, steps, file, "")
+	return readSettingsFile(cmd, steps, file, "")
 }
 
-// readSettingsOf is readSettings with a given file. One environment variable
-// may be named that is no setting.
-func readSettingsOf[T any](cmd *cobra.Command, steps []step.Step[T], file, foreign string) (*T, error) {
+// readSettingsFile loads the settings of a command from the named file, the
+// environment and flags. The environment variable ignored, if not empty, is not
+// read as a setting.
+func readSettingsFile[T any](cmd *cobra.Command, steps []step.Step[T], file, ignored string) (*T, error) {
 	env := slices.DeleteFunc(os.Environ(), func(entry string) bool {
-		return foreign != "" && strings.HasPrefix(entry, foreign+"=")
+		return ignored != "" && strings.HasPrefix(entry, ignored+"=")
 	})
 	sources := layer.Sources{Env: env, File: file}
 	flags := cmd.Flags()
--- a/internal/cli/daemon/tls_test.go
+++ b/internal/cli/daemon/tls_test.go
@@ -20,8 +20,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// files returns the flags that name the files of one kind of connections.
-func files(kind string, pair testca.Pair, ca string) []string {
+// tlsFlags returns the flags for the certificate files of one kind of connections.
+func tlsFlags(kind string, pair testca.Pair, ca string) []string {
 	args := []string{"--" + kind + "-tls-cert-file=" + pair.Cert, "--" + kind + "-tls-key-file=" + pair.Key}
 	if ca != "" {
 		args = append(args, "--"+kind+"-tls-ca-file="+ca)
@@ -36,15 +36,15 @@
 	return source
 }
 
-// newSecureSystem runs entry and agent with TLS on every port.
+// newSecureSystem runs an entry and an agent with TLS on every port.
 func newSecureSystem(t *testing.T, authority *testca.Authority) *system {
 	t.Helper()
 	ports := authority.Issue(t, "127.0.0.1")
-	operators := files("operators", ports, authority.File)
+	operators := tlsFlags("operators", ports, authority.File)
 	return newSystemWith(t,
-		append(files("processes", authority.Issue(t, certs.NameAgent), authority.File), operators...),
-		append(append(files("processes", authority.Issue(t, certs.NameEntry), authority.File), operators...),
-			files("callers", ports, "")...))
+		append(tlsFlags("processes", authority.Issue(t, certs.NameAgent), authority.File), operators...),
+		append(append(tlsFlags("processes", authority.Issue(t, certs.NameEntry), authority.File), operators...),
+			tlsFlags("callers", ports, "")...))
 }
 
 func get(t *testing.T, url string, config *tls.Config, bearer string) (int, error) {
@@ -60,17 +60,17 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// With TLS on every port a caller is served from end to end, and each of those
-// who lack something gets nothing: a caller without token, a caller who speaks
-// plain HTTP, a process or an operator with another role's certificate.
-func TestOnlyTheRightOnesAreServedOverTLS(t *testing.T) {
+// Guards against access without the right credentials. With TLS on every port a
+// caller with a token is served. A caller without a token or in plain HTTP, and a
+// process or an operator with the certificate of another role, are refused.
+func TestTLSRefusesWrongCredentials(t *testing.T) {
 	authority := testca.New(t)
 	s := newSecureSystem(t, authority)
 	caller := certificates(t, testca.Pair{}, authority.File).Client("127.0.0.1")
 	stock := strings.Replace(s.callers, "http:", "https:", 1) + "/v1/services/orders/call/stock/reel"
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if status, err := get(t, stock, caller, whole.SampleToken); status != http.StatusNotFound {
-			return poll.Continue("%d %v", status, err) // the service has no such reel once it is reached
+			return poll.Continue("%d %v", status, err) // the service answers 404 for this path; other codes mean that it is not reachable yet
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second))
@@ -109,9 +109,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			asked := fleet.New(client.New(s.url).Store(), fleet.WithTimeout(10*clock.Second),
+			daemons := fleet.New(client.New(s.url).Store(), fleet.WithTimeout(10*clock.Second),
 				fleet.WithTLS(certificates(t, c.pair, authority.File), ""))
-			answer := asked.Ask(t.Context(), []store.Host{host})[0]
+			answer := daemons.Ask(t.Context(), []store.Host{host})[0]
 			assert.Equal(t, answer.Cause == nil, c.served, "%v", answer.Cause)
 			assert.Equal(t, answer.Status.Process == "agent-1", c.served)
 		})
