--- a/internal/cli/proc/port.go
+++ b/internal/cli/proc/port.go
@@ -14,25 +14,26 @@
 	"github.com/jujubescale/jujubescale/internal/link/limit"
 )
 
-// PortOptions says how one port serves.
+// PortOptions are the settings of one port.
 type PortOptions struct {
-	// Name in messages.
+	// Name of the port in logs and errors.
 	Name string
 	// Address to listen on (IP:port).
 	Address string
 	Handler http.Handler
-	// TLS is nil for a plain port.
+	// TLS is nil for a port without TLS.
 	TLS *tls.Config
-	// MaxConnections and MaxHeaderBytes bound what callers can use up.
+	// MaxConnections bounds the number of open connections, and MaxHeaderBytes the
+	// headers of one request.
 	MaxConnections int
 	MaxHeaderBytes int
-	// HeaderTimeout is the time to send headers, IdleTimeout how long an idle
-	// connection stays.
+	// HeaderTimeout bounds the time to read the headers of a request. An idle
+	// connection is closed after IdleTimeout.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 	Log           *log.Logger
-	// Unanswered counts connections that end with a request that got no answer; nil
-	// counts none.
+	// Unanswered counts connections that end with a request that got no answer. It
+	// may be nil.
 	Unanswered prometheus.Counter
 }
 
@@ -43,7 +44,8 @@
 	actual net.Addr
 }
 
-// Open listens and serves until Close or Shutdown.
+// Open listens on the address and serves requests until Close or Shutdown. It
+// returns an error if it can't listen.
 func Open(ctx context.Context, options PortOptions) (*Port, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", options.Address)
@@ -61,12 +63,13 @@
 	return &Port{
 		name:   options.Name,
 		actual: listener.Addr(),
-		server: conns.Serve(server, limit.New(listener, options.MaxConnections), conns.WithUnanswered(unanswered(&options))),
+		server: conns.Serve(server, limit.New(listener, options.MaxConnections), conns.WithUnanswered(reportUnanswered(&options))),
 	}, nil
 }
 
-// unanswered returns what logs and counts connections that end without an answer.
-func unanswered(options *PortOptions) func(conns.Unanswered) {
+// reportUnanswered returns a function that logs and counts a connection that ended
+// without an answer.
+func reportUnanswered(options *PortOptions) func(conns.Unanswered) {
 	return func(ended conns.Unanswered) {
 		options.Log.Warn("connection ended unanswered", "port", options.Name, "caller", ended.Remote,
 			"bytes", ended.Bytes, "readMs", int64(ended.Age), "stopping", ended.Stopping)
@@ -76,15 +79,16 @@
 	}
 }
 
-// Address returns where the port listens.
+// Address returns the address on which the port listens.
 func (p *Port) Address() net.Addr { return p.actual }
 
-// Shutdown stops accepting and returns once each request that has arrived on an open
-// connection is answered, or with a conns.OpenError when the context ends.
+// Shutdown stops accepting connections and waits until each request that has arrived
+// on an open connection is answered. It returns a conns.OpenError if the context ends
+// before.
 func (p *Port) Shutdown(ctx context.Context) error { return p.server.Shutdown(ctx) }
 
-// Close ends the port with all its connections at once. A port that was never
-// opened is nil.
+// Close closes the port and all its connections at once. It does nothing on a nil
+// port, that is, one that was never opened.
 func (p *Port) Close() {
 	if p != nil {
 		p.server.Close()
--- a/internal/cli/proc/port_edge_test.go
+++ b/internal/cli/proc/port_edge_test.go
@@ -20,10 +20,11 @@
 	"github.com/jujubescale/jujubescale/internal/cli/proc"
 )
 
-// long returns a handler of which requests to /long report on running and end with
-// release, and whose context's end is sent to left.
-func long() (handler http.HandlerFunc, running, release, left chan struct{}) {
-	running, release, left = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
+// longHandler returns a handler that answers at once, but for the path /long: such a
+// request sends to running and is answered when release is closed. If its context
+// ends before, it sends to cancelled.
+func longHandler() (handler http.HandlerFunc, running, release, cancelled chan struct{}) {
+	running, release, cancelled = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Body != nil {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -33,18 +34,19 @@
 			select {
 			case <-release:
 			case <-r.Context().Done():
-				left <- struct{}{}
+				cancelled <- struct{}{}
 				return
 			}
 		}
 		w.WriteHeader(http.StatusOK)
-	}, running, release, left
+	}, running, release, cancelled
 }
 
 const longHead = "GET /long HTTP/1.1\r\nHost: a.example\r\n\r\n"
 
-// bounded shuts a port down within a time.
-func (s *served) bounded(t *testing.T, limit time.Duration) chan error {
+// shutdownWithin starts the shutdown of a port with a time limit and returns a
+// channel that receives its error.
+func (s *testPort) shutdownWithin(t *testing.T, limit time.Duration) chan error {
 	t.Helper()
 	stopped := make(chan error, 1)
 	go func() {
@@ -55,49 +57,50 @@
 	return stopped
 }
 
-// Guards against callers whose next request meets a closed connection because the
-// answer before, written during the stop, did not say that the connection ends.
-func TestAnswerWrittenDuringThePlannedStopSaysClose(t *testing.T) {
-	handler, running, release, _ := long()
+// Guards against callers that send their next request on a closed connection because
+// an answer written during the stop lacks "Connection: close".
+func TestAnswerDuringPlannedStopClosesTheConnection(t *testing.T) {
+	handler, running, release, _ := longHandler()
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, longHead)
 	<-running
-	stopped := s.bounded(t, 10*time.Second)
+	stopped := s.shutdownWithin(t, 10*time.Second)
 	awaitClosed(t, s)
 	close(release)
-	response, err := c.reply()
+	response, err := c.readResponse()
 	assert.NilError(t, err)
-	assert.Assert(t, response.Close, "the answer left the caller to believe that the connection stays")
+	assert.Assert(t, response.Close, "the answer lacks Connection: close")
 	assert.NilError(t, <-stopped)
 }
 
-// Guards against a running request whose caller is taken to have left: its bytes
-// came together with those of the request before.
+// Guards against a cancelled request: a request that arrives in the same bytes as the
+// one before it must not be mistaken for the end of the connection.
 func TestPipelinedRequestRunsOnDuringAPlannedStop(t *testing.T) {
-	handler, running, release, left := long()
+	handler, running, release, cancelled := longHandler()
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, head+tail+longHead)
-	_, err := c.reply()
+	_, err := c.readResponse()
 	assert.NilError(t, err)
 	<-running
-	stopped := s.bounded(t, 10*time.Second)
+	stopped := s.shutdownWithin(t, 10*time.Second)
 	awaitClosed(t, s)
 	select {
-	case <-left:
-		t.Fatal("the context of a running request ended although its caller is there")
+	case <-cancelled:
+		t.Fatal("the context of a running request ended although its caller is connected")
 	case <-time.After(300 * time.Millisecond):
 	}
 	close(release)
-	_, err = c.reply()
+	_, err = c.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, <-stopped)
 }
 
-// Guards against callers that keep a connection for ever: the time to send a head
-// ends, the reader looks once more, and leaves no deadline behind.
-func TestHeaderTimeoutEndsABegunPipelinedRequest(t *testing.T) {
+// Guards against callers that keep a connection forever with an incomplete pipelined
+// request: the read deadline of the header timeout must stay set when the reader
+// retries after it.
+func TestHeaderTimeoutClosesAnIncompletePipelinedRequest(t *testing.T) {
 	port, err := proc.Open(t.Context(), proc.PortOptions{
 		Name: "callers", Address: "127.0.0.1:0", MaxConnections: 64, MaxHeaderBytes: 4 << 10,
 		Handler:       http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }),
@@ -105,60 +108,60 @@
 	})
 	assert.NilError(t, err)
 	t.Cleanup(port.Close)
-	c := (&served{Port: port}).dial(t)
+	c := (&testPort{Port: port}).dial(t)
 	c.write(t, head+tail+head)
-	_, err = c.reply()
+	_, err = c.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, c.SetDeadline(time.Now().Add(5*time.Second)))
 	_, err = c.replies.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "still open 25 times its header timeout later")
 }
 
-// The same during a planned stop: the connection that gives up waits on.
-func TestBegunPipelinedRequestDoesNotHoldUpAStop(t *testing.T) {
-	handler, running, release, _ := long()
+// Guards against stops that wait for the rest of an incomplete pipelined request.
+func TestIncompletePipelinedRequestDoesNotHoldUpAStop(t *testing.T) {
+	handler, running, release, _ := longHandler()
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, longHead+head)
 	<-running
-	time.Sleep(300 * time.Millisecond) // older than new connections may wait
-	stopped := s.bounded(t, 4*time.Second)
+	time.Sleep(300 * time.Millisecond) // longer than a stop waits for the first request of a new connection
+	stopped := s.shutdownWithin(t, 4*time.Second)
 	awaitClosed(t, s)
 	close(release)
-	_, err := c.reply()
+	_, err := c.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, <-stopped)
 }
 
-// Guards against stops held up by a caller that has sent no request: the blank line
-// that some send behind a body, and that http.Server tolerates.
+// Guards against stops that take a blank line for the begin of a request. Some callers
+// send one after a body, and http.Server ignores it.
 func TestBlankLineBehindABodyDoesNotHoldUpAStop(t *testing.T) {
-	handler, _, _, _ := long()
+	handler, _, _, _ := longHandler()
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, "POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 2\r\n\r\nab")
-	_, err := c.reply()
+	_, err := c.readResponse()
 	assert.NilError(t, err)
 	c.write(t, "\r\n")
 	time.Sleep(50 * time.Millisecond)
-	assert.NilError(t, <-s.bounded(t, 3*time.Second))
+	assert.NilError(t, <-s.shutdownWithin(t, 3*time.Second))
 }
 
-// One byte of a head, never followed by another.
+// Guards against stops that wait for the rest of a request of which one byte arrived.
 func TestOneByteDoesNotHoldUpAStop(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		handler, _, _, _ := long()
+		handler, _, _, _ := longHandler()
 		s := open(t, handler)
 		c := s.dial(t)
 		if kept {
 			c.write(t, head+tail)
-			_, err := c.reply()
+			_, err := c.readResponse()
 			assert.NilError(t, err)
 		}
 		c.write(t, "G")
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
-		err := <-s.bounded(t, 8*time.Second)
+		err := <-s.shutdownWithin(t, 8*time.Second)
 		t.Logf("kept=%v: %v after %v", kept, err, time.Since(began).Round(10*time.Millisecond))
 		if err != nil {
 			t.Fail()
@@ -166,26 +169,28 @@
 	}
 }
 
-func openTLS(t *testing.T, handler http.HandlerFunc) (*served, *tls.Config) {
+// openTLS opens a port with the certificate of an httptest.Server and returns it with
+// the TLS configuration of a client.
+func openTLS(t *testing.T, handler http.HandlerFunc) (*testPort, *tls.Config) {
 	t.Helper()
-	borrowed := httptest.NewUnstartedServer(nil)
-	borrowed.EnableHTTP2 = true
-	borrowed.StartTLS()
-	t.Cleanup(borrowed.Close)
+	certified := httptest.NewUnstartedServer(nil)
+	certified.EnableHTTP2 = true
+	certified.StartTLS()
+	t.Cleanup(certified.Close)
 	unanswered := prometheus.NewCounter(prometheus.CounterOpts{Name: "unanswered"})
 	port, err := proc.Open(t.Context(), proc.PortOptions{
 		Name: "callers", Address: "127.0.0.1:0", Handler: handler, MaxConnections: 64, MaxHeaderBytes: 4 << 10,
-		TLS:           &tls.Config{Certificates: borrowed.TLS.Certificates, MinVersion: tls.VersionTLS12},
+		TLS:           &tls.Config{Certificates: certified.TLS.Certificates, MinVersion: tls.VersionTLS12},
 		HeaderTimeout: time.Minute, IdleTimeout: time.Minute, Log: log.New(io.Discard), Unanswered: unanswered,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(port.Close)
-	client := borrowed.Client().Transport.(*http.Transport).TLSClientConfig.Clone()
+	client := certified.Client().Transport.(*http.Transport).TLSClientConfig.Clone()
 	client.ServerName = "example.com"
-	return &served{Port: port, unanswered: unanswered}, client
+	return &testPort{Port: port, unanswered: unanswered}, client
 }
 
-func (s *served) dialTLS(t *testing.T, config *tls.Config, protos ...string) *tls.Conn {
+func (s *testPort) dialTLS(t *testing.T, config *tls.Config, protos ...string) *tls.Conn {
 	t.Helper()
 	config = config.Clone()
 	config.NextProtos = protos
@@ -196,19 +201,19 @@
 	return c
 }
 
-// Guards against stops held up by callers that open a connection ahead of need: over
-// TLS the handshake is the first that is read.
+// Guards against stops that wait for TLS connections without a request, which callers
+// open in advance: the bytes of the handshake must not count as a request.
 func TestUnusedTLSConnectionDoesNotHoldUpAStop(t *testing.T) {
 	s, config := openTLS(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	s.dialTLS(t, config)
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
-	err := <-s.bounded(t, 8*time.Second)
+	err := <-s.shutdownWithin(t, 8*time.Second)
 	t.Logf("%v after %v, unanswered counted: %v", err, time.Since(began), testutil.ToFloat64(s.unanswered))
 	assert.NilError(t, err)
 }
 
-// A kept TLS connection of HTTP/1.
+// Guards against stops that wait for idle TLS connections of HTTP/1.
 func TestKeptTLSConnectionDoesNotHoldUpAStop(t *testing.T) {
 	s, config := openTLS(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	c := s.dialTLS(t, config)
@@ -217,12 +222,12 @@
 	_, err = http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
 	began := time.Now()
-	assert.NilError(t, <-s.bounded(t, 8*time.Second))
+	assert.NilError(t, <-s.shutdownWithin(t, 8*time.Second))
 	t.Logf("after %v", time.Since(began))
 }
 
 func TestHTTP2RequestRunsOnDuringAPlannedStop(t *testing.T) {
-	handler, running, release, _ := long()
+	handler, running, release, _ := longHandler()
 	s, config := openTLS(t, handler)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config, ForceAttemptHTTP2: true}}
 	failed := make(chan error, 1)
@@ -235,7 +240,7 @@
 		failed <- err
 	}()
 	<-running
-	stopped := s.bounded(t, 10*time.Second)
+	stopped := s.shutdownWithin(t, 10*time.Second)
 	awaitClosed(t, s)
 	time.Sleep(200 * time.Millisecond)
 	close(release)
@@ -244,20 +249,20 @@
 }
 
 func TestIdleHTTP2DoesNotHoldUpAStop(t *testing.T) {
-	handler, _, _, _ := long()
+	handler, _, _, _ := longHandler()
 	s, config := openTLS(t, handler)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config, ForceAttemptHTTP2: true}}
 	response, err := client.Get("https://" + s.Address().String() + "/")
 	assert.NilError(t, err)
 	_ = response.Body.Close()
 	began := time.Now()
-	assert.NilError(t, <-s.bounded(t, 8*time.Second))
+	assert.NilError(t, <-s.shutdownWithin(t, 8*time.Second))
 	t.Logf("after %v", time.Since(began))
 }
 
 func TestBodyAndContinueDuringAPlannedStop(t *testing.T) {
 	for _, expect := range []string{"", "Expect: 100-continue\r\n"} {
-		handler, _, _, _ := long()
+		handler, _, _, _ := longHandler()
 		s := open(t, handler)
 		c := s.dial(t)
 		c.write(t, "POST / HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\n"+expect+"\r\n")
@@ -265,7 +270,7 @@
 			c.write(t, "ab")
 		}
 		time.Sleep(50 * time.Millisecond)
-		stopped := s.bounded(t, 10*time.Second)
+		stopped := s.shutdownWithin(t, 10*time.Second)
 		awaitClosed(t, s)
 		time.Sleep(300 * time.Millisecond)
 		if expect == "" {
@@ -277,49 +282,51 @@
 			_, _ = c.replies.ReadString('\n')
 			c.write(t, "abcd")
 		}
-		response, err := c.reply()
+		response, err := c.readResponse()
 		assert.NilError(t, err)
 		assert.Equal(t, response.StatusCode, 200)
 		assert.NilError(t, <-stopped)
 	}
 }
 
-// A caller that sends its request and its end at once, just before the stop.
+// Guards against requests that get no answer because the caller closes its side of the
+// connection right after them, during the stop.
 func TestHalfClosedCallerIsAnswered(t *testing.T) {
-	handler, _, _, _ := long()
+	handler, _, _, _ := longHandler()
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, head)
 	time.Sleep(20 * time.Millisecond)
-	stopped := s.bounded(t, 10*time.Second)
+	stopped := s.shutdownWithin(t, 10*time.Second)
 	awaitClosed(t, s)
 	c.write(t, tail)
 	assert.NilError(t, c.Conn.(*net.TCPConn).CloseWrite())
-	_, err := c.reply()
+	_, err := c.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, <-stopped)
 }
 
-// A caller behind the bound on connections, whose request lies in the kernel's queue.
-func TestCallerBehindTheBoundIsAnswered(t *testing.T) {
-	handler, running, release, _ := long()
+// Guards against requests that get no answer because their connection waits in the
+// kernel's accept queue: the port already has the maximum number of connections.
+func TestCallerInTheAcceptQueueIsAnswered(t *testing.T) {
+	handler, running, release, _ := longHandler()
 	port, err := proc.Open(t.Context(), proc.PortOptions{
 		Name: "callers", Address: "127.0.0.1:0", Handler: handler, MaxConnections: 1, MaxHeaderBytes: 4 << 10,
 		HeaderTimeout: time.Minute, IdleTimeout: time.Minute, Log: log.New(io.Discard),
 	})
 	assert.NilError(t, err)
 	t.Cleanup(port.Close)
-	s := &served{Port: port}
+	s := &testPort{Port: port}
 	first, second := s.dial(t), s.dial(t)
 	first.write(t, longHead)
 	<-running
 	second.write(t, head+tail)
-	stopped := s.bounded(t, 10*time.Second)
+	stopped := s.shutdownWithin(t, 10*time.Second)
 	time.Sleep(300 * time.Millisecond)
 	close(release)
-	_, err = first.reply()
+	_, err = first.readResponse()
 	assert.NilError(t, err)
-	_, err = second.reply()
+	_, err = second.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, <-stopped)
 }
@@ -334,20 +341,20 @@
 	c := s.dial(t)
 	c.write(t, head+tail)
 	hijacked := <-taken
-	assert.NilError(t, <-s.bounded(t, 5*time.Second))
+	assert.NilError(t, <-s.shutdownWithin(t, 5*time.Second))
 	go func() { time.Sleep(300 * time.Millisecond); _, _ = io.WriteString(c, "x") }()
 	_, err := hijacked.Read(make([]byte, 1))
 	assert.NilError(t, err)
 }
 
 func TestSecondShutdownAndClose(t *testing.T) {
-	handler, running, release, _ := long()
+	handler, running, release, _ := longHandler()
 	defer close(release)
 	s := open(t, handler)
 	c := s.dial(t)
 	c.write(t, longHead)
 	<-running
-	one, two := s.bounded(t, 10*time.Second), s.bounded(t, 10*time.Second)
+	one, two := s.shutdownWithin(t, 10*time.Second), s.shutdownWithin(t, 10*time.Second)
 	time.Sleep(30 * time.Millisecond)
 	s.Close()
 	for _, stopped := range []chan error{one, two} {
@@ -355,14 +362,14 @@
 		case err := <-stopped:
 			t.Logf("ended: %v", err)
 		case <-time.After(3 * time.Second):
-			t.Fatal("Shutdown goes on after Close")
+			t.Fatal("Shutdown has not returned after Close")
 		}
 	}
 }
 
-func TestShutdownOfAPortThatIsClosed(t *testing.T) {
-	handler, _, _, _ := long()
+func TestShutdownOfAClosedPort(t *testing.T) {
+	handler, _, _, _ := longHandler()
 	s := open(t, handler)
 	s.Close()
-	assert.NilError(t, <-s.bounded(t, 3*time.Second))
+	assert.NilError(t, <-s.shutdownWithin(t, 3*time.Second))
 }
--- a/internal/cli/proc/port_starved_test.go
+++ b/internal/cli/proc/port_starved_test.go
@@ -21,11 +21,11 @@
 
 const childVariable = "JUJUBESCALE_TEST_PORT"
 
-// TestStarvedChild is the process of TestRequestsOfAStarvedProcessAreAnswered: it prints
-// its address, shuts its port down when it reads a line, and ends.
+// TestStarvedChild runs in the child process of TestRequestsOfAStarvedProcessAreAnswered:
+// it prints its address, shuts its port down when it reads a line, and ends.
 func TestStarvedChild(t *testing.T) {
 	if os.Getenv(childVariable) == "" {
-		return // it runs in a process of its own only
+		return // it is not a test on its own
 	}
 	port, err := proc.Open(t.Context(), proc.PortOptions{
 		Name: "callers", Address: "127.0.0.1:0", MaxConnections: 512, MaxHeaderBytes: 4 << 10,
@@ -81,16 +81,17 @@
 	return &caller{Conn: conn, replies: bufio.NewReader(conn)}
 }
 
-const each = 40
+// callersOfEachKind is the number of new and of kept connections.
+const callersOfEachKind = 40
 
 func (c *child) callers(t *testing.T, kept bool) []*caller {
 	t.Helper()
 	var all []*caller
-	for range each {
+	for range callersOfEachKind {
 		one := c.dial(t)
 		if kept {
 			one.write(t, head+tail)
-			_, err := one.reply()
+			_, err := one.readResponse()
 			assert.NilError(t, err)
 		}
 		all = append(all, one)
@@ -98,12 +99,12 @@
 	return all
 }
 
-// Guards against requests that get no answer because they arrive while the process has
-// no processor time, just before its port closes.
+// Guards against requests that get no answer because they arrive while the process gets
+// no processor time (SIGSTOP), just before its port closes.
 func TestRequestsOfAStarvedProcessAreAnswered(t *testing.T) {
 	c := startChild(t)
 	kept := c.callers(t, true)
-	time.Sleep(300 * time.Millisecond) // older than new connections may wait
+	time.Sleep(300 * time.Millisecond) // longer than a stop waits for the first request of a new connection
 	assert.NilError(t, syscall.Kill(c.pid, syscall.SIGSTOP))
 	fresh := c.callers(t, false)
 	for _, one := range append(kept, fresh...) {
@@ -113,17 +114,17 @@
 	assert.NilError(t, err)
 	time.Sleep(250 * time.Millisecond)
 	assert.NilError(t, syscall.Kill(c.pid, syscall.SIGCONT))
-	answeredAll(t, "kept", kept)
-	answeredAll(t, "new", fresh)
+	assertAllAnswered(t, "kept", kept)
+	assertAllAnswered(t, "new", fresh)
 	c.line(t, "stopped <nil>")
 }
 
-func answeredAll(t *testing.T, kind string, callers []*caller) {
+func assertAllAnswered(t *testing.T, kind string, callers []*caller) {
 	t.Helper()
 	answered := 0
 	var failed error
 	for _, one := range callers {
-		if _, err := one.reply(); err != nil {
+		if _, err := one.readResponse(); err != nil {
 			failed = err
 			continue
 		}
--- a/internal/cli/proc/port_test.go
+++ b/internal/cli/proc/port_test.go
@@ -21,13 +21,14 @@
 	"github.com/jujubescale/jujubescale/internal/cli/proc"
 )
 
-// served is an open port, and how many of its connections ended unanswered.
-type served struct {
+// testPort is an open port with the number of its connections that ended
+// unanswered.
+type testPort struct {
 	*proc.Port
 	unanswered prometheus.Counter
 }
 
-func open(t *testing.T, handler http.HandlerFunc) *served {
+func open(t *testing.T, handler http.HandlerFunc) *testPort {
 	t.Helper()
 	unanswered := prometheus.NewCounter(prometheus.CounterOpts{Name: "unanswered"})
 	port, err := proc.Open(t.Context(), proc.PortOptions{
@@ -36,16 +37,16 @@
 	})
 	assert.NilError(t, err)
 	t.Cleanup(port.Close)
-	return &served{Port: port, unanswered: unanswered}
+	return &testPort{Port: port, unanswered: unanswered}
 }
 
-// caller is a connection whose bytes the test writes by itself.
+// caller is a connection to which the test writes raw bytes.
 type caller struct {
 	net.Conn
 	replies *bufio.Reader
 }
 
-func (s *served) dial(t *testing.T) *caller {
+func (s *testPort) dial(t *testing.T) *caller {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address().String())
 	assert.NilError(t, err)
@@ -60,8 +61,8 @@
 	assert.NilError(t, err)
 }
 
-// reply reads the next answer.
-func (c *caller) reply() (*http.Response, error) {
+// readResponse reads the next response with its body.
+func (c *caller) readResponse() (*http.Response, error) {
 	response, err := http.ReadResponse(c.replies, nil)
 	if err != nil {
 		return nil, err
@@ -75,14 +76,14 @@
 	tail = "X-Last: 1\r\n\r\n"
 )
 
-// Guards against callers that get neither an answer nor a refusal because their
-// request is read after a planned stop has closed the port.
+// Guards against requests that get no answer because the process reads them after a
+// planned stop has closed the port.
 func TestRequestReadDuringAPlannedStopIsAnswered(t *testing.T) {
 	cases := map[string]func(t *testing.T, c *caller){
 		"new connection": func(*testing.T, *caller) {},
 		"kept connection": func(t *testing.T, c *caller) {
 			c.write(t, head+tail)
-			_, err := c.reply()
+			_, err := c.readResponse()
 			assert.NilError(t, err)
 		},
 	}
@@ -96,21 +97,21 @@
 				}
 				w.WriteHeader(http.StatusOK)
 			})
-			other, crossing := s.dial(t), s.dial(t)
+			other, late := s.dial(t), s.dial(t)
 			other.write(t, "GET /long HTTP/1.1\r\nHost: a.example\r\n\r\n")
 			<-running
-			before(t, crossing)
-			crossing.write(t, head)
+			before(t, late)
+			late.write(t, head)
 			stopped := make(chan error, 1)
 			go func() { stopped <- s.Shutdown(t.Context()) }()
 			awaitClosed(t, s)
-			crossing.write(t, tail)
-			response, err := crossing.reply()
+			late.write(t, tail)
+			response, err := late.readResponse()
 			assert.NilError(t, err)
 			assert.Equal(t, response.StatusCode, http.StatusOK)
-			assert.Assert(t, response.Close, "the caller is to open another connection")
+			assert.Assert(t, response.Close, "the answer doesn't close the connection")
 			close(release)
-			_, err = other.reply()
+			_, err = other.readResponse()
 			assert.NilError(t, err)
 			assert.NilError(t, <-stopped)
 			assert.Equal(t, testutil.ToFloat64(s.unanswered), 0.0)
@@ -118,8 +119,8 @@
 	}
 }
 
-// awaitClosed returns once the port takes no connections.
-func awaitClosed(t *testing.T, s *served) {
+// awaitClosed returns when the port accepts no more connections.
+func awaitClosed(t *testing.T, s *testPort) {
 	t.Helper()
 	for {
 		c, err := net.DialTimeout("tcp", s.Address().String(), time.Second)
@@ -132,23 +133,22 @@
 	}
 }
 
-// Guards against stops that wait for callers that keep a connection open and
-// send nothing.
+// Guards against stops that wait for connections on which callers send no request.
 func TestPlannedStopEndsUnusedConnections(t *testing.T) {
 	s := open(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	kept, silent := s.dial(t), s.dial(t)
+	kept, unused := s.dial(t), s.dial(t)
 	kept.write(t, head+tail)
-	_, err := kept.reply()
+	_, err := kept.readResponse()
 	assert.NilError(t, err)
 	assert.NilError(t, s.Shutdown(t.Context()))
-	for _, c := range []*caller{kept, silent} {
+	for _, c := range []*caller{kept, unused} {
 		_, err := c.replies.ReadByte()
 		assert.Assert(t, err != nil)
 	}
 	assert.Equal(t, testutil.ToFloat64(s.unanswered), 0.0)
 }
 
-// Guards against stops that never end because a request runs on.
+// Guards against stops that never end because a request doesn't end.
 func TestPlannedStopEndsWithItsContext(t *testing.T) {
 	running, release := make(chan struct{}), make(chan struct{})
 	s := open(t, func(http.ResponseWriter, *http.Request) { close(running); <-release })
@@ -161,7 +161,8 @@
 	assert.Assert(t, s.Shutdown(ctx) != nil)
 }
 
-// Guards against callers that lose their requests however these cross a planned stop.
+// Guards against requests that run but get no answer because they arrive at some
+// point of a planned stop.
 func TestEachRequestThatRunsDuringAPlannedStopIsAnswered(t *testing.T) {
 	const callers = 100
 	var ran, answered atomic.Int64
@@ -173,8 +174,8 @@
 	var group sync.WaitGroup
 	for range callers {
 		group.Go(func() {
-			for answered.Add(s.talk()); !s.closed(); {
-				answered.Add(s.talk())
+			for answered.Add(s.sendUntilClosed()); !s.closed(); {
+				answered.Add(s.sendUntilClosed())
 			}
 		})
 	}
@@ -185,9 +186,9 @@
 	assert.Equal(t, testutil.ToFloat64(s.unanswered), 0.0)
 }
 
-// talk sends one request after the other on a connection of its own until that
-// ends, and returns how many were answered.
-func (s *served) talk() (answered int64) {
+// sendUntilClosed sends requests one after another on a new connection until it is
+// closed, and returns the number of answers.
+func (s *testPort) sendUntilClosed() (answered int64) {
 	connection, err := net.Dial("tcp", s.Address().String())
 	if err != nil {
 		return 0
@@ -198,7 +199,7 @@
 		if _, err := io.WriteString(c, head+tail); err != nil {
 			return answered
 		}
-		response, err := c.reply()
+		response, err := c.readResponse()
 		if err != nil {
 			return answered
 		}
@@ -210,8 +211,8 @@
 	}
 }
 
-// closed reports whether the port takes no more connections.
-func (s *served) closed() bool {
+// closed reports whether the port accepts no more connections.
+func (s *testPort) closed() bool {
 	c, err := net.Dial("tcp", s.Address().String())
 	if err != nil {
 		return true
--- a/internal/cli/proc/process.go
+++ b/internal/cli/proc/process.go
@@ -1,5 +1,5 @@
-// Package proc holds what the daemons have in common as processes: the steps of
-// their start, their ports, and the planned stop.
+// Package proc holds the code that the daemons share: the steps of the start, the
+// ports, and the planned stop.
 package proc
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Bounds of ports that only operators and processes reach.
+// Limits of the ports for operators and for other processes.
 const (
 	operatorsConnections = 256
 	smallIdle            = 2 * time.Minute
@@ -32,20 +32,21 @@
 	headerTimeout        = 5 * time.Second
 )
 
-// Process is what both daemons are made of. Its start is a list of tasks; each
-// method is one of them.
+// Process holds the state that all daemons have. Its exported methods are steps of
+// the start (see Task), in this order: StartLog, StartMetrics, ReadCertificates,
+// CreatePlatformClient, OpenOperators.
 type Process struct {
-	// Role is entry or agent.
+	// Role is entry, agent or gateway.
 	Role     string
 	Settings *config.Process
 	Clock    *clock.Clock
 	Registry *prometheus.Registry
 	Holder   *spread.Holder
-	// Unanswered counts connections that ended with a request that got no answer, by
-	// port.
+	// Unanswered counts, by port, connections that ended with a request that got no
+	// answer.
 	Unanswered *prometheus.CounterVec
-	// Log is set by StartLog, Platform by ReachPlatform, ProcessesTLS by
-	// ReadCertificates (nil without files), Operators by OpenOperators.
+	// Log is set by StartLog, Platform by CreatePlatformClient, ProcessesTLS by
+	// ReadCertificates (nil if no files are configured), Operators by OpenOperators.
 	Log          *log.Logger
 	Platform     *call.Caller
 	ProcessesTLS *certs.Source
@@ -56,7 +57,7 @@
 	platformTLS  *certs.Source
 }
 
-// New returns a process that has started nothing yet; it logs to out.
+// New returns a process that has not started anything. It logs to out.
 func New(role string, settings *config.Process, out io.Writer) *Process {
 	return &Process{
 		Role: role, Settings: settings, Clock: clock.New(), out: out,
@@ -68,7 +69,7 @@
 	}
 }
 
-// StartLog builds the logger.
+// StartLog creates the logger. It returns an error for an unknown log level.
 func (p *Process) StartLog(context.Context) error {
 	var err error
 	p.Log, err = logs.New(p.out, p.Settings.LogLevel,
@@ -76,13 +77,15 @@
 	return err
 }
 
-// StartMetrics registers the metrics of runtime and process.
+// StartMetrics registers the metrics of the Go runtime, of the operating system's
+// process and of unanswered connections.
 func (p *Process) StartMetrics(context.Context) error {
 	p.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), p.Unanswered)
 	return nil
 }
 
-// ReadCertificates reads the files that both daemons have.
+// ReadCertificates reads the certificate files for operators, processes and the
+// platform.
 func (p *Process) ReadCertificates(context.Context) error {
 	var err error
 	if p.operatorsTLS, err = p.Source(p.Settings.OperatorsTLS); err != nil {
@@ -95,25 +98,26 @@
 	return err
 }
 
-// Source reads the files of one kind of connections; nil when none are set.
+// Source returns the certificates for one kind of connections, or nil if no files
+// are configured.
 func (p *Process) Source(files config.TLS) (*certs.Source, error) {
 	if !files.Set() {
 		return nil, nil
 	}
-	failed := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
-	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithFailed(failed))
+	logFailure := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
+	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithFailed(logFailure))
 }
 
-// CreatePlatformClient builds the caller of the platform; it calls nobody yet.
+// CreatePlatformClient creates the client of the platform. It sends no call.
 func (p *Process) CreatePlatformClient(context.Context) error {
-	plain := client.New(p.Settings.PlatformURL, client.WithHTTP(httpClient(p.Settings.PlatformURL, p.platformTLS)))
-	p.Platform = call.New(plain.Store(), call.WithClock(p.Clock), call.WithRegisterer(p.Registry),
+	platform := client.New(p.Settings.PlatformURL, client.WithHTTP(httpClient(p.Settings.PlatformURL, p.platformTLS)))
+	p.Platform = call.New(platform.Store(), call.WithClock(p.Clock), call.WithRegisterer(p.Registry),
 		call.WithRate(float64(p.Settings.PlatformCalls), float64(2*p.Settings.PlatformCalls)))
 	return nil
 }
 
-// httpClient returns a client of one server. With a source of certificates it
-// shows and checks those.
+// httpClient returns a client for the server at the URL base. If source is not nil,
+// it presents the certificate of source and verifies that of the server.
 func httpClient(base string, source *certs.Source) *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: smallIdle}
 	if parsed, err := url.Parse(base); err == nil && source != nil {
@@ -122,7 +126,8 @@
 	return &http.Client{Transport: transport}
 }
 
-// OpenOperators opens the operators' port.
+// OpenOperators opens the operators' port, which serves status, look-up of requests
+// and metrics.
 func (p *Process) OpenOperators(ctx context.Context, options ...admin.Option) error {
 	options = append(options, admin.WithGatherer(p.Registry), admin.WithTokenHashes(p.Settings.OperatorTokenHashes))
 	var err error
@@ -134,16 +139,18 @@
 	return err
 }
 
-// OpenSessions opens a port where entries open sessions.
-func (p *Process) OpenSessions(ctx context.Context, address string, handler http.Handler, most int) (*Port, error) {
+// OpenSessions opens a port for the sessions of entries, with at most maxConnections
+// connections.
+func (p *Process) OpenSessions(ctx context.Context, address string, handler http.Handler, maxConnections int) (*Port, error) {
 	return Open(ctx, PortOptions{
 		Name: "sessions", Address: address, Handler: handler,
-		TLS: ServerTLS(p.ProcessesTLS, certs.NameEntry), MaxConnections: most,
+		TLS: ServerTLS(p.ProcessesTLS, certs.NameEntry), MaxConnections: maxConnections,
 		MaxHeaderBytes: smallHeader, HeaderTimeout: headerTimeout, IdleTimeout: smallIdle, Log: p.Log,
 	})
 }
 
-// ServerTLS returns the configuration of a port; nil without certificates.
+// ServerTLS returns the TLS configuration of a port, which accepts clients with one
+// of the names in their certificate. It returns nil if source is nil.
 func ServerTLS(source *certs.Source, names ...string) *tls.Config {
 	if source == nil {
 		return nil
--- a/internal/cli/proc/stop.go
+++ b/internal/cli/proc/stop.go
@@ -8,19 +8,19 @@
 	"github.com/jujubescale/jujubescale/internal/cli/exit"
 )
 
-// Stopper is a planned stop. The first signal begins it; it ends when nothing
-// is open any more, at the time limit, or at the second signal.
+// Stopper runs a planned stop. The first signal starts it. It ends when no work is
+// open any more, at the time limit, or at the second signal.
 type Stopper struct {
 	Process *Process
-	// StopFunc tells all others that this process leaves, lets open work end
-	// and, when the context is over first, returns a line for each piece of work
-	// that it cut.
+	// StopFunc announces to other processes that this one leaves and waits until
+	// open work ends. If the context ends before, it returns one line for each piece
+	// of work that it cut.
 	StopFunc func(ctx context.Context) []string
-	// Ports that serve until the end.
+	// Ports are the ports whose failure ends the process.
 	Ports []*Port
 }
 
-// CutError says that a stop ended while work was open.
+// CutError is the error of a stop that ended while work was open.
 type CutError struct {
 	Reason string
 	Cut    []string
@@ -31,31 +31,31 @@
 	return fmt.Sprintf("%s: %d requests were cut", e.Reason, len(e.Cut))
 }
 
-// Causes of a stop that does not wait any longer.
+// Causes of the end of a stop that cut work.
 var (
 	errSecondSignal = errors.New("second signal")
 	errTimeLimit    = errors.New("time limit of the planned stop")
 )
 
-// Run blocks until the context ends, then stops in order. The command's
-// context is over by then, so the stop has its own.
+// Run blocks until the context ends, then runs the planned stop with a context of
+// its own, because the command's context has ended. It returns the error of a port
+// that failed, or a CutError if the stop cut work.
 func (s *Stopper) Run(ctx context.Context) error {
 	if err := s.wait(ctx); err != nil {
 		return err
 	}
 	s.Process.Log.Info("leaving", "limitMs", int64(s.Process.Settings.DrainMs))
-	bounded, release := s.bound(exit.ForceStop(ctx))
+	stopping, release := s.stopContext(exit.ForceStop(ctx))
 	defer release()
-	cut := s.StopFunc(bounded)
+	cut := s.StopFunc(stopping)
 	if len(cut) == 0 {
 		s.Process.Log.Info("stopped", "cut", 0)
 		return nil
 	}
-	return s.cut(context.Cause(bounded), cut)
+	return s.reportCut(context.Cause(stopping), cut)
 }
 
-// wait returns nil once the process shall stop, or the error of a port that
-// ended by itself.
+// wait returns nil when the context ends, or the error of the first port that fails.
 func (s *Stopper) wait(ctx context.Context) error {
 	failed := make(chan error, len(s.Ports))
 	for _, p := range s.Ports {
@@ -73,9 +73,9 @@
 	}
 }
 
-// bound returns the context of the stop: it ends at the time limit or at the
-// second signal.
-func (s *Stopper) bound(hurry <-chan struct{}) (context.Context, func()) {
+// stopContext returns a context that ends at the time limit of the stop or when
+// forceStop is closed, and a function that releases its resources.
+func (s *Stopper) stopContext(forceStop <-chan struct{}) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	limit, stopLimit := s.Process.Clock.After(s.Process.Settings.DrainMs)
 	done := make(chan struct{})
@@ -84,7 +84,7 @@
 		select {
 		case <-limit:
 			cancel(errTimeLimit)
-		case <-hurry:
+		case <-forceStop:
 			cancel(errSecondSignal)
 		case <-ctx.Done():
 		}
@@ -96,8 +96,9 @@
 	}
 }
 
-// cut says what was cut; an operator must be able to tell the callers.
-func (s *Stopper) cut(cause error, lines []string) error {
+// reportCut logs each request that was cut, so that an operator can inform the
+// callers, and returns the error of the stop.
+func (s *Stopper) reportCut(cause error, lines []string) error {
 	for _, line := range lines {
 		s.Process.Log.Warn("request cut", "reason", cause, "what", line)
 	}
--- a/internal/cli/proc/task.go
+++ b/internal/cli/proc/task.go
@@ -6,14 +6,14 @@
 	"github.com/samber/oops"
 )
 
-// Task is one step of a daemon's start. Steps run in order; the first that
-// fails ends the start.
+// Task is one step of a daemon's start.
 type Task struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// RunTasks runs the steps and says in the error which one failed.
+// RunTasks runs the steps in order. It stops at the first that fails and returns its
+// error with the name of the step.
 func RunTasks(ctx context.Context, role string, tasks []Task) error {
 	for _, t := range tasks {
 		if err := t.Run(ctx); err != nil {
