--- a/internal/cli/proc/port.go
+++ b/internal/cli/proc/port.go
@@ -82,9 +82,8 @@
 // Address returns the address on which the port listens.
 func (p *Port) Address() net.Addr { return p.actual }
 
-// Shutdown stops accepting connections and waits until each request that has arrived
-// on an open connection is answered. It returns a conns.OpenError if the context ends
-// before.
+// Shutdown stops accepting and returns once each request that has arrived on an open
+// connection is answered, or with a conns.OpenError when the context ends.
 func (p *Port) Shutdown(ctx context.Context) error { return p.server.Shutdown(ctx) }
 
 // Close closes the port and all its connections at once. It does nothing on a nil
--- a/internal/cli/zones/endpoint.go
+++ b/internal/cli/zones/endpoint.go
@@ -23,14 +23,14 @@
 	var options endpointOptions
 	cmd := &cobra.Command{
 		Use:   "leave POOL ENDPOINT",
-		Short: "Takes one endpoint out: no new work goes there",
+		Short: "Takes one endpoint out of service: it gets no new work",
 		Args:  exit.Args(cobra.ExactArgs(endpointArguments)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			options.pool, options.endpoint = args[0], args[1]
 			return runEndpointLeave(cmd, shared, options)
 		},
 	}
-	cmd.Flags().BoolVar(&options.force, "force", false, "take it out even if what remains does not bear the load")
+	cmd.Flags().BoolVar(&options.force, "force", false, "take it out even if the remaining endpoints can't bear the load")
 	options.addFlags(cmd)
 	return cmd
 }
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	pools, err := weigh(cmd, client, config, func(e *room.Endpoint) bool {
+	pools, err := poolsAfter(cmd, client, config, func(e *room.Endpoint) bool {
 		return e.Pool == options.pool && e.Endpoint == options.endpoint
 	})
 	if err != nil && !options.force {
 		return err
 	}
-	if err := allow(cmd, pools, options.force); err != nil {
+	if err := checkCapacity(cmd, pools, options.force); err != nil {
 		return err
 	}
 	result, err := client.Operator.LeaveEndpoint(cmd.Context(), options.pool, options.endpoint, options.change(client, config.Head.Release))
@@ -64,7 +64,7 @@
 	var options endpointOptions
 	cmd := &cobra.Command{
 		Use:   "return POOL ENDPOINT",
-		Short: "Brings one endpoint back",
+		Short: "Returns one endpoint to service",
 		Args:  exit.Args(cobra.ExactArgs(endpointArguments)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			options.pool, options.endpoint = args[0], args[1]
--- a/internal/cli/zones/leave.go
+++ b/internal/cli/zones/leave.go
@@ -24,10 +24,10 @@
 	var options leaveOptions
 	cmd := &cobra.Command{
 		Use:   "leave ZONE",
-		Short: "Takes an availability zone out: no new work goes there",
-		Long: "Takes an availability zone out: no new work goes there, work that runs is finished,\n" +
-			"and work that waits runs elsewhere. First asks all agents whether what remains\n" +
-			"bears the load; if it does not, nothing is changed without --force (exit code 7).",
+		Short: "Takes an availability zone out of service: it gets no new work",
+		Long: "Takes an availability zone out of service: it gets no new work, running work is\n" +
+			"finished there, and queued work runs elsewhere. First reads the load of all agents.\n" +
+			"If the remaining endpoints can't bear it, nothing is changed without --force (exit code 7).",
 		Args:              exit.Args(cobra.ExactArgs(1)),
 		ValidArgsFunction: completeZones(shared),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -35,7 +35,7 @@
 			return runLeave(cmd, shared, options)
 		},
 	}
-	cmd.Flags().BoolVar(&options.force, "force", false, "take it out even if what remains does not bear the load")
+	cmd.Flags().BoolVar(&options.force, "force", false, "take it out even if the remaining endpoints can't bear the load")
 	options.addFlags(cmd)
 	return cmd
 }
@@ -49,14 +49,14 @@
 	if err != nil {
 		return err
 	}
-	if err := knownZone(config, options.zone); err != nil {
+	if err := checkZone(config, options.zone); err != nil {
 		return err
 	}
-	pools, err := weigh(cmd, client, config, func(e *room.Endpoint) bool { return e.AvailabilityZone == options.zone })
+	pools, err := poolsAfter(cmd, client, config, func(e *room.Endpoint) bool { return e.AvailabilityZone == options.zone })
 	if err != nil && !options.force {
 		return err
 	}
-	if err := allow(cmd, pools, options.force); err != nil {
+	if err := checkCapacity(cmd, pools, options.force); err != nil {
 		return err
 	}
 	result, err := client.Operator.LeaveZone(cmd.Context(), options.zone, options.change(client, config.Head.Release))
@@ -66,9 +66,9 @@
 	return shared.Report(cmd, client, result, options.wait)
 }
 
-// knownZone refuses a zone that the manifest does not have and names those
-// that it has.
-func knownZone(config *apply.Config, zone string) error {
+// checkZone returns an error that lists the zones of the manifest if zone is not
+// one of them.
+func checkZone(config *apply.Config, zone string) error {
 	known := config.Manifest.AvailabilityZones
 	if slices.Contains(known, zone) {
 		return nil
--- a/internal/cli/zones/return.go
+++ b/internal/cli/zones/return.go
@@ -20,7 +20,7 @@
 	var options returnOptions
 	cmd := &cobra.Command{
 		Use:   "return ZONE",
-		Short: "Brings an availability zone back: its work grows with what cold endpoints bear",
+		Short: "Returns an availability zone to service: its work grows with the limits of its cold endpoints",
 		Args:  exit.Args(cobra.ExactArgs(1)),
 
 		ValidArgsFunction: completeZones(shared),
@@ -37,7 +37,7 @@
 	var options returnOptions
 	cmd := &cobra.Command{
 		Use:   "settle ZONE",
-		Short: "Ends the return of an availability zone: it counts as in service again",
+		Short: "Ends the return of an availability zone: its state is in service again",
 		Args:  exit.Args(cobra.ExactArgs(1)),
 
 		ValidArgsFunction: completeZones(shared),
@@ -50,7 +50,7 @@
 	return cmd
 }
 
-// zoneAction is one of the operator's actions on a zone.
+// zoneAction is an action of apply.Operator on a zone.
 type zoneAction func(o *apply.Operator, ctx context.Context, zone string, change apply.Change) (apply.Result, error)
 
 func runZone(cmd *cobra.Command, shared *reach.Options, options returnOptions, act zoneAction) error {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	if err := knownZone(config, options.zone); err != nil {
+	if err := checkZone(config, options.zone); err != nil {
 		return err
 	}
 	result, err := act(client.Operator, cmd.Context(), options.zone, options.change(client, config.Head.Release))
--- a/internal/cli/zones/status.go
+++ b/internal/cli/zones/status.go
@@ -20,11 +20,13 @@
 	State     head.ZoneState `json:"state"`
 	ChangedBy string         `json:"changedBy,omitempty"`
 	Reason    string         `json:"reason,omitempty"`
-	// Entries and Agents that could be asked there, and hosts that could not.
+	// Entries and Agents count the daemons of the zone that answered, NotSeen those
+	// that did not.
 	Entries int `json:"entries"`
 	Agents  int `json:"agents"`
 	NotSeen int `json:"notSeen"`
-	// Running and Queued calls at its endpoints, and the sum of their limits.
+	// Running and Queued count the calls at the endpoints of the zone. Limit is the
+	// sum of the endpoints' limits.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 	Limit   int `json:"limit"`
@@ -33,7 +35,7 @@
 func newStatus(shared *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Shows each availability zone: its state, and the work there",
+		Short: "Shows the state and the work of each availability zone",
 		Args:  exit.Args(cobra.NoArgs),
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runStatus(cmd, shared) },
 	}
@@ -60,9 +62,9 @@
 	zones := make([]Zone, 0, len(config.Manifest.AvailabilityZones))
 	for _, name := range config.Manifest.AvailabilityZones {
 		zone := Zone{Name: name, State: config.Head.ZoneState(name)}
-		for _, decided := range config.Head.Zones {
-			if decided.Name == name {
-				zone.ChangedBy, zone.Reason = decided.ChangedBy, decided.Reason
+		for _, changed := range config.Head.Zones {
+			if changed.Name == name {
+				zone.ChangedBy, zone.Reason = changed.ChangedBy, changed.Reason
 			}
 		}
 		for i := range answers {
@@ -85,10 +87,10 @@
 		return
 	}
 	z.Agents++
-	if said := answer.Status.Endpoint; said != nil {
-		z.Running += said.Running
-		z.Queued += said.Queued
-		z.Limit += said.Limit
+	if endpoint := answer.Status.Endpoint; endpoint != nil {
+		z.Running += endpoint.Running
+		z.Queued += endpoint.Queued
+		z.Limit += endpoint.Limit
 	}
 }
 
@@ -100,5 +102,5 @@
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n",
 			z.Name, z.State, z.Entries, z.Agents, z.NotSeen, z.Running, z.Queued, z.Limit, z.ChangedBy, z.Reason)
 	}
-	_ = table.Flush() // a reader that is gone needs no table
+	_ = table.Flush() // fails only if the output is closed
 }
--- a/internal/cli/zones/zones.go
+++ b/internal/cli/zones/zones.go
@@ -24,7 +24,7 @@
 	cmd := exit.Group(&cobra.Command{
 		Use:     "availability-zone",
 		Aliases: []string{"zone", "az"},
-		Short:   "Takes an availability zone out of service and brings it back",
+		Short:   "Takes an availability zone out of service and returns it",
 	})
 	cmd.AddCommand(newLeave(options), newReturn(options), newSettle(options), newStatus(options))
 	return cmd
@@ -34,20 +34,21 @@
 func NewEndpoint(options *reach.Options) *cobra.Command {
 	cmd := exit.Group(&cobra.Command{
 		Use:   "endpoint",
-		Short: "Takes one endpoint out of service and brings it back",
+		Short: "Takes one endpoint out of service and returns it",
 	})
 	cmd.AddCommand(newEndpointLeave(options), newEndpointReturn(options))
 	return cmd
 }
 
-// changeFlags are the flags of subcommands that change a zone or an endpoint.
+// changeFlags are the flags that all subcommands with a change of a zone or an
+// endpoint have.
 type changeFlags struct {
 	reason string
 	wait   reach.WaitFlags
 }
 
 func (f *changeFlags) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.reason, "reason", "", "why, for the history")
+	cmd.Flags().StringVar(&f.reason, "reason", "", "reason of the change, for the history")
 	f.wait.AddFlags(cmd)
 }
 
@@ -57,7 +58,7 @@
 
 var errNoConfiguration = errors.New("the platform holds no configuration")
 
-// current reads the configuration that an operator acts upon.
+// current reads the configuration in force. It returns an error if there is none.
 func current(cmd *cobra.Command, client *reach.Client) (*apply.Config, error) {
 	config, err := client.Operator.Current(cmd.Context())
 	if err == nil && config == nil {
@@ -66,7 +67,7 @@
 	return config, err
 }
 
-// completeZones offers the availability zones for completion in a shell.
+// completeZones returns a function that completes availability zones in a shell.
 func completeZones(options *reach.Options) cobra.CompletionFunc {
 	return func(cmd *cobra.Command, args []string, _ string) ([]cobra.Completion, cobra.ShellCompDirective) {
 		client, err := options.Connect()
@@ -81,8 +82,9 @@
 	}
 }
 
-// weigh asks all agents and works out what remains when some endpoints leave.
-func weigh(cmd *cobra.Command, client *reach.Client, config *apply.Config, leaves func(*room.Endpoint) bool) ([]room.Pool, error) {
+// poolsAfter reads the load of all agents and returns the load and the limits of
+// each affected pool without the endpoints for which leaves returns true.
+func poolsAfter(cmd *cobra.Command, client *reach.Client, config *apply.Config, leaves func(*room.Endpoint) bool) ([]room.Pool, error) {
 	hosts, err := client.Fleet.Hosts(cmd.Context(), "agent")
 	if err != nil {
 		return nil, err
@@ -100,12 +102,14 @@
 		Pool: host.Pool, Endpoint: host.Endpoint, AvailabilityZone: host.AvailabilityZone,
 		Out: isOut(host, config),
 	}
-	if said := answer.Status.Endpoint; answer.Cause == nil && said != nil {
-		e.Known, e.Running, e.Queued, e.Limit, e.Cold = true, said.Running, said.Queued, said.Limit, said.Cold
+	if status := answer.Status.Endpoint; answer.Cause == nil && status != nil {
+		e.Known, e.Running, e.Queued, e.Limit, e.Cold = true, status.Running, status.Queued, status.Limit, status.Cold
 	}
 	return e
 }
 
+// isOut reports whether an endpoint gets no new work because its host leaves,
+// or because operators took it or its zone out.
 func isOut(host *store.Host, config *apply.Config) bool {
 	if host.State == store.HostLeaving || config.Head.ZoneState(host.AvailabilityZone) == head.ZoneLeft {
 		return true
@@ -122,14 +126,14 @@
 	return false
 }
 
-// UnsafeError says that what would remain does not bear the load.
+// UnsafeError is returned if the remaining endpoints could not bear the load.
 type UnsafeError struct {
 	Pools []room.Pool
 }
 
 // Error implements error.
 func (e *UnsafeError) Error() string {
-	text := "what remains does not bear the load; nothing was changed; --force does it nevertheless:"
+	text := "the remaining endpoints can't bear the load; nothing was changed; use --force to do it anyway:"
 	for i := range e.Pools {
 		if p := &e.Pools[i]; !p.Bears {
 			text += fmt.Sprintf(" pool %s has %d calls for a limit of %d on %d endpoints;", p.Pool, p.Load, p.After, p.Endpoints)
@@ -138,7 +142,7 @@
 	return text
 }
 
-// writePools shows what remains, before anything is changed.
+// writePools prints the load and the limit before and after the change of each pool.
 func writePools(out io.Writer, pools []room.Pool) {
 	for i := range pools {
 		p := &pools[i]
@@ -148,15 +152,15 @@
 		}
 		_, _ = fmt.Fprintf(out, "pool %s: %d calls, limit %d -> %d on %d endpoints, %s\n", p.Pool, p.Load, p.Before, p.After, p.Endpoints, verdict)
 		if p.Unknown > 0 {
-			_, _ = fmt.Fprintf(out, "  %d endpoints could not be asked and count as bearing nothing\n", p.Unknown)
+			_, _ = fmt.Fprintf(out, "  %d endpoints did not answer and count with a limit of 0\n", p.Unknown)
 		}
 	}
 }
 
-// allow lets a change pass that what remains bears, or that is forced. What it
-// found goes to the error output, so that it stands there before the change
-// and JSON output stays one document.
-func allow(cmd *cobra.Command, pools []room.Pool, force bool) error {
+// checkCapacity returns an UnsafeError if the remaining endpoints can't bear the load
+// and force is false. It prints the pools to the error output before the change, so
+// that JSON output stays one document.
+func checkCapacity(cmd *cobra.Command, pools []room.Pool, force bool) error {
 	writePools(cmd.ErrOrStderr(), pools)
 	if force || room.Bears(pools) {
 		return nil
--- a/internal/cli/zones/zones_test.go
+++ b/internal/cli/zones/zones_test.go
@@ -18,8 +18,9 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// newDesk has one engine in each of three zones, with the running calls given.
-func newDesk(t *testing.T, running ...int) *desk.System {
+// newSystem returns a system with one engine in each of three zones, with the given
+// numbers of running calls.
+func newSystem(t *testing.T, running ...int) *desk.System {
 	t.Helper()
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
@@ -35,7 +36,7 @@
 }
 
 func TestLeaveAndReturn(t *testing.T) {
-	d := newDesk(t, 3, 3, 3)
+	d := newSystem(t, 3, 3, 3)
 	ran := d.Run(t, zones.NewZone, "zone", "leave", "za", "--reason=power", "--wait")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	assert.Assert(t, strings.Contains(ran.Err, "pool engines: 9 calls, limit 24 -> 16 on 2 endpoints, bears the load"), ran.Err)
@@ -54,10 +55,10 @@
 	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneIn)
 }
 
-// An operator takes a zone out at the peak. The other zones could not bear
-// its work, so nothing happens until the operator insists.
-func TestLeaveThatTheRestCannotBear(t *testing.T) {
-	d := newDesk(t, 6, 6, 6)
+// Guards against an overload: a zone leaves during peak load although the other zones
+// can't bear its work. Nothing is changed without --force.
+func TestLeaveIsRefusedIfOthersCannotBearTheLoad(t *testing.T) {
+	d := newSystem(t, 6, 6, 6)
 	ran := d.Run(t, zones.NewZone, "zone", "leave", "za")
 	assert.Equal(t, ran.Code, exit.Unsafe)
 	assert.Assert(t, strings.Contains(ran.Err, "pool engines has 18 calls for a limit of 16"), ran.Err)
@@ -67,16 +68,17 @@
 	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneLeft)
 }
 
-// One zone is out already. Taking out a second one leaves a single engine.
-func TestSecondZoneThatLeavesIsWeighedAgainstTheFirst(t *testing.T) {
-	d := newDesk(t, 0, 4, 4)
+// Guards against an overload when one zone is already out: the check for a second zone
+// must not count the engines of the first.
+func TestLeaveOfASecondZoneDoesNotCountTheFirst(t *testing.T) {
+	d := newSystem(t, 0, 4, 4)
 	_, err := d.Operator.LeaveZone(t.Context(), "za", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.Equal(t, d.Run(t, zones.NewZone, "zone", "leave", "zb").Code, exit.Unsafe)
 }
 
 func TestUnknownNames(t *testing.T) {
-	d := newDesk(t, 0, 0, 0)
+	d := newSystem(t, 0, 0, 0)
 	ran := d.Run(t, zones.NewZone, "zone", "leave", "zx")
 	assert.Equal(t, ran.Code, exit.NotFound)
 	assert.Assert(t, strings.Contains(ran.Err, "allowed: za, zb, zc"), ran.Err)
@@ -86,7 +88,7 @@
 }
 
 func TestEndpointLeaveAndReturn(t *testing.T) {
-	d := newDesk(t, 1, 1, 1)
+	d := newSystem(t, 1, 1, 1)
 	var done reach.ChangeResult
 	d.Run(t, zones.NewEndpoint, "endpoint", "leave", "engines", "engine-0", "--output=json").JSON(t, &done)
 	assert.Assert(t, done.Changed)
@@ -96,6 +98,6 @@
 }
 
 func TestZonesAreCompleted(t *testing.T) {
-	ran := newDesk(t, 0, 0, 0).Run(t, zones.NewZone, "__complete", "availability-zone", "leave", "")
+	ran := newSystem(t, 0, 0, 0).Run(t, zones.NewZone, "__complete", "availability-zone", "leave", "")
 	assert.Assert(t, strings.Contains(ran.Out, "za\nzb\nzc\n"), ran.Out)
 }
