--- a/internal/cli/mancli/apply.go
+++ b/internal/cli/mancli/apply.go
@@ -21,19 +21,19 @@
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Puts a manifest into force as a new release",
-		Long: "Puts a manifest into force as a new release, on the condition that nobody changed\n" +
-			"the manifest since the release that --expect names, or else since this command\n" +
-			"began. Who loses such a race is told who changed what in between (exit code 4).\n" +
-			"A write whose answer was lost is looked up: the command says whether it took\n" +
-			"effect, and ends with code 6 only when the platform can't be asked any more.",
+		Long: "Puts a manifest into force as a new release. The write fails if the manifest was changed\n" +
+			"after the release given with --expect or, without that flag, after the start of this\n" +
+			"command; the error then names the other changes and their authors (exit code 4).\n" +
+			"If the answer to the write is lost, the command reads the platform again to find out\n" +
+			"whether the write took effect. It ends with code 6 only if the platform doesn't answer.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			options.file = args[0]
 			return runApply(cmd, shared, options)
 		},
 	}
-	cmd.Flags().Uint64Var(&options.expect, "expect", 0, "release that the change was made for; the newest when 0")
-	cmd.Flags().StringVar(&options.reason, "reason", "", "why, for the history")
+	cmd.Flags().Uint64Var(&options.expect, "expect", 0, "release on which the change is based; the newest if 0")
+	cmd.Flags().StringVar(&options.reason, "reason", "", "reason of the change, for the history")
 	options.wait.AddFlags(cmd)
 	return cmd
 }
@@ -59,11 +59,11 @@
 	return shared.Report(cmd, client, result, options.wait)
 }
 
-// expected returns the release that a change is made for: the one that the
-// operator names, or the newest now; 0 when there is none yet.
-func expected(cmd *cobra.Command, client *reach.Client, named uint64) (uint64, error) {
-	if named != 0 {
-		return named, nil
+// expected returns the release on which a change is based: requested if it is not 0,
+// or else the newest. It returns 0 if there is no release yet.
+func expected(cmd *cobra.Command, client *reach.Client, requested uint64) (uint64, error) {
+	if requested != 0 {
+		return requested, nil
 	}
 	config, err := client.Operator.Current(cmd.Context())
 	if err != nil || config == nil {
--- a/internal/cli/mancli/check.go
+++ b/internal/cli/mancli/check.go
@@ -18,7 +18,7 @@
 	file string
 }
 
-// CheckResult is what a check came to.
+// CheckResult is the result of a check.
 type CheckResult struct {
 	Valid  bool    `json:"valid"`
 	Faults []Fault `json:"faults,omitempty"`
@@ -34,8 +34,8 @@
 func newCheck(shared *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Lists every fault of a manifest; needs no platform",
-		Long:  "Lists every fault of a manifest with path, value and what is allowed. FILE - reads\nthe standard input. Exit code 3 when there are faults.",
+		Short: "Lists all faults of a manifest; needs no platform",
+		Long:  "Lists all faults of a manifest with their path, value and the allowed values. If FILE\nis -, reads the standard input. Exit code 3 if there are faults.",
 		Args:  exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runCheck(cmd, shared, checkOptions{file: args[0]})
@@ -52,15 +52,15 @@
 	if list == nil {
 		return shared.Print(cmd.OutOrStdout(), CheckResult{Valid: true}, func(out io.Writer) { writeSummary(out, manifest) })
 	}
-	found := CheckResult{}
+	result := CheckResult{}
 	for _, f := range list.Faults {
-		found.Faults = append(found.Faults, Fault(f))
+		result.Faults = append(result.Faults, Fault(f))
 	}
-	printed := shared.Print(cmd.OutOrStdout(), found, func(out io.Writer) { _, _ = fmt.Fprintln(out, list.Error()) })
-	return errors.Join(printed, exit.With(exit.Invalid, &FaultsError{File: options.file, Count: len(list.Faults)}))
+	printErr := shared.Print(cmd.OutOrStdout(), result, func(out io.Writer) { _, _ = fmt.Fprintln(out, list.Error()) })
+	return errors.Join(printErr, exit.With(exit.Invalid, &FaultsError{File: options.file, Count: len(list.Faults)}))
 }
 
-// FaultsError says how many faults were listed.
+// FaultsError is the error of a check that found faults.
 type FaultsError struct {
 	File  string
 	Count int
--- a/internal/cli/mancli/diff.go
+++ b/internal/cli/mancli/diff.go
@@ -21,9 +21,9 @@
 	exitCode bool
 }
 
-// Diff is what differs from a release.
+// Diff holds the differences between a release and a manifest.
 type Diff struct {
-	// Release that was compared with; give it to apply as --expect.
+	// Release is the compared release, which can be passed to apply as --expect.
 	Release uint64         `json:"release"`
 	Changes []delta.Change `json:"changes"`
 }
@@ -32,15 +32,15 @@
 	var options diffOptions
 	cmd := &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Shows what applying a manifest would change",
+		Short: "Shows what would change if a manifest were applied",
 		Args:  exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			options.file = args[0]
 			return runDiff(cmd, shared, options)
 		},
 	}
-	cmd.Flags().Uint64Var(&options.against, "against", 0, "release to compare with; the newest when 0")
-	cmd.Flags().BoolVar(&options.exitCode, "exit-code", false, "end with code 12 when something differs")
+	cmd.Flags().Uint64Var(&options.against, "against", 0, "release to compare with; the newest if 0")
+	cmd.Flags().BoolVar(&options.exitCode, "exit-code", false, "end with code 12 if something differs")
 	return cmd
 }
 
@@ -75,8 +75,8 @@
 	return err
 }
 
-// load reads the manifest of a release; release 0 is the newest, which may not
-// exist yet.
+// load reads a release, or the newest if release is 0, and returns its number and its
+// manifest. It returns 0 and nil if there is no release yet.
 func load(cmd *cobra.Command, client *reach.Client, release uint64) (uint64, *manif.Manifest, error) {
 	var config *apply.Config
 	var err error
--- a/internal/cli/mancli/history.go
+++ b/internal/cli/mancli/history.go
@@ -34,13 +34,13 @@
 	var options historyOptions
 	cmd := &cobra.Command{
 		Use:   "history",
-		Short: "Lists the newest releases: who changed what, when and why",
+		Short: "Lists the newest releases with author, time and reason of each change",
 		Args:  exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runHistory(cmd, shared, options)
 		},
 	}
-	cmd.Flags().IntVar(&options.limit, "limit", defaultHistory, "most releases to list")
+	cmd.Flags().IntVar(&options.limit, "limit", defaultHistory, "maximum number of releases to list")
 	return cmd
 }
 
@@ -69,5 +69,5 @@
 	for _, e := range entries {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", e.Release, e.Action, e.Subject, e.ChangedBy, e.ChangedAt, e.Reason)
 	}
-	_ = table.Flush() // a reader that is gone needs no table
+	_ = table.Flush() // fails only if the output is closed
 }
--- a/internal/cli/mancli/mancli.go
+++ b/internal/cli/mancli/mancli.go
@@ -14,17 +14,17 @@
 	"github.com/jujubescale/jujubescale/internal/conf/manif"
 )
 
-// New returns the command that holds the subcommands.
+// New returns the manifest command with its subcommands.
 func New(options *reach.Options) *cobra.Command {
 	cmd := exit.Group(&cobra.Command{
 		Use:   "manifest",
-		Short: "Checks, compares and applies the manifest, and goes back to an older one",
+		Short: "Checks, compares, applies and rolls back the manifest",
 	})
 	cmd.AddCommand(newCheck(options), newDiff(options), newApply(options), newHistory(options), newRollback(options))
 	return cmd
 }
 
-// stdin is the file name that reads the standard input.
+// stdin is the file name that stands for the standard input.
 const stdin = "-"
 
 // read reads and checks a manifest file.
@@ -36,8 +36,8 @@
 	return check.Manifest(raw)
 }
 
-// readFile reads one byte more than a manifest may have, so that a larger one
-// is refused for its size and not for its end.
+// readFile reads at most one byte more than a manifest may have, so that the error for
+// a larger file is about its size and not about an unexpected end.
 func readFile(cmd *cobra.Command, file string) ([]byte, error) {
 	if file == stdin {
 		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), decode.MaxBytes+1))
@@ -46,6 +46,6 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = opened.Close() }() // it was only read
+	defer func() { _ = opened.Close() }() // the file was only read
 	return io.ReadAll(io.LimitReader(opened, decode.MaxBytes+1))
 }
--- a/internal/cli/mancli/mancli_test.go
+++ b/internal/cli/mancli/mancli_test.go
@@ -33,15 +33,15 @@
 	return name
 }
 
-func same(*manif.Manifest) {}
+func unchanged(*manif.Manifest) {}
 
-func slower(m *manif.Manifest) { m.Pipelines[0].DeadlineMs = 2000 }
+func shorterDeadline(m *manif.Manifest) { m.Pipelines[0].DeadlineMs = 2000 }
 
 func TestCheck(t *testing.T) {
 	d := desk.New(t)
-	good := d.Run(t, mancli.New, "manifest", "check", sampleFile)
-	assert.Equal(t, good.Code, exit.OK, good.Err)
-	assert.Assert(t, strings.Contains(good.Out, "4 services"), good.Out)
+	valid := d.Run(t, mancli.New, "manifest", "check", sampleFile)
+	assert.Equal(t, valid.Code, exit.OK, valid.Err)
+	assert.Assert(t, strings.Contains(valid.Out, "4 services"), valid.Out)
 
 	bad := manifestFile(t, func(m *manif.Manifest) { m.Pools[0].Kind, m.Organisations[0].Weight = "x", -1 })
 	shown := d.Run(t, mancli.New, "manifest", "check", bad)
@@ -63,24 +63,25 @@
 func TestDiff(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
-	ran := d.Run(t, mancli.New, "manifest", "diff", manifestFile(t, slower), "--exit-code")
+	ran := d.Run(t, mancli.New, "manifest", "diff", manifestFile(t, shorterDeadline), "--exit-code")
 	assert.Equal(t, ran.Code, exit.Differs)
 	assert.Assert(t, strings.Contains(ran.Out, "~ pipelines[setup-sheet].deadlineMs: 3000 -> 2000"), ran.Out)
 	var diff mancli.Diff
-	d.Run(t, mancli.New, "manifest", "diff", manifestFile(t, same), "--output=json").JSON(t, &diff)
+	d.Run(t, mancli.New, "manifest", "diff", manifestFile(t, unchanged), "--output=json").JSON(t, &diff)
 	assert.Equal(t, diff.Release, uint64(1))
 	assert.Equal(t, len(diff.Changes), 0)
 }
 
-// Two operators change the manifest at the same time. The second is told who
-// was faster and what they did, and nothing of the first is overwritten.
-func TestApplyThatLosesARaceSaysWhoWasFaster(t *testing.T) {
+// Guards against a lost update when two operators change the manifest at the same
+// time: the second write fails, and its error names the author and the action of the
+// first.
+func TestConflictingApplyNamesTheOtherChange(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
-	faster := whole.Sample()
-	faster.Pipelines[0].DeadlineMs = 1000
-	d.Apply(t, faster, "bela")
-	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower), "--expect=1")
+	first := whole.Sample()
+	first.Pipelines[0].DeadlineMs = 1000
+	d.Apply(t, first, "bela")
+	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline), "--expect=1")
 	assert.Equal(t, ran.Code, exit.Conflict)
 	assert.Assert(t, strings.Contains(ran.Err, "apply") && strings.Contains(ran.Err, "bela"), ran.Err)
 	assert.Equal(t, d.Head(t).Release, uint64(2))
@@ -89,10 +90,10 @@
 func TestApplyHistoryRollback(t *testing.T) {
 	d := desk.New(t)
 	var done reach.ChangeResult
-	d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same), "--reason=first", "--output=json").JSON(t, &done)
+	d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, unchanged), "--reason=first", "--output=json").JSON(t, &done)
 	assert.Assert(t, done.Changed && done.Release == 1)
-	assert.Equal(t, d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower)).Code, exit.OK)
-	again := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower))
+	assert.Equal(t, d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline)).Code, exit.OK)
+	again := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline))
 	assert.Assert(t, strings.Contains(again.Out, "nothing to change; release 2 stays"), again.Out)
 	assert.Equal(t, d.Run(t, mancli.New, "manifest", "rollback", "1", "--reason=worse").Code, exit.OK)
 	var entries []mancli.Entry
@@ -112,34 +113,35 @@
 	assert.Equal(t, d.Platform.Calls().Writes, 0)
 }
 
-// The platform writes the change but its answer is lost on the way. The
-// operator is told that it took effect, and it took effect once.
-func TestApplyWhoseAnswerIsLostTellsThatItTookEffect(t *testing.T) {
+// Guards against a change that is reported as failed, or is written twice, because
+// the platform's answer to the write was lost.
+func TestApplyWithLostAnswerIsReportedAsAccepted(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
 	d.Platform.SetFaults(plat.Faults{LoseAnswer: 0.5})
-	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower))
+	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline))
 	d.Platform.SetFaults(plat.Faults{})
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	assert.Assert(t, strings.Contains(ran.Out, "accepted as release 2"), ran.Out)
 	assert.Equal(t, d.Head(t).Release, uint64(2))
 }
 
-// The platform is down. The operator learns that nothing was changed.
+// The exit code tells that nothing was changed if the platform is down.
 func TestApplyWhileThePlatformIsDown(t *testing.T) {
 	d := desk.New(t)
 	d.Platform.SetFaults(plat.Faults{Down: true})
-	assert.Equal(t, d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same)).Code, exit.Unavailable)
+	assert.Equal(t, d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, unchanged)).Code, exit.Unavailable)
 }
 
-// One daemon takes the release, one is behind and one is gone. The operator
-// sees which is which, and the code says that it is not in force everywhere.
-func TestWaitNamesWhoIsBehind(t *testing.T) {
+// Guards against a change that is reported as in force everywhere while one daemon has
+// an older release and one is unreachable: both are named, and the exit code is
+// NotInForce.
+func TestWaitNamesDaemonsWithoutTheRelease(t *testing.T) {
 	d := desk.New(t)
 	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}).FollowRelease(d.Platform)
 	second := d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry"})
 	d.AddDaemon(t, store.Host{Name: "entry-3", Role: "entry"}).Close()
-	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same), "--wait", "--wait-limit-ms=1", "--output=json")
+	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, unchanged), "--wait", "--wait-limit-ms=1", "--output=json")
 	assert.Equal(t, ran.Code, exit.NotInForce, ran.Err)
 	var done reach.ChangeResult
 	ran.JSON(t, &done)
@@ -147,17 +149,17 @@
 	assert.Equal(t, len(done.Waited.Behind), 1)
 	assert.Equal(t, len(done.Waited.NotSeen), 1)
 	second.FollowRelease(d.Platform)
-	ran = d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, slower), "--wait")
+	ran = d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline), "--wait")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	assert.Assert(t, strings.Contains(ran.Out, "release 2 is in force on 2 daemons"), ran.Out)
 }
 
-// The platform's store was restored to an older state while daemons run on a
-// newer release. A change made then would never take effect.
+// Guards against changes that never take effect: the platform's store was restored to
+// an older state while daemons run with a newer release.
 func TestApplyOnAStoreThatIsBehind(t *testing.T) {
 	d := desk.New(t)
 	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}).SetStatus(func(s *admin.Status) { s.Release = 7 })
-	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, same))
+	ran := d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, unchanged))
 	assert.Equal(t, ran.Code, exit.Unavailable)
 	assert.Assert(t, strings.Contains(ran.Err, "release 7 is in force"), ran.Err)
 }
--- a/internal/cli/mancli/rollback.go
+++ b/internal/cli/mancli/rollback.go
@@ -25,7 +25,7 @@
 		Use:   "rollback RELEASE",
 		Short: "Puts the manifest of an older release into force as a new release",
 		Long: "Puts the manifest of an older release into force as a new release. Availability\n" +
-			"zones and endpoints that were taken out since stay out.",
+			"zones and endpoints that were taken out of service since then stay out.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			release, err := strconv.ParseUint(args[0], 10, 64)
@@ -36,8 +36,8 @@
 			return runRollback(cmd, shared, options)
 		},
 	}
-	cmd.Flags().Uint64Var(&options.expect, "expect", 0, "release that the operator looked at; the newest when 0")
-	cmd.Flags().StringVar(&options.reason, "reason", "", "why, for the history")
+	cmd.Flags().Uint64Var(&options.expect, "expect", 0, "release on which the change is based; the newest if 0")
+	cmd.Flags().StringVar(&options.reason, "reason", "", "reason of the change, for the history")
 	options.wait.AddFlags(cmd)
 	return cmd
 }
