--- a/internal/cli/quar/quar.go
+++ b/internal/cli/quar/quar.go
@@ -21,19 +21,19 @@
 	"github.com/jujubescale/jujubescale/platform"
 )
 
-// New returns the command.
+// New returns the quarantine command with its subcommands.
 func New(options *reach.Options) *cobra.Command {
 	cmd := exit.Group(&cobra.Command{
 		Use:   "quarantine",
-		Short: "Shows the requests under which endpoints crashed, and lifts their quarantines",
+		Short: "Lists requests during which endpoints crashed, and lifts their quarantine",
 	})
 	cmd.AddCommand(newList(options), newLift(options))
 	return cmd
 }
 
-// Quarantine is one request under which several endpoints crashed.
+// Quarantine is one request during which several endpoints crashed.
 type Quarantine struct {
-	// Key is that of the log lines of the request.
+	// Key identifies the request, also in log lines.
 	Key string `json:"key"`
 	router.Quarantine
 	Unreadable string `json:"unreadable,omitempty"`
@@ -50,16 +50,16 @@
 func newList(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "Shows the requests under which endpoints crashed, the newest first",
-		Long: "Shows the requests under which two endpoints or more crashed, the newest first. From\n" +
-			"three on a request reaches no endpoint for a quarter of an hour.",
+		Short: "Lists requests during which endpoints crashed, newest first",
+		Long: "Lists requests during which two endpoints or more crashed, newest first. A request with\n" +
+			"three crashes or more is sent to no endpoint for a quarter of an hour.",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			from, err := options.RoutedStore()
+			objects, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
-			listing, err := from.Scan(cmd.Context(), platform.KindQuarantines)
+			listing, err := objects.Scan(cmd.Context(), platform.KindQuarantines)
 			if err != nil {
 				return err
 			}
@@ -80,15 +80,15 @@
 		since := time.UnixMilli(q.SinceMs).UTC().Format(time.RFC3339)
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", q.Key, since, len(q.Endpoints), strings.Join(q.Endpoints, " ")+q.Unreadable)
 	}
-	_ = table.Flush() // a reader that left reads nothing
+	_ = table.Flush() // fails only if the output is closed
 }
 
 func newLift(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "lift KEY",
-		Short: "Has a request reach endpoints again",
-		Long: "Forgets the crashes under a request, which reaches endpoints again within half a minute.\n" +
-			"If it crashes three more, it is quarantined once more.",
+		Short: "Ends the quarantine of a request",
+		Long: "Deletes the recorded crashes of a request, which is sent to endpoints again within half\n" +
+			"a minute. After three more crashes it is quarantined again.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error { return lift(cmd, options, args[0]) },
 	}
@@ -99,19 +99,19 @@
 	if err != nil {
 		return exit.With(exit.Usage, err)
 	}
-	from, err := options.RoutedStore()
+	objects, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
 	name := platform.KindQuarantines + "/" + key.String()
-	object, err := from.Get(cmd.Context(), name)
+	object, err := objects.Get(cmd.Context(), name)
 	if err != nil {
 		return err
 	}
 	if object.Version == 0 {
-		return exit.With(exit.NotFound, fmt.Errorf("no crashes are known under request %s", key))
+		return exit.With(exit.NotFound, fmt.Errorf("no crashes are recorded for request %s", key))
 	}
-	if err := from.Delete(cmd.Context(), name, object.Version); err != nil {
+	if err := objects.Delete(cmd.Context(), name, object.Version); err != nil {
 		return err
 	}
 	lifted := []Quarantine{quarantineOf(object)}
--- a/internal/cli/quar/quar_test.go
+++ b/internal/cli/quar/quar_test.go
@@ -30,7 +30,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-func TestQuarantinesAreShownAndLifted(t *testing.T) {
+func TestQuarantinesAreListedAndLifted(t *testing.T) {
 	d, err := stand.New(stand.Config{})
 	assert.NilError(t, err)
 	t.Cleanup(d.Close)
--- a/internal/cli/rolls/history.go
+++ b/internal/cli/rolls/history.go
@@ -13,7 +13,7 @@
 	"github.com/jujubescale/jujubescale/internal/route/canary"
 )
 
-// Entry is what became of one order.
+// Entry is one rollout order in the history of a pool.
 type Entry struct {
 	Version  string `json:"version"`
 	State    string `json:"state"`
@@ -22,7 +22,8 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// stateReplaced is that of an order that another one replaced before it was decided.
+// stateReplaced is the state of an order that was replaced by another one before it
+// was decided.
 const stateReplaced = "replaced"
 
 func entries(decisions []canary.Decision) []Entry {
@@ -40,16 +41,16 @@
 func newHistory(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history POOL",
-		Short: "Shows the orders of a pool, the newest first",
-		Long: "Shows the newest order of a pool and up to twenty before it. They are kept with the\n" +
-			"order: an order that is aborted takes them along.",
+		Short: "Shows the orders of a pool, newest first",
+		Long: "Shows the newest order of a pool and up to twenty earlier ones. The history is stored\n" +
+			"with the newest order, so that abort deletes it, too.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.RoutedStore()
+			objects, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
-			object, err := read(cmd.Context(), from, args[0])
+			object, err := read(cmd.Context(), objects, args[0])
 			if err != nil {
 				return err
 			}
@@ -70,11 +71,11 @@
 			}
 			_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", began, e.Version, e.State, e.Previous, e.Reason)
 		}
-		_ = table.Flush() // a reader that left reads nothing
+		_ = table.Flush() // fails only if the output is closed
 	})
 }
 
-// showOne shows one order, and in text its counts by route.
+// showOne prints one order. Text output also has the counts of its routes.
 func showOne(cmd *cobra.Command, options *reach.Options, r Rollout) error {
 	return options.Print(cmd.OutOrStdout(), []Rollout{r}, func(out io.Writer) {
 		writeOrders(out, []Rollout{r})
@@ -88,6 +89,6 @@
 			_, _ = fmt.Fprintf(table, "%s\t%d\t%d of %d\t%d\t%d of %d\n", route.Route, route.Requests, route.Failures, route.Answers,
 				route.CandidateRequests, route.CandidateFailures, route.CandidateAnswers)
 		}
-		_ = table.Flush() // a reader that left reads nothing
+		_ = table.Flush() // fails only if the output is closed
 	})
 }
--- a/internal/cli/rolls/rolls.go
+++ b/internal/cli/rolls/rolls.go
@@ -20,7 +20,7 @@
 	"github.com/jujubescale/jujubescale/platform"
 )
 
-// New returns the command.
+// New returns the rollout command with its subcommands.
 func New(options *reach.Options) *cobra.Command {
 	cmd := exit.Group(&cobra.Command{
 		Use:   "rollout",
@@ -30,7 +30,7 @@
 	return cmd
 }
 
-// Rollout is one order and what has been recorded of it.
+// Rollout is one order with its recorded state and counts.
 type Rollout struct {
 	Pool       string  `json:"pool"`
 	Version    string  `json:"version"`
@@ -48,7 +48,8 @@
 	Earlier []Entry `json:"earlier,omitempty"`
 }
 
-// Route compares both versions on one route, until the order was decided.
+// Route holds the counts of both versions on one route, up to the decision on the
+// order.
 type Route struct {
 	Route             string `json:"route"`
 	Requests          int64  `json:"requests"`
@@ -59,7 +60,7 @@
 	CandidateFailures int64  `json:"candidateFailures"`
 }
 
-// stateOrdered is that of an order that nobody has begun.
+// stateOrdered is the state of an order that no gateway has started yet.
 const stateOrdered = "ordered"
 
 func rolloutOf(object store.Object) Rollout {
@@ -87,9 +88,10 @@
 
 func nameOf(pool string) string { return platform.KindRollouts + "/" + pool }
 
-// read returns the order of a pool.
-func read(ctx context.Context, from *store.Store, pool string) (store.Object, error) {
-	object, err := from.Get(ctx, nameOf(pool))
+// read returns the order of a pool. It returns an error with the code NotFound if the
+// pool has none.
+func read(ctx context.Context, objects *store.Store, pool string) (store.Object, error) {
+	object, err := objects.Get(ctx, nameOf(pool))
 	if err == nil && object.Version == 0 {
 		err = exit.With(exit.NotFound, fmt.Errorf("pool %q has no rollout", pool))
 	}
@@ -100,11 +102,11 @@
 	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "start POOL VERSION",
-		Short: "Orders that a pool go to a version",
-		Long: "Orders that a pool go to a version, whose endpoints run beside those of the version\n" +
-			"in force. Until shortly before the deadline they get a small part of the requests;\n" +
-			"then the order is completed, or rolled back if the version is bad. An order that\n" +
-			"still runs has to be aborted first (exit code 4).",
+		Short: "Orders a rollout of a version on a pool",
+		Long: "Orders a rollout of a version on a pool. The endpoints of the version have to run\n" +
+			"beside those of the version in force. They get a small part of the requests until\n" +
+			"shortly before the deadline; then the order is completed, or rolled back if the version\n" +
+			"is bad. An order that is still running has to be aborted first (exit code 4).",
 		Example: "  jujubectl rollout start models v2 --duration 60s",
 		Args:    exit.Args(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -115,11 +117,11 @@
 	return cmd
 }
 
-// leastDuration and mostDuration bound what is ordered: a version is not known
-// within less, and nobody waits for longer.
+// minDuration and maxDuration bound the duration of an order. A shorter one does not
+// give enough evidence about a version, and a longer one is never useful.
 const (
-	leastDuration = 5 * clock.Second
-	mostDuration  = 24 * 60 * clock.Minute
+	minDuration = 5 * clock.Second
+	maxDuration = 24 * 60 * clock.Minute
 )
 
 func runStart(cmd *cobra.Command, options *reach.Options, order canary.Order) error {
@@ -128,25 +130,25 @@
 		return exit.With(exit.Usage, fmt.Errorf("POOL is %q, and has to be a name without slashes", order.Pool))
 	case order.Version == "":
 		return exit.With(exit.Usage, errors.New("VERSION is empty"))
-	case order.Duration < leastDuration || order.Duration > mostDuration:
-		return exit.With(exit.Usage, fmt.Errorf("--duration is %d ms, and has to be from %d to %d", order.Duration, leastDuration, mostDuration))
+	case order.Duration < minDuration || order.Duration > maxDuration:
+		return exit.With(exit.Usage, fmt.Errorf("--duration is %d ms, and has to be from %d to %d", order.Duration, minDuration, maxDuration))
 	}
-	to, err := options.RoutedStore()
+	objects, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
-	known, err := to.Get(cmd.Context(), nameOf(order.Pool))
+	previous, err := objects.Get(cmd.Context(), nameOf(order.Pool))
 	if err != nil {
 		return err
 	}
-	if r := rolloutOf(known); known.Version > 0 && (r.State == stateOrdered || r.State == string(canary.Running)) {
-		return exit.With(exit.Conflict, fmt.Errorf("pool %q is on its way to version %q", r.Pool, r.Version))
+	if r := rolloutOf(previous); previous.Version > 0 && (r.State == stateOrdered || r.State == string(canary.Running)) {
+		return exit.With(exit.Conflict, fmt.Errorf("pool %q already has a rollout to version %q", r.Pool, r.Version))
 	}
 	raw, err := platform.EncodeOrder(order)
 	if err != nil {
 		return err
 	}
-	object, err := to.Put(cmd.Context(), nameOf(order.Pool), known.Version, raw)
+	object, err := objects.Put(cmd.Context(), nameOf(order.Pool), previous.Version, raw)
 	if err != nil {
 		return err
 	}
@@ -156,21 +158,21 @@
 func newStatus(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status [POOL]",
-		Short: "Shows what became of orders",
+		Short: "Shows the state of the order of one pool or of all pools",
 		Args:  exit.Args(cobra.MaximumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.RoutedStore()
+			objects, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
 			if len(args) == 1 {
-				object, err := read(cmd.Context(), from, args[0])
+				object, err := read(cmd.Context(), objects, args[0])
 				if err != nil {
 					return err
 				}
 				return showOne(cmd, options, rolloutOf(object))
 			}
-			listing, err := from.Scan(cmd.Context(), platform.KindRollouts)
+			listing, err := objects.Scan(cmd.Context(), platform.KindRollouts)
 			if err != nil {
 				return err
 			}
@@ -183,33 +185,33 @@
 	}
 }
 
-// watchWait is how long one call waits for changes.
+// watchWait is the time that one watch call waits for changes.
 const watchWait = 5 * clock.Second
 
 func newWatch(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "watch POOL",
 		Short: "Shows each change of an order until it is decided",
-		Long:  "Shows each change of an order until it is decided (exit code 8 when it was rolled back).",
+		Long:  "Shows each change of an order until it is decided (exit code 8 if it is rolled back).",
 		Args:  exit.Args(cobra.ExactArgs(1)),
 		RunE:  func(cmd *cobra.Command, args []string) error { return runWatch(cmd, options, args[0]) },
 	}
 }
 
 func runWatch(cmd *cobra.Command, options *reach.Options, pool string) error {
-	from, err := options.RoutedStore()
+	objects, err := options.RoutedStore()
 	if err != nil {
 		return err
 	}
-	listing, err := from.Scan(cmd.Context(), platform.KindRollouts)
+	listing, err := objects.Scan(cmd.Context(), platform.KindRollouts)
 	if err != nil {
 		return err
 	}
-	object, err := read(cmd.Context(), from, pool)
+	object, err := read(cmd.Context(), objects, pool)
 	if err != nil {
 		return err
 	}
-	since := listing.Revision
+	revision := listing.Revision
 	for {
 		r := rolloutOf(object)
 		if err := show(cmd, options, []Rollout{r}); err != nil {
@@ -221,27 +223,29 @@
 		case string(canary.RolledBack):
 			return exit.With(exit.NotInForce, fmt.Errorf("pool %q was rolled back: %s", pool, r.Reason))
 		}
-		if object, since, err = await(cmd.Context(), from, pool, since); err != nil {
+		if object, revision, err = await(cmd.Context(), objects, pool, revision); err != nil {
 			return err
 		}
 	}
 }
 
-// await returns the next change of a pool's order after a revision.
-func await(ctx context.Context, from *store.Store, pool string, since uint64) (store.Object, uint64, error) {
+// await waits for the next change of a pool's order after a revision. It returns the
+// changed object and the revision up to which the changes were read, or an error with
+// the code NotFound if the order was deleted.
+func await(ctx context.Context, objects *store.Store, pool string, revision uint64) (store.Object, uint64, error) {
 	for {
-		changes, err := from.Follow(ctx, platform.KindRollouts, since, watchWait)
+		changes, err := objects.Follow(ctx, platform.KindRollouts, revision, watchWait)
 		if err != nil {
-			return store.Object{}, since, err
+			return store.Object{}, revision, err
 		}
-		since = max(since, changes.Revision)
+		revision = max(revision, changes.Revision)
 		for _, change := range changes.Changes {
 			switch {
 			case change.Object.Name != nameOf(pool):
 			case change.Deleted:
-				return store.Object{}, since, exit.With(exit.NotFound, fmt.Errorf("the rollout of pool %q was aborted", pool))
+				return store.Object{}, revision, exit.With(exit.NotFound, fmt.Errorf("the rollout of pool %q was aborted", pool))
 			default:
-				return change.Object, since, nil
+				return change.Object, revision, nil
 			}
 		}
 	}
@@ -250,25 +254,25 @@
 func newAbort(options *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "abort POOL",
-		Short: "Removes an order: the version in force goes on",
-		Long: "Removes an order that nobody has decided. The version in force goes on, and the\n" +
-			"other one gets nothing more. A completed order stays (exit code 4): its old\n" +
-			"endpoints have been stopped.",
+		Short: "Removes an order: the version in force stays in force",
+		Long: "Removes an order. The version in force stays in force, and the other one gets no\n" +
+			"more requests. A completed order can't be removed (exit code 4), because the\n" +
+			"endpoints of the old version have been stopped.",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			from, err := options.RoutedStore()
+			objects, err := options.RoutedStore()
 			if err != nil {
 				return err
 			}
-			object, err := read(cmd.Context(), from, args[0])
+			object, err := read(cmd.Context(), objects, args[0])
 			if err != nil {
 				return err
 			}
 			r := rolloutOf(object)
 			if r.State == string(canary.Completed) {
-				return exit.With(exit.Conflict, fmt.Errorf("pool %q has gone to version %q", r.Pool, r.Version))
+				return exit.With(exit.Conflict, fmt.Errorf("the rollout of pool %q to version %q is completed", r.Pool, r.Version))
 			}
-			if err := from.Delete(cmd.Context(), object.Name, object.Version); err != nil {
+			if err := objects.Delete(cmd.Context(), object.Name, object.Version); err != nil {
 				return err
 			}
 			r.State = "aborted"
@@ -287,5 +291,5 @@
 	for _, r := range all {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", r.Pool, r.Version, r.State, r.Previous, r.Requests, r.Candidate, r.Reason+r.Unreadable)
 	}
-	_ = table.Flush() // a reader that left reads nothing
+	_ = table.Flush() // fails only if the output is closed
 }
--- a/internal/cli/rolls/rolls_test.go
+++ b/internal/cli/rolls/rolls_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, code, exit.NotFound)
 }
 
-func TestHistoryKeepsWhatBecameOfOrders(t *testing.T) {
+func TestHistoryKeepsEarlierOrders(t *testing.T) {
 	d := deployment(t)
 	code, _, _ := run(t, d, "history", "orders")
 	assert.Equal(t, code, exit.NotFound)
@@ -85,7 +85,7 @@
 	assert.NilError(t, json.Unmarshal([]byte(out), &all))
 	assert.Equal(t, len(all), 3)
 
-	// The next order keeps them.
+	// A new order keeps the history.
 	_, _, errs = run(t, d, "start", "orders", "v4", "--duration", "12s")
 	assert.Equal(t, errs, "")
 	_, out, _ = run(t, d, "history", "orders", "--output=json")
@@ -95,8 +95,8 @@
 	assert.Equal(t, all[1].Version, "v3")
 }
 
-// Guards against an abort that leaves a pool without any version: the old endpoints
-// have been stopped.
+// Guards against an abort that leaves a pool without a version: after a completed
+// rollout the endpoints of the old version have been stopped.
 func TestCompletedRolloutStays(t *testing.T) {
 	d := deployment(t)
 	_, _, _ = run(t, d, "start", "orders", "v2", "--duration", "12s")
