--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -1,5 +1,5 @@
-// Package reach holds the flags that all of jujubectl's subcommands share, and
-// connects to the platform and to the daemons with them.
+// Package reach holds the flags that all subcommands of jujubectl share, and creates
+// the clients of the platform and of the daemons from them.
 package reach
 
 import (
@@ -36,8 +36,8 @@
 
 const envPrefix = "JUJUBECTL_"
 
-// Options are the flags that all subcommands share. Each has an environment
-// variable, which a flag overrides.
+// Options are the flags that all subcommands share. Each flag takes its default from
+// an environment variable.
 type Options struct {
 	platform      string
 	platformCA    string
@@ -51,10 +51,10 @@
 	output        string
 }
 
-// New returns the options as the environment sets them.
+// New returns empty options, which AddFlags fills from the environment and flags.
 func New() *Options { return &Options{} }
 
-// AddFlags gives a root command the flags.
+// AddFlags adds the flags to a root command.
 func (o *Options) AddFlags(root *cobra.Command) {
 	flags := root.PersistentFlags()
 	add := func(target *string, name, fallback, usage string) {
@@ -68,24 +68,25 @@
 	add(&o.platformCA, "platform-ca", "", "PEM file of the authorities that sign the platform's certificate")
 	add(&o.cert, "cert", "", "PEM file of the operator's certificate")
 	add(&o.key, "key", "", "PEM file of the certificate's key")
-	add(&o.ca, "ca", "", "PEM file of the authorities that sign the daemons' certificates; asks daemons over TLS")
-	add(&o.serverName, "server-name", "", "name that the daemons' certificates carry; their address when empty")
-	add(&o.tokenFile, "token-file", "", "file that holds the operator's bearer token")
-	add(&o.operatorsPort, "operators-port", "7001", "the daemons' usual operators' port")
-	add(&o.who, "who", "", "name that goes into the history; user and host when empty")
+	add(&o.ca, "ca", "", "PEM file of the authorities that sign the daemons' certificates; turns on TLS for calls to daemons")
+	add(&o.serverName, "server-name", "", "name in the daemons' certificates; their address if empty")
+	add(&o.tokenFile, "token-file", "", "file with the operator's bearer token")
+	add(&o.operatorsPort, "operators-port", "7001", "operators' port of daemons that are listed without one")
+	add(&o.who, "who", "", "author of changes in the history; user and host if empty")
 	add(&o.output, "output", OutputText, "text or json")
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]cobra.Completion{OutputText, OutputJSON}, cobra.ShellCompDirectiveNoFileComp)) // the flag was just defined
 }
 
-// Client is a connection to platform and daemons.
+// Client gives access to the platform and to the daemons.
 type Client struct {
 	Operator *apply.Operator
 	Fleet    *fleet.Fleet
-	// Who acts, for the history.
+	// Who is the author of changes, for the history.
 	Who string
 }
 
-// Connect checks the options and builds a client. It calls nobody yet.
+// Connect checks the options and creates a client. It opens no connection yet. Errors
+// about options have the code exit.Usage.
 func (o *Options) Connect() (*Client, error) {
 	if err := o.checkOutput(); err != nil {
 		return nil, err
@@ -94,12 +95,12 @@
 	if err != nil {
 		return nil, err
 	}
-	asked, err := o.fleet(platform)
+	daemons, err := o.fleet(platform)
 	if err != nil {
 		return nil, err
 	}
-	operator := apply.New(platform, apply.WithCheck(check.Fill), apply.WithFleet(newest(asked)))
-	return &Client{Operator: operator, Fleet: asked, Who: o.name()}, nil
+	operator := apply.New(platform, apply.WithCheck(check.Fill), apply.WithFleet(newestRelease(daemons)))
+	return &Client{Operator: operator, Fleet: daemons, Who: o.author()}, nil
 }
 
 func (o *Options) checkOutput() error {
@@ -125,12 +126,15 @@
 	return client.New(o.platform, client.WithHTTP(&http.Client{Transport: transport})).Store(), nil
 }
 
+// routedTimeout bounds one call to the store of a platform with routed services, and
+// routedMargin is the time that a watch call may take in addition to its wait.
 const (
 	routedTimeout = 3 * clock.Second
 	routedMargin  = clock.Second
 )
 
-// RoutedStore returns the store of a platform with routed services.
+// RoutedStore checks the options and returns the store of a platform with routed
+// services, that is, one with gateways.
 func (o *Options) RoutedStore() (*store.Store, error) {
 	if err := o.checkOutput(); err != nil {
 		return nil, err
@@ -165,13 +169,13 @@
 	return fleet.New(platform, options...), nil
 }
 
-// name returns who acts. A history that names nobody helps no operator who
-// lost a race.
-func (o *Options) name() string {
+// author returns the name for the history: the flag or user and host, so that other
+// operators can find the author of a conflicting change.
+func (o *Options) author() string {
 	if o.who != "" {
 		return o.who
 	}
-	host, _ := os.Hostname() // a name without host still tells the person
+	host, _ := os.Hostname() // without a host the name still identifies the user
 	current, err := user.Current()
 	if err != nil {
 		return "unknown@" + host
@@ -179,14 +183,15 @@
 	return current.Username + "@" + host
 }
 
-// asked bounds how many entries are asked for the newest release.
-const asked = 8
+// releaseSample is the number of entries that newestRelease asks.
+const releaseSample = 8
 
-// newest asks a few entries for the release in force, to find out that the
-// platform's store was restored to an older state.
-func newest(f *fleet.Fleet) func(context.Context) uint64 {
+// newestRelease returns a function that asks some entries for their release and returns
+// the newest, or 0 if none answers. A higher number than that of the platform's store
+// shows that the store was restored to an older state.
+func newestRelease(f *fleet.Fleet) func(context.Context) uint64 {
 	return func(ctx context.Context) uint64 {
-		page, err := f.HostsFunc(ctx, store.HostQuery{Role: "entry", Limit: asked})
+		page, err := f.HostsFunc(ctx, store.HostQuery{Role: "entry", Limit: releaseSample})
 		if err != nil {
 			return 0
 		}
@@ -198,10 +203,10 @@
 	}
 }
 
-// Print writes a document as JSON, or what human writes.
-func (o *Options) Print(out io.Writer, document any, human func(io.Writer)) error {
+// Print writes a document in the output format: as JSON, or as text with writeText.
+func (o *Options) Print(out io.Writer, document any, writeText func(io.Writer)) error {
 	if o.output != OutputJSON {
-		human(out)
+		writeText(out)
 		return nil
 	}
 	encoder := json.NewEncoder(out)
@@ -209,18 +214,19 @@
 	return encoder.Encode(document)
 }
 
-// WaitResult is what waiting for a release came to.
+// WaitResult holds the daemons by their state at the end of a wait for a release.
 type WaitResult struct {
 	Release uint64 `json:"release"`
 	// InForce counts the daemons that have the release.
 	InForce int `json:"inForce"`
-	// Behind names the daemons that don't have it within the limit.
+	// Behind lists the daemons that still have an older release.
 	Behind []string `json:"behind,omitempty"`
-	// NotSeen names the daemons that could not be asked.
+	// NotSeen lists the daemons that did not answer.
 	NotSeen []string `json:"notSeen,omitempty"`
 }
 
-// Wait waits until a release is in force on every daemon that can be asked.
+// Wait waits until a release is in force on all daemons that answer. It returns an error
+// if it is not within the time limit.
 func (c *Client) Wait(ctx context.Context, release uint64, limit clock.Millis) (WaitResult, error) {
 	hosts, err := c.Fleet.Hosts(ctx, "")
 	if err != nil {
@@ -230,12 +236,13 @@
 	ask := c.Fleet.InForce(hosts, release)
 	err = c.Operator.WaitInForce(ctx, release, limit, func(ctx context.Context) []apply.ProcessRelease {
 		last = ask(ctx)
-		return seen(last)
+		return answered(last)
 	})
-	return waited(release, last), err
+	return waitResult(release, last), err
 }
 
-func seen(answers []apply.ProcessRelease) []apply.ProcessRelease {
+// answered returns the answers without an error.
+func answered(answers []apply.ProcessRelease) []apply.ProcessRelease {
 	var out []apply.ProcessRelease
 	for _, answer := range answers {
 		if answer.Cause == nil {
@@ -245,7 +252,7 @@
 	return out
 }
 
-func waited(release uint64, answers []apply.ProcessRelease) WaitResult {
+func waitResult(release uint64, answers []apply.ProcessRelease) WaitResult {
 	out := WaitResult{Release: release}
 	for _, answer := range answers {
 		switch {
@@ -260,18 +267,18 @@
 	return out
 }
 
-// Write prints what waiting came to for people.
+// Write prints the result as text.
 func (w WaitResult) Write(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "release %d is in force on %d daemons\n", w.Release, w.InForce)
 	for _, name := range w.Behind {
 		_, _ = fmt.Fprintln(out, "  not yet on", name)
 	}
 	for _, name := range w.NotSeen {
-		_, _ = fmt.Fprintln(out, "  could not ask", name)
+		_, _ = fmt.Fprintln(out, "  no answer from", name)
 	}
 }
 
-// WaitFlags are the flags of subcommands that change something.
+// WaitFlags are the flags of subcommands that can wait until their change is in force.
 type WaitFlags struct {
 	Wait  bool
 	Limit clock.Millis
@@ -279,13 +286,14 @@
 
 const defaultWaitLimit = 10 * clock.Second
 
-// AddFlags gives a command the flags.
+// AddFlags adds the flags to a command.
 func (w *WaitFlags) AddFlags(cmd *cobra.Command) {
-	cmd.Flags().BoolVar(&w.Wait, "wait", false, "wait until the change is in force on every daemon that can be asked")
-	cmd.Flags().Int64Var((*int64)(&w.Limit), "wait-limit-ms", int64(defaultWaitLimit), "longest wait in milliseconds")
+	cmd.Flags().BoolVar(&w.Wait, "wait", false, "wait until the change is in force on all daemons that answer")
+	cmd.Flags().Int64Var((*int64)(&w.Limit), "wait-limit-ms", int64(defaultWaitLimit), "maximum wait in milliseconds")
 }
 
-// ChangeResult is what a change came to.
+// ChangeResult is the result of a change. Changed is false if the configuration already
+// was as requested.
 type ChangeResult struct {
 	Release   uint64      `json:"release"`
 	Changed   bool        `json:"changed"`
@@ -294,28 +302,29 @@
 	Waited    *WaitResult `json:"waited,omitempty"`
 }
 
-// Report prints what a change came to and waits for it when asked to.
+// Report prints the result of a change. With the flag --wait it first waits until the
+// change is in force, and returns an error if it is not within the limit.
 func (o *Options) Report(cmd *cobra.Command, c *Client, result apply.Result, wait WaitFlags) error {
 	if result.Head == nil {
 		return errors.New("the platform holds no configuration")
 	}
-	done := ChangeResult{
+	change := ChangeResult{
 		Release: result.Head.Release, Changed: result.Changed,
 		Action: string(result.Head.Action), ChangedBy: result.Head.ChangedBy,
 	}
 	var waitErr error
 	if wait.Wait {
-		got, err := c.Wait(cmd.Context(), done.Release, wait.Limit)
-		done.Waited, waitErr = &got, err
+		waited, err := c.Wait(cmd.Context(), change.Release, wait.Limit)
+		change.Waited, waitErr = &waited, err
 	}
-	err := o.Print(cmd.OutOrStdout(), done, func(out io.Writer) {
-		if done.Changed {
-			_, _ = fmt.Fprintf(out, "accepted as release %d\n", done.Release)
+	err := o.Print(cmd.OutOrStdout(), change, func(out io.Writer) {
+		if change.Changed {
+			_, _ = fmt.Fprintf(out, "accepted as release %d\n", change.Release)
 		} else {
-			_, _ = fmt.Fprintf(out, "nothing to change; release %d stays\n", done.Release)
+			_, _ = fmt.Fprintf(out, "nothing to change; release %d stays\n", change.Release)
 		}
-		if done.Waited != nil {
-			done.Waited.Write(out)
+		if change.Waited != nil {
+			change.Waited.Write(out)
 		}
 	})
 	return errors.Join(waitErr, err)
--- a/internal/cli/reach/reach_test.go
+++ b/internal/cli/reach/reach_test.go
@@ -29,10 +29,10 @@
 	return code, errs.String()
 }
 
-func TestWrongOptionsSayWhatIsAllowed(t *testing.T) {
+func TestErrorsOfInvalidOptions(t *testing.T) {
 	notPEM := filepath.Join(t.TempDir(), "ca.pem")
 	assert.NilError(t, os.WriteFile(notPEM, []byte("x"), 0o600))
-	cases := map[string]struct{ flag, say string }{
+	cases := map[string]struct{ flag, want string }{
 		"output":          {"--output=yaml", `"yaml" is not allowed; allowed: text, json`},
 		"platform":        {"--platform=7000", "allowed: http://HOST:PORT"},
 		"platform's CA":   {"--platform-ca=" + notPEM, "no certificate in it"},
@@ -44,12 +44,12 @@
 		t.Run(name, func(t *testing.T) {
 			code, errs := connect(t, c.flag)
 			assert.Equal(t, code, exit.Usage)
-			assert.Assert(t, strings.Contains(errs, c.say), errs)
+			assert.Assert(t, strings.Contains(errs, c.want), errs)
 		})
 	}
 }
 
-func TestFlagsGoOverTheEnvironment(t *testing.T) {
+func TestFlagsOverrideTheEnvironment(t *testing.T) {
 	t.Setenv("JUJUBECTL_OUTPUT", "yaml")
 	code, _ := connect(t)
 	assert.Equal(t, code, exit.Usage)
--- a/internal/cli/state/losses.go
+++ b/internal/cli/state/losses.go
@@ -27,19 +27,19 @@
 	files   []string
 }
 
-// defaultEvery is the length of a span of time in the report, in milliseconds.
+// defaultEvery is the length of an interval of the report, in milliseconds.
 const defaultEvery = 2000
 
-// NewLosses returns the command.
+// NewLosses returns the losses command.
 func NewLosses(shared *reach.Options) *cobra.Command {
 	var options lossesOptions
 	cmd := &cobra.Command{
 		Use:   "losses [FILE...]",
-		Short: "Tells from logs which requests were not answered in time, when and why",
-		Long: "Reads the logs of all processes from files, or from standard input without any, in\n" +
-			"any order. Each attempt that was refused, late or failed gets one main cause: the\n" +
-			"reason that its caller was told, or the phase or event that made it late. It needs\n" +
-			"no platform (exit code 9 when no line tells the end of a request).",
+		Short: "Reports from logs which requests were not answered in time, when and why",
+		Long: "Reads the logs of all processes, in any order, from files or, if none is given, from\n" +
+			"standard input. Each attempt that was refused, late or failed gets one main cause: the\n" +
+			"reason that was returned to its caller, or the phase or event that made it late. Needs\n" +
+			"no platform. Exit code 9 if no line records the end of a request.",
 		Example: "  cat /var/log/jujubescale/*.log | jujubectl losses\n" +
 			"  jujubectl losses --chart losses.svg gateway-*.log",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -47,7 +47,7 @@
 			return runLosses(cmd, shared, options)
 		},
 	}
-	cmd.Flags().Int64Var(&options.everyMs, "every", defaultEvery, "length of the spans of time, in milliseconds")
+	cmd.Flags().Int64Var(&options.everyMs, "every", defaultEvery, "length of the intervals, in milliseconds")
 	cmd.Flags().BoolVar(&options.csv, "csv", false, "print the causes as comma-separated values")
 	cmd.Flags().StringVar(&options.chart, "chart", "", "also write causes over time to this file, as SVG")
 	return cmd
@@ -57,17 +57,17 @@
 	if options.everyMs < 1 {
 		return exit.With(exit.Usage, fmt.Errorf("--every is %d, and has to be 1 ms or more", options.everyMs))
 	}
-	from, closeAll, err := openAll(cmd.InOrStdin(), options.files)
+	logs, closeAll, err := openAll(cmd.InOrStdin(), options.files)
 	if err != nil {
 		return exit.With(exit.Usage, err)
 	}
 	defer closeAll()
-	report, err := losses.Read(from, clock.Millis(options.everyMs))
+	report, err := losses.Read(logs, clock.Millis(options.everyMs))
 	if err != nil {
 		return fmt.Errorf("reading the logs: %w", err)
 	}
 	if len(report.Routes) == 0 {
-		return exit.With(exit.NotFound, fmt.Errorf("none of %d lines tells the end of a request; %d could not be read", report.Lines, report.Skipped))
+		return exit.With(exit.NotFound, fmt.Errorf("none of %d lines records the end of a request; %d could not be read", report.Lines, report.Skipped))
 	}
 	if options.chart != "" {
 		if err := drawLosses(options.chart, report); err != nil {
@@ -80,7 +80,8 @@
 	return shared.Print(cmd.OutOrStdout(), report, func(out io.Writer) { writeLosses(out, report) })
 }
 
-// openAll returns all files one after the other, or standard input without any.
+// openAll returns a reader of the concatenated files and a function that closes them.
+// If names is empty, the reader is input.
 func openAll(input io.Reader, names []string) (io.Reader, func(), error) {
 	if len(names) == 0 {
 		return input, func() {}, nil
@@ -89,7 +90,7 @@
 	var files []*os.File
 	closeAll := func() {
 		for _, file := range files {
-			_ = file.Close() // only read from
+			_ = file.Close() // the files were only read
 		}
 	}
 	for _, name := range names {
@@ -110,13 +111,13 @@
 		return exit.With(exit.Usage, err)
 	}
 	if err := losses.Chart(file, report); err != nil {
-		_ = file.Close() // the first error says more
+		_ = file.Close() // the error of the drawing is returned instead
 		return fmt.Errorf("drawing the chart: %w", err)
 	}
 	return file.Close()
 }
 
-// outcomes in the order of the tables.
+// outcomes lists the outcomes in the order of the table columns.
 var outcomes = []losses.Outcome{losses.InTime, losses.Late, losses.Refused, losses.Failed, losses.Left}
 
 func writeLosses(out io.Writer, report *losses.Report) {
@@ -146,12 +147,12 @@
 		}
 		_, _ = fmt.Fprintf(table, "\t%s\n", mostFor(span))
 	}
-	_ = table.Flush() // a reader that is gone needs no table
+	_ = table.Flush() // fails only if the output is closed
 	_, _ = fmt.Fprintf(out, "\n%d lines read, %d not readable, %d dropped by their processes, %d ends left out\n",
 		report.Lines, report.Skipped, report.Dropped, report.LeftOut)
 }
 
-// mostFor returns the most frequent cause of a span.
+// mostFor returns the most frequent cause of an interval.
 func mostFor(span *losses.Span) losses.Cause {
 	var causes []losses.Cause
 	for cause := range span.Causes {
@@ -167,7 +168,7 @@
 
 func writeCauses(out io.Writer, report *losses.Report) error {
 	table := csv.NewWriter(out)
-	_ = table.Write([]string{"route", "outcome", "cause", "pool", "attempts", "lateMs"}) // Error tells
+	_ = table.Write([]string{"route", "outcome", "cause", "pool", "attempts", "lateMs"}) // table.Error returns the error
 	for _, cause := range report.Causes {
 		_ = table.Write([]string{
 			cause.Route, string(cause.Outcome), string(cause.Cause), cause.Pool,
--- a/internal/cli/state/request.go
+++ b/internal/cli/state/request.go
@@ -17,7 +17,7 @@
 	id string
 }
 
-// NewRequest returns the command for requests.
+// NewRequest returns the request command with its subcommands.
 func NewRequest(shared *reach.Options) *cobra.Command {
 	cmd := exit.Group(&cobra.Command{
 		Use:   "request",
@@ -30,10 +30,10 @@
 func newShow(shared *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show ID",
-		Short: "Shows what the daemons remember of a request",
-		Long: "Shows what the daemons remember of a request, by the id that its answer carried as\n" +
-			"X-Request-Id. Daemons remember the newest requests only, and none after a restart\n" +
-			"(exit code 9 when no daemon remembers it).",
+		Short: "Shows the records that daemons keep of a request",
+		Long: "Shows the records that daemons keep of a request, by the id that its answer has in the\n" +
+			"header X-Request-Id. Daemons keep records of the newest requests only, and lose them at\n" +
+			"a restart (exit code 9 if no daemon has a record).",
 		Args: exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runShow(cmd, shared, requestOptions{id: args[0]})
@@ -52,7 +52,7 @@
 	}
 	found := client.Fleet.Request(cmd.Context(), hosts, options.id)
 	if len(found) == 0 {
-		return exit.With(exit.NotFound, fmt.Errorf("none of %d daemons remembers request %q", len(hosts), options.id))
+		return exit.With(exit.NotFound, fmt.Errorf("none of %d daemons has a record of request %q", len(hosts), options.id))
 	}
 	return shared.Print(cmd.OutOrStdout(), found, func(out io.Writer) { writeRequests(out, found) })
 }
@@ -66,6 +66,6 @@
 		for _, a := range r.Attempts {
 			_, _ = fmt.Fprintf(table, "  stage %d try %d\t%s\t%s\t%s\t%s\t%d ms\n", a.Stage, a.Try, a.Pool, a.Endpoint, a.State, a.Reason, a.TookMs)
 		}
-		_ = table.Flush() // a reader that is gone needs no table
+		_ = table.Flush() // fails only if the output is closed
 	}
 }
--- a/internal/cli/state/state_test.go
+++ b/internal/cli/state/state_test.go
@@ -40,8 +40,8 @@
 	assert.Equal(t, d.Run(t, state.NewStatus, "status", "--output=yaml").Code, exit.Usage)
 }
 
-// A caller reports the id of a request that failed. Only one entry saw it.
-func TestRequestIsFoundWhereverItWas(t *testing.T) {
+// A request is found although only one of the entries has a record of it.
+func TestRequestIsFoundOnAnyDaemon(t *testing.T) {
 	d := desk.New(t)
 	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"})
 	d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry"}).SetRequest(&admin.Request{
@@ -56,8 +56,9 @@
 	assert.Assert(t, strings.Contains(missing.Err, "none of 2 daemons"), missing.Err)
 }
 
-// An operator without the token learns nothing of a daemon.
-func TestDaemonsThatWantAToken(t *testing.T) {
+// Guards against access without a token: the status shows that a daemon refused the
+// call and nothing else about it.
+func TestDaemonsThatRequireAToken(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
 	sum := sha256.Sum256([]byte("secret"))
@@ -66,9 +67,8 @@
 	assert.Assert(t, strings.Contains(ran.Out, "answered status 401"), ran.Out)
 }
 
-// A caller reports a failed request, and all that is left are the logs of
-// several processes. The command shows its way through them without asking any
-// daemon.
+// The history of a failed request can be shown from the logs of several processes
+// alone, without a call to a daemon.
 func TestRequestIsTracedThroughLogs(t *testing.T) {
 	d := desk.New(t)
 	const log = `time=2026-03-01T10:00:04.200Z level=info msg="request ended" process=gw-1 request=5f status=503 reason=noEndpoint
@@ -89,8 +89,8 @@
 	assert.Equal(t, d.RunWith(t, log, state.NewRequest, "request", "trace", "").Code, exit.Usage)
 }
 
-// A tenth of the callers complain. One command over the logs says which requests
-// were lost and for what.
+// The report shows from the logs of several processes which requests were not answered
+// in time, and the cause.
 func TestLossesAreReadFromLogs(t *testing.T) {
 	d := desk.New(t)
 	const log = `time=2026-03-01T10:00:04.200Z level=info msg="request ended" process=gw-1 request=5f route=r status=503 reason=overloaded pool=enc
@@ -119,16 +119,16 @@
 		name string
 		args []string
 		code exit.Code
-		says string
+		want string
 	}{
 		{"no end of a request", nil, exit.NotFound, "none of 1 lines"},
 		{"no such file", []string{"missing.log"}, exit.Usage, "missing.log"},
-		{"no span", []string{"--every=0"}, exit.Usage, "--every is 0"},
+		{"interval of length 0", []string{"--every=0"}, exit.Usage, "--every is 0"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ran := d.RunWith(t, "nothing here\n", state.NewLosses, append([]string{"losses"}, tt.args...)...)
 			assert.Equal(t, ran.Code, tt.code)
-			assert.Assert(t, strings.Contains(ran.Err, tt.says), ran.Err)
+			assert.Assert(t, strings.Contains(ran.Err, tt.want), ran.Err)
 		})
 	}
 }
--- a/internal/cli/state/status.go
+++ b/internal/cli/state/status.go
@@ -1,4 +1,5 @@
-// Package state holds the subcommands of jujubectl that only look.
+// Package state holds the subcommands of jujubectl that only read: status, request and
+// losses.
 package state
 
 import (
@@ -22,7 +23,7 @@
 
 // Status is the state of the whole system.
 type Status struct {
-	// Release that the platform holds, 0 without any.
+	// Release is the release that the platform holds, or 0 if there is none.
 	Release   uint64   `json:"release"`
 	ChangedBy string   `json:"changedBy,omitempty"`
 	ChangedAt string   `json:"changedAt,omitempty"`
@@ -43,20 +44,20 @@
 	Open             int          `json:"open"`
 	Sessions         int          `json:"sessions"`
 	UptimeMs         clock.Millis `json:"uptimeMs"`
-	// Error says why the daemon could not be asked.
+	// Error is the reason why the daemon did not answer.
 	Error string `json:"error,omitempty"`
 }
 
-// NewStatus returns the command.
+// NewStatus returns the status command.
 func NewStatus(shared *reach.Options) *cobra.Command {
 	var options statusOptions
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Shows the release and what each daemon says of itself",
+		Short: "Shows the release and the status of each daemon",
 		Args:  exit.Args(cobra.NoArgs),
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runStatus(cmd, shared, options) },
 	}
-	cmd.Flags().StringVar(&options.role, "role", "", "only entry or agent")
+	cmd.Flags().StringVar(&options.role, "role", "", "show only daemons of this role: entry or agent")
 	return cmd
 }
 
@@ -89,11 +90,11 @@
 }
 
 func daemonOf(answer *fleet.Answer) Daemon {
-	said := &answer.Status
+	status := &answer.Status
 	d := Daemon{
 		Host: answer.Host.Name, Role: answer.Host.Role, AvailabilityZone: answer.Host.AvailabilityZone,
-		Process: said.Process, Version: said.Version, Release: said.Release, Ready: said.Ready, NotReady: said.NotReady,
-		Leaving: said.Leaving, Open: said.Open, Sessions: len(said.Sessions), UptimeMs: said.UptimeMs,
+		Process: status.Process, Version: status.Version, Release: status.Release, Ready: status.Ready, NotReady: status.NotReady,
+		Leaving: status.Leaving, Open: status.Open, Sessions: len(status.Sessions), UptimeMs: status.UptimeMs,
 	}
 	if answer.Cause != nil {
 		d.Error = answer.Cause.Error()
@@ -110,7 +111,7 @@
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\n",
 			d.Host, d.Role, d.AvailabilityZone, d.Release, d.state(), d.Open, d.Sessions, d.Version)
 	}
-	_ = table.Flush() // a reader that is gone needs no table
+	_ = table.Flush() // fails only if the output is closed
 }
 
 func (d *Daemon) state() string {
--- a/internal/cli/state/trace.go
+++ b/internal/cli/state/trace.go
@@ -20,11 +20,11 @@
 func newTrace(shared *reach.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace ID",
-		Short: "Prints a request's history from logs on standard input",
-		Long: "Prints a request's history from logs on standard input: those of all processes, in\n" +
-			"any order. Lines that name the request stand in the order of time, together with\n" +
-			"what processes learned about its endpoints from five seconds before it on. It\n" +
-			"needs no platform (exit code 9 when no line names the request).",
+		Short: "Prints the history of a request from logs on standard input",
+		Long: "Prints the history of a request from the logs of all processes, which it reads from\n" +
+			"standard input in any order. It shows the lines that name the request, sorted by time,\n" +
+			"and lines about changes of its endpoints from five seconds before the request on. Needs\n" +
+			"no platform. Exit code 9 if no line names the request.",
 		Example: "  cat /var/log/jujubescale/*.log | jujubectl request trace 9c41d07be2a35f68",
 		Args:    exit.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -47,8 +47,8 @@
 	return shared.Print(cmd.OutOrStdout(), history, func(out io.Writer) { writeHistory(out, &history) })
 }
 
-// writeHistory prints a line for each one of the log, with the time since the
-// first of them.
+// writeHistory prints the log lines of a history, each with the time since the first
+// one.
 func writeHistory(out io.Writer, history *record.History) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	first := history.Lines[0].Time
@@ -62,5 +62,5 @@
 		}
 		_, _ = fmt.Fprintln(table)
 	}
-	_ = table.Flush() // a reader that is gone needs no table
+	_ = table.Flush() // fails only if the output is closed
 }
