--- a/internal/cli/desk/desk.go
+++ b/internal/cli/desk/desk.go
@@ -1,6 +1,5 @@
-// Package desk is an operator's desk for tests: a stand-in of the platform,
-// daemons that have an operators' port and nothing else, and a way to run
-// jujubectl's subcommands against them.
+// Package desk runs the subcommands of jujubectl in tests, against a stand-in of the
+// platform and against daemons that have only an operators' port.
 package desk
 
 import (
@@ -26,17 +25,17 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// System is one operator's desk.
+// System is a stand-in of the platform with its daemons.
 type System struct {
 	Platform *plat.Plat
-	// Operator is another operator, who acts without jujubectl.
+	// Operator changes the configuration without jujubectl, as another operator would.
 	Operator *apply.Operator
 
 	url   string
 	hosts []store.Host
 }
 
-// New starts a platform. It ends with the test.
+// New starts a stand-in of the platform, which stops at the end of the test.
 func New(t *testing.T) *System {
 	t.Helper()
 	platform := plat.New()
@@ -53,7 +52,7 @@
 	assert.NilError(t, err)
 }
 
-// Head reads the head as the platform holds it.
+// Head returns the head that the platform holds.
 func (d *System) Head(t *testing.T) *head.Head {
 	t.Helper()
 	current, err := head.Decode(d.Platform.Get(head.Object).Value)
@@ -61,31 +60,31 @@
 	return current
 }
 
-// Daemon is a daemon that has an operators' port only.
+// Daemon is a daemon that has only an operators' port.
 type Daemon struct {
 	mu      sync.Mutex
 	status  admin.Status
 	request *admin.Request
 	server  *httptest.Server
-	// platform is set when the daemon follows it.
+	// platform, if not nil, sets the release of the status.
 	platform *plat.Plat
 }
 
-// SetStatus changes what the daemon says.
+// SetStatus changes the status of the daemon.
 func (d *Daemon) SetStatus(change func(status *admin.Status)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.status)
 }
 
-// FollowRelease makes the daemon say at once what the platform holds.
+// FollowRelease makes the daemon report the release that the platform holds.
 func (d *Daemon) FollowRelease(platform *plat.Plat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.platform = platform
 }
 
-// SetRequest gives the daemon a request that it knows.
+// SetRequest sets the only request of which the daemon has a record.
 func (d *Daemon) SetRequest(request *admin.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +94,7 @@
 // Close makes the daemon unreachable.
 func (d *Daemon) Close() { d.server.Close() }
 
-func (d *Daemon) said() admin.Status {
+func (d *Daemon) currentStatus() admin.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	status := d.status
@@ -105,7 +104,7 @@
 	return status
 }
 
-func (d *Daemon) remembered(id string) *admin.Request {
+func (d *Daemon) lookup(id string) *admin.Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.request == nil || d.request.RequestID != id {
@@ -114,11 +113,12 @@
 	return d.request
 }
 
-// AddDaemon starts a daemon on a host and puts the host on the platform's list.
+// AddDaemon starts a daemon on a host and adds the host to the platform's list. The
+// daemon stops at the end of the test.
 func (d *System) AddDaemon(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
 	t.Helper()
 	daemon := &Daemon{status: admin.Status{Process: host.Name, Role: host.Role, Ready: true}}
-	options = append(options, admin.WithStatus(daemon.said), admin.WithRequest(daemon.remembered))
+	options = append(options, admin.WithStatus(daemon.currentStatus), admin.WithRequest(daemon.lookup))
 	daemon.server = httptest.NewServer(admin.New(options...).Handler())
 	t.Cleanup(daemon.server.Close)
 	host.State = store.HostLive
@@ -128,26 +128,26 @@
 	return daemon
 }
 
-// Result is what a command came to.
+// Result holds the output and the exit code of a command.
 type Result struct {
 	Out  string
 	Err  string
 	Code exit.Code
 }
 
-// JSON reads the command's output into a value.
+// JSON decodes the command's output into a value.
 func (r Result) JSON(t *testing.T, into any) {
 	t.Helper()
 	assert.NilError(t, json.Unmarshal([]byte(r.Out), into), "%s%s", r.Out, r.Err)
 }
 
-// Run runs one of the commands that build returns, as an operator types it.
+// Run executes args with the command that build returns, without standard input.
 func (d *System) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
 	return d.RunWith(t, "", build, args...)
 }
 
-// RunWith runs a command with a standard input.
+// RunWith executes args with the command that build returns and with a standard input.
 func (d *System) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
 	t.Setenv("JUJUBECTL_PLATFORM", d.url)
--- a/internal/cli/exit/exit.go
+++ b/internal/cli/exit/exit.go
@@ -1,5 +1,5 @@
-// Package exit turns the end of a command into an exit code that scripts can
-// rely on. docs/OPERATORS.md lists the codes.
+// Package exit runs commands and maps their errors to stable exit codes for scripts.
+// docs/OPERATORS.md lists the codes.
 package exit
 
 import (
@@ -24,38 +24,38 @@
 
 // Exit codes. The numbers are part of the interface and never change.
 const (
-	// OK says that the command did what it was asked to.
+	// OK means that the command succeeded.
 	OK Code = 0
-	// Failed says that something unforeseen went wrong.
+	// Failed means an error that has no other code.
 	Failed Code = 1
-	// Usage says that the command line is wrong; nothing was done.
+	// Usage means that the command line is invalid; nothing was done.
 	Usage Code = 2
-	// Invalid says that a document has faults, all of which were listed.
+	// Invalid means that a document has faults, all of which were listed.
 	Invalid Code = 3
-	// Conflict says that another operator changed the object in between;
+	// Conflict means that another operator has changed the object in the meantime;
 	// nothing was written.
 	Conflict Code = 4
-	// Unavailable says that the platform can't be used; nothing was written.
+	// Unavailable means that the platform can't be used; nothing was written.
 	Unavailable Code = 5
-	// Unknown says that a write may or may not have taken effect.
+	// Unknown means that a write may or may not have taken effect.
 	Unknown Code = 6
-	// Unsafe says that what would remain does not bear the load and that
-	// --force was not given; nothing was written.
+	// Unsafe means that the remaining endpoints can't bear the load and that --force
+	// was not given; nothing was written.
 	Unsafe Code = 7
-	// NotInForce says that the change was accepted and was not seen in force
-	// everywhere within the wait.
+	// NotInForce means that the change was accepted but was not in force on all
+	// daemons within the wait, or that a rollout was rolled back.
 	NotInForce Code = 8
-	// NotFound says that there is no such object, release or request.
+	// NotFound means that there is no such object, release or request.
 	NotFound Code = 9
-	// Cut says that a stop ended while requests were still open.
+	// Cut means that a stop ended while requests were still open.
 	Cut Code = 10
-	// Denied says that the other end refused the certificate or the token.
+	// Denied means that a daemon refused the certificate or the token.
 	Denied Code = 11
-	// Differs says that documents differ; only with --exit-code.
+	// Differs means that documents differ; only used with --exit-code.
 	Differs Code = 12
 )
 
-// Error ends a command with a code.
+// Error is an error with an exit code.
 type Error struct {
 	Code  Code
 	Cause error
@@ -67,7 +67,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// With gives an error an exit code; nil stays nil.
+// With returns cause as an Error with an exit code, or nil if cause is nil.
 func With(code Code, cause error) error {
 	if cause == nil {
 		return nil
@@ -75,13 +75,13 @@
 	return &Error{Code: code, Cause: cause}
 }
 
-// Of returns the code that an error ends a command with.
+// Of returns the exit code for an error; OK for nil, and Failed for unknown errors.
 func Of(err error) Code {
 	if err == nil {
 		return OK
 	}
-	for _, of := range []func(error) Code{ofCoded, ofOperator, ofPlatform, ofDaemon} {
-		if code := of(err); code != Failed {
+	for _, codeFunc := range []func(error) Code{ofCoded, ofOperator, ofPlatform, ofDaemon} {
+		if code := codeFunc(err); code != Failed {
 			return code
 		}
 	}
@@ -101,15 +101,15 @@
 	}
 }
 
-// ofOperator judges the errors of an operator's action.
+// ofOperator returns the code for an error of apply.Operator.
 func ofOperator(err error) Code {
-	var lost *apply.ConflictError
+	var conflict *apply.ConflictError
 	var gaveUp *apply.GaveUpError
 	var behind *apply.StoreBehindError
 	var missing *apply.NotFoundError
-	var notYet *apply.NotInForceError
+	var notInForce *apply.NotInForceError
 	switch {
-	case errors.As(err, &lost):
+	case errors.As(err, &conflict):
 		return Conflict
 	case errors.As(err, &gaveUp) && gaveUp.Unknown:
 		return Unknown
@@ -117,14 +117,14 @@
 		return Unavailable
 	case errors.As(err, &missing):
 		return NotFound
-	case errors.As(err, &notYet):
+	case errors.As(err, &notInForce):
 		return NotInForce
 	default:
 		return Failed
 	}
 }
 
-// ofPlatform judges the errors of a call to the platform.
+// ofPlatform returns the code for an error of a call to the platform.
 func ofPlatform(err error) Code {
 	var conflict *store.ConflictError
 	var unavailable *store.UnavailableError
@@ -141,7 +141,7 @@
 	}
 }
 
-// ofDaemon judges the errors of a request to a daemon.
+// ofDaemon returns the code for an error of a request to a daemon.
 func ofDaemon(err error) Code {
 	var refused *fleet.StatusError
 	if errors.As(err, &refused) && refused.Status == http.StatusUnauthorized {
@@ -150,30 +150,30 @@
 	return Failed
 }
 
-// Run executes a command line and returns the exit code. The command's context
-// ends at the first SIGINT or SIGTERM, and Hurry tells of the second.
+// Run executes a command line and returns the exit code. The command's context ends at
+// the first SIGINT or SIGTERM; the channel of ForceStop is closed at the second.
 func Run(cmd *cobra.Command, args []string) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	defer signal.Stop(signals)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	hurry := make(chan struct{})
+	forceStop := make(chan struct{})
 	ended := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		relay(signals, ended, cancel, hurry)
+		handleSignals(signals, ended, cancel, forceStop)
 	}()
-	code := RunContext(WithForceStop(ctx, hurry), cmd, args)
+	code := RunContext(WithForceStop(ctx, forceStop), cmd, args)
 	close(ended)
 	<-done
 	return int(code)
 }
 
-// relay turns the first signal into the end of the context and the second
-// into a closed channel.
-func relay(signals <-chan os.Signal, ended <-chan struct{}, first func(), second chan<- struct{}) {
+// handleSignals calls first at the first signal and closes second at the second. It
+// returns after the second signal or when ended is closed.
+func handleSignals(signals <-chan os.Signal, ended <-chan struct{}, first func(), second chan<- struct{}) {
 	for _, act := range []func(){first, func() { close(second) }} {
 		select {
 		case <-signals:
@@ -184,22 +184,23 @@
 	}
 }
 
-type hurryKey struct{}
+type forceStopKey struct{}
 
-// WithForceStop gives a command the channel that closes when a stop must not wait
-// any longer.
-func WithForceStop(ctx context.Context, hurry <-chan struct{}) context.Context {
-	return context.WithValue(ctx, hurryKey{}, hurry)
+// WithForceStop returns a context with a channel that is closed when a planned stop
+// must end at once.
+func WithForceStop(ctx context.Context, forceStop <-chan struct{}) context.Context {
+	return context.WithValue(ctx, forceStopKey{}, forceStop)
 }
 
-// ForceStop returns the channel that closes when a stop must not wait any longer;
-// one that never closes when the context has none.
+// ForceStop returns the channel of WithForceStop, or nil, which blocks forever, if the
+// context has none.
 func ForceStop(ctx context.Context) <-chan struct{} {
-	hurry, _ := ctx.Value(hurryKey{}).(<-chan struct{})
-	return hurry
+	forceStop, _ := ctx.Value(forceStopKey{}).(<-chan struct{})
+	return forceStop
 }
 
-// RunContext executes a command line within a context.
+// RunContext executes a command line within a context, prints its error and returns the
+// exit code.
 func RunContext(ctx context.Context, cmd *cobra.Command, args []string) Code {
 	cmd.SilenceUsage = true
 	cmd.SilenceErrors = true
@@ -214,16 +215,15 @@
 	return Of(err)
 }
 
-// Args wraps a check of arguments so that its failure counts as a wrong
-// command line.
+// Args wraps a check of arguments so that its errors have the code Usage.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		return With(Usage, check(cmd, args))
 	}
 }
 
-// Group makes a command that only holds subcommands: called without one, or
-// with one that does not exist, it shows its help as a wrong command line.
+// Group makes cmd a command that only holds subcommands. Without a subcommand it prints
+// its help; then, and with an unknown one, it returns an error with the code Usage.
 func Group(cmd *cobra.Command) *cobra.Command {
 	cmd.Args = func(at *cobra.Command, args []string) error {
 		if len(args) == 0 {
@@ -232,8 +232,8 @@
 		return With(Usage, fmt.Errorf("unknown command %q; see %s --help", args[0], at.CommandPath()))
 	}
 	cmd.RunE = func(at *cobra.Command, _ []string) error {
-		_ = at.Help() // the error says enough if the help can't be printed
-		return With(Usage, fmt.Errorf("%s wants a subcommand", at.CommandPath()))
+		_ = at.Help() // the error below is enough if the help can't be printed
+		return With(Usage, fmt.Errorf("%s needs a subcommand", at.CommandPath()))
 	}
 	return cmd
 }
--- a/internal/cli/exit/exit_test.go
+++ b/internal/cli/exit/exit_test.go
@@ -29,20 +29,20 @@
 		"conflict":                       {&store.ConflictError{}, exit.Conflict},
 		"unavailable":                    {&store.UnavailableError{Cause: errors.New("x")}, exit.Unavailable},
 		"unknown":                        {&store.UnknownError{Cause: errors.New("x")}, exit.Unknown},
-		"lost a race":                    {&apply.ConflictError{}, exit.Conflict},
+		"conflict of an operator":        {&apply.ConflictError{}, exit.Conflict},
 		"gave up, may have taken effect": {&apply.GaveUpError{Unknown: true, Cause: &store.ConflictError{}}, exit.Unknown},
 		"gave up, nothing written":       {&apply.GaveUpError{Cause: &store.UnavailableError{Cause: errors.New("x")}}, exit.Unavailable},
 		"store is behind":                {&apply.StoreBehindError{}, exit.Unavailable},
 		"no such release":                {&apply.NotFoundError{}, exit.NotFound},
 		"not in force":                   {&apply.NotInForceError{}, exit.NotInForce},
-		"no right token":                 {&fleet.StatusError{Status: http.StatusUnauthorized}, exit.Denied},
+		"wrong token":                    {&fleet.StatusError{Status: http.StatusUnauthorized}, exit.Denied},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, exit.Of(c.err), c.want) })
 	}
 }
 
-func TestWrongCommandLine(t *testing.T) {
+func TestInvalidCommandLine(t *testing.T) {
 	for _, args := range [][]string{{"--nope"}, {"one"}} {
 		cmd := &cobra.Command{Use: "tool", Args: exit.Args(cobra.NoArgs), RunE: func(*cobra.Command, []string) error { return nil }}
 		var out bytes.Buffer
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestGroupWantsSubcommand(t *testing.T) {
+func TestGroupNeedsSubcommand(t *testing.T) {
 	for name, args := range map[string][]string{"none": nil, "unknown": {"nope"}} {
 		t.Run(name, func(t *testing.T) {
 			root := exit.Group(&cobra.Command{Use: "tool"})
--- a/internal/cli/oper/root.go
+++ b/internal/cli/oper/root.go
@@ -1,4 +1,4 @@
-// Package oper is the command line of jujubectl, the operators' client.
+// Package oper holds the command line of jujubectl, the operators' client.
 package oper
 
 import (
@@ -18,7 +18,7 @@
 func New() *cobra.Command {
 	root := exit.Group(&cobra.Command{
 		Use:   "jujubectl",
-		Short: "Operates jujubescale: manifest, availability zones, endpoints, status",
+		Short: "Operates jujubescale: manifest, availability zones, endpoints, rollouts, status",
 	})
 	root.Version = build.Version()
 	options := reach.New()
