--- a/cmd/jujubed/main.go
+++ b/cmd/jujubed/main.go
@@ -1,4 +1,4 @@
-// Command jujubed is the program of the hosts: the entry and the agent.
+// Command jujubed runs the daemons: the entry, the agent and the gateway.
 package main
 
 import (
--- a/cmd/jujubedev/main.go
+++ b/cmd/jujubedev/main.go
@@ -1,4 +1,4 @@
-// Command jujubedev is the developers' tool: the whole system on stand-ins, load and measurement.
+// Command jujubedev is the developers' tool: it runs the whole system on stand-ins, generates load and measures.
 package main
 
 import (
--- a/internal/cli/devel/bounds.go
+++ b/internal/cli/devel/bounds.go
@@ -23,17 +23,18 @@
 	chart  string
 }
 
-// maxSpans bounds the time and memory that a bound takes.
+// maxSpans bounds the number of intervals, and with it the time and memory for the
+// calculation.
 const maxSpans = 200
 
 func newBounds() *cobra.Command {
 	options := boundsOptions{every: 2, output: "text"}
 	command := &cobra.Command{
 		Use:   "bounds FILE",
-		Short: "Bounds what the engines of a deployment can serve at best, by kind and by time",
-		Long: "Reads a deployment and its load over time (samples/bounds) and prints what its engines\n" +
-			"can serve at best, as if requests could be divided and calls were always full. With\n" +
-			"--losses, a report of `jujubectl losses --output json`, what was served stands beside it.",
+		Short: "Prints an upper bound of the load that a deployment's engines can serve, by route and time",
+		Long: "Reads a deployment and its load over time (samples/bounds) and prints an upper bound of\n" +
+			"what its engines can serve, as if requests could be divided and calls were always full.\n" +
+			"With --losses, a report of `jujubectl losses --output json`, it also prints what was served.",
 		Example: "  jujubedev bounds samples/bounds/papierveda.json",
 		Args:    exit.Args(cobra.ExactArgs(1)),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -41,14 +42,15 @@
 		},
 	}
 	flags := command.Flags()
-	flags.Float64Var(&options.every, "every", options.every, "length of the spans of time, in seconds")
-	flags.StringVar(&options.losses, "losses", "", "report of jujubectl losses as JSON, with spans of the same length")
+	flags.Float64Var(&options.every, "every", options.every, "length of the intervals, in seconds")
+	flags.StringVar(&options.losses, "losses", "", "report of jujubectl losses as JSON, with intervals of the same length")
 	flags.StringVar(&options.output, "output", options.output, "text or json")
 	flags.StringVar(&options.chart, "chart", "", "also write the bound over time to this file, as SVG")
 	return command
 }
 
-// boundsReport is the bound, and the share of requests answered in time in each span.
+// boundsReport holds the bound and the share of requests answered in time in each
+// interval.
 type boundsReport struct {
 	*fluid.Bound
 	InTime []float64 `json:"inTime,omitempty"`
@@ -66,7 +68,7 @@
 		return exit.With(exit.Invalid, fmt.Errorf("%s: %w", name, err))
 	}
 	if spans := model.Seconds / options.every; spans > maxSpans {
-		return exit.With(exit.Usage, fmt.Errorf("--every %v makes %.0f spans of %v s, of at most %d", options.every, spans, model.Seconds, maxSpans))
+		return exit.With(exit.Usage, fmt.Errorf("--every %v makes %.0f spans of %v s; at most %d are allowed", options.every, spans, model.Seconds, maxSpans))
 	}
 	report := boundsReport{Bound: fluid.Of(model, options.every)}
 	if options.losses != "" {
@@ -92,11 +94,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	return fluid.Read(file)
 }
 
-// readInTime reads the share of attempts answered in time in each span.
+// readInTime reads a losses report and returns the share of attempts answered in time
+// in each interval.
 func readInTime(name string, spans int) ([]float64, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -160,9 +163,9 @@
 	if len(lines[1].X) == 0 {
 		lines = lines[:1]
 	}
-	err = chart.Lines(file, report.Name+": share of what was asked for", lines)
-	if ended := file.Close(); err == nil {
-		err = ended
+	err = chart.Lines(file, report.Name+": share of the offered load", lines)
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/cli/devel/bounds_test.go
+++ b/internal/cli/devel/bounds_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestBoundsShowsWhatWasServedBesideIt(t *testing.T) {
+func TestBoundsShowsServedShare(t *testing.T) {
 	directory := t.TempDir()
 	model := filepath.Join(directory, "model.json")
 	assert.NilError(t, os.WriteFile(model, []byte(`{"name":"m","seconds":4,
--- a/internal/cli/devel/load.go
+++ b/internal/cli/devel/load.go
@@ -33,7 +33,7 @@
 	var options loadOptions
 	command := &cobra.Command{
 		Use:   "load EXPERIMENT",
-		Short: "Puts an experiment's load on an embedded system, or on running entries",
+		Short: "Sends the load of an experiment to an embedded system or to running entries",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -42,12 +42,12 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringSliceVar(&options.urls, "url", nil, "base URL of a running entry (repeatable); without any, the system is embedded")
-	flags.Float64Var(&options.load, "load", 0, "offered load as a share of capacity, in place of the experiment's")
-	flags.Float64Var(&options.rate, "rate", 0, "offered requests a second, in place of the experiment's load")
-	flags.IntVar(&options.duration, "duration-ms", 0, "length of the measurement, in place of the experiment's")
+	flags.StringSliceVar(&options.urls, "url", nil, "base URL of a running entry (repeatable); an embedded system is used if empty")
+	flags.Float64Var(&options.load, "load", 0, "offered load as a share of capacity; overrides that of the experiment")
+	flags.Float64Var(&options.rate, "rate", 0, "offered requests per second; overrides the load of the experiment")
+	flags.IntVar(&options.duration, "duration-ms", 0, "length of the measurement; overrides that of the experiment")
 	flags.StringVar(&options.result, "result", "", "file for the result as JSON")
-	flags.StringVar(&options.profile, "cpu-profile", "", "file for a processor profile; `go tool pprof -tags FILE` splits it by role")
+	flags.StringVar(&options.profile, "cpu-profile", "", "file for a CPU profile; `go tool pprof -tags FILE` shows it by role")
 	return command
 }
 
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if err := options.change(experiment); err != nil {
+	if err := options.apply(experiment); err != nil {
 		return err
 	}
 	stop, err := startProfile(options.profile)
@@ -75,8 +75,8 @@
 	return writeResult(options.result, result)
 }
 
-// startProfile profiles the processor time until the function that it returns
-// is called; without a file it does nothing.
+// startProfile writes a CPU profile to a file until the returned function is called. If
+// file is empty, it does nothing.
 func startProfile(file string) (func(), error) {
 	if file == "" {
 		return func() {}, nil
@@ -94,8 +94,8 @@
 	}, nil
 }
 
-// change puts the flags in place of what the experiment says.
-func (o *loadOptions) change(e *plan.Experiment) error {
+// apply overrides settings of the experiment with the flags that are set.
+func (o *loadOptions) apply(e *plan.Experiment) error {
 	if o.load > 0 {
 		e.Load, e.RatePerSecond = o.load, 0
 	}
@@ -129,7 +129,7 @@
 	return os.WriteFile(file, append(encoded, '\n'), mode)
 }
 
-// printResult writes the short table of one run.
+// printResult writes the summary of one run.
 func printResult(out io.Writer, r *tally.Result) {
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(out, format+"\n", values...) }
 	line("%s, %s: %.1f requests a second, %.1f%% allowed by capacity", r.Experiment, r.System, r.RatePerSecond, 100*r.Allowed)
--- a/internal/cli/devel/measure.go
+++ b/internal/cli/devel/measure.go
@@ -28,7 +28,7 @@
 	seed       int64
 }
 
-// defaultExperiments are measured when no file is named.
+// defaultExperiments returns the experiments that are measured if no file is given.
 func defaultExperiments() []string {
 	return []string{"samples/experiments/papierveda.json", "samples/experiments/helvetia.json"}
 }
@@ -37,9 +37,9 @@
 	options := measureOptions{repeats: 5}
 	command := &cobra.Command{
 		Use:   "measure [EXPERIMENT...]",
-		Short: "Measures attainment, cost by stage and service while a zone leaves, against the baseline",
+		Short: "Measures attainment, cost by stage and service during the loss of a zone against a baseline",
 		Long: "Runs each case of each deployment and its reference in turn, on embedded systems.\n" +
-			"Without a file it measures both sample deployments, from the root of the repository.",
+			"If no file is given, measures both sample deployments; run it in the repository's root.",
 		RunE: func(command *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -53,12 +53,12 @@
 	flags.IntVar(&options.repeats, "repeats", options.repeats, "runs of each case")
 	flags.StringSliceVar(&options.cases, "case", nil, "measure only this case (repeatable)")
 	flags.StringVar(&options.out, "out", "", "directory for results (JSON) and charts (SVG)")
-	flags.Int64Var(&options.seed, "seed", 0, "seed of the first repeat, in place of the experiment's; runs in pieces need one each")
-	flags.BoolVar(&options.sequential, "sequential", false, "measure one deployment after the other, not side by side")
+	flags.Int64Var(&options.seed, "seed", 0, "seed of the first repeat; overrides that of the experiment. Use different seeds if repeats are split over several commands")
+	flags.BoolVar(&options.sequential, "sequential", false, "measure one deployment after the other, not concurrently")
 	return command
 }
 
-// measurement is what one deployment's study found.
+// measurement is the result of the study of one deployment.
 type measurement struct {
 	Experiment string          `json:"experiment"`
 	Summaries  []study.Summary `json:"summaries"`
@@ -93,7 +93,7 @@
 	return writeMeasurements(options.out, found)
 }
 
-// lockedWriter lets deployments that are measured side by side share a terminal.
+// lockedWriter makes writes safe for deployments that are measured concurrently.
 type lockedWriter struct {
 	mu sync.Mutex
 	to io.Writer
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// drawFinding draws the first run of a case and of its reference.
+// drawFinding draws charts of the first run of a case and of its reference.
 func drawFinding(directory, name string, finding *study.Finding) error {
 	results := []*tally.Result{finding.Measured[0]}
 	if len(finding.Reference) > 0 {
@@ -176,7 +176,7 @@
 	return target.Close()
 }
 
-// slug makes a case's name fit for a file's.
+// slug returns the name of a case with spaces and dots replaced, for a file name.
 func slug(name string) string {
 	var out []rune
 	for _, r := range name {
--- a/internal/cli/devel/rollouts.go
+++ b/internal/cli/devel/rollouts.go
@@ -29,28 +29,28 @@
 	chart    string
 }
 
-// maxOrders bounds the plays of each case: a thousand take seconds.
+// maxOrders bounds the number of simulated orders of each case; a thousand take seconds.
 const maxOrders = 100_000
 
 func newRollouts() *cobra.Command {
 	options := rolloutsOptions{orders: 200, duration: 12 * time.Second, share: 0.1, spare: 50, output: "text"}
 	command := &cobra.Command{
 		Use:   "rollouts",
-		Short: "Plays orders with sound and bad versions against the ways to judge them",
-		Long: "Plays orders that a pool go to another version, in memory: sound and bad versions of\n" +
-			"several kinds, on pools of two sizes, against what is in use and against simpler ways.\n" +
-			"For each it prints how many were decided wrongly, how many candidates got more\n" +
-			"requests than they may, and when bad ones were rolled back.",
+		Short: "Simulates rollouts of good and bad versions with several methods of decision",
+		Long: "Simulates rollouts in memory: good and bad versions of several kinds, on pools of two\n" +
+			"sizes, with the method of the gateways and with simpler ones. For each it prints how many\n" +
+			"were decided wrongly, how many candidates got more requests than allowed, and when bad\n" +
+			"versions were rolled back.",
 		Args: exit.Args(cobra.NoArgs),
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runRollouts(command.OutOrStdout(), options)
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.orders, "orders", options.orders, "orders of each case")
+	flags.IntVar(&options.orders, "orders", options.orders, "number of orders of each case")
 	flags.DurationVar(&options.duration, "duration", options.duration, "time from an order to its deadline")
-	flags.Float64Var(&options.share, "share", options.share, "part of the requests that a candidate may get")
-	flags.Float64Var(&options.spare, "spare", options.spare, "requests that it may get besides")
+	flags.Float64Var(&options.share, "share", options.share, "share of the requests that a candidate may get")
+	flags.Float64Var(&options.spare, "spare", options.spare, "number of requests that a candidate may get in addition to the share")
 	flags.StringVar(&options.output, "output", options.output, "text or json")
 	flags.StringVar(&options.chart, "chart", "", "also write the wrong decisions to this file, as SVG")
 	return command
@@ -76,7 +76,7 @@
 	if err := options.check(); err != nil {
 		return exit.With(exit.Usage, err)
 	}
-	summaries := playOrders(options)
+	summaries := simulateOrders(options)
 	if options.chart != "" {
 		if err := drawOrders(options.chart, summaries); err != nil {
 			return err
@@ -90,8 +90,8 @@
 	return writeOrders(out, summaries)
 }
 
-// playOrders plays all cases, several at a time.
-func playOrders(options rolloutsOptions) []orders.Summary {
+// simulateOrders simulates all cases, several concurrently.
+func simulateOrders(options rolloutsOptions) []orders.Summary {
 	bounds := canary.Bounds{Share: options.share, Base: options.spare}
 	duration := clock.Millis(options.duration.Milliseconds())
 	var tasks []func() orders.Summary
@@ -138,8 +138,8 @@
 		bars = append(bars, chart.Bar{Label: s.Case + ", " + s.Method, Value: float64(s.Wrong) / float64(s.Orders)})
 	}
 	err = chart.Shares(file, "share of orders decided wrongly", bars)
-	if ended := file.Close(); err == nil {
-		err = ended
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/cli/devel/rollouts_test.go
+++ b/internal/cli/devel/rollouts_test.go
@@ -14,12 +14,12 @@
 	"github.com/jujubescale/jujubescale/internal/bench/orders"
 )
 
-func small() rolloutsOptions {
+func smallOptions() rolloutsOptions {
 	return rolloutsOptions{orders: 1, duration: 3 * time.Second, share: 0.1, spare: 50, output: "text"}
 }
 
 func TestRolloutsPrintsEveryCase(t *testing.T) {
-	options := small()
+	options := smallOptions()
 	options.chart = filepath.Join(t.TempDir(), "chart.svg")
 	var out bytes.Buffer
 	assert.NilError(t, runRollouts(&out, options))
@@ -45,7 +45,7 @@
 		"--spare":    func(o *rolloutsOptions) { o.spare = -1 },
 		"--output":   func(o *rolloutsOptions) { o.output = "xml" },
 	} {
-		options := small()
+		options := smallOptions()
 		change(&options)
 		assert.ErrorContains(t, runRollouts(&bytes.Buffer{}, options), name)
 	}
--- a/internal/cli/devel/root.go
+++ b/internal/cli/devel/root.go
@@ -1,4 +1,4 @@
-// Package devel is the command line of jujubedev, the developers' tool.
+// Package devel holds the command line of jujubedev, the developers' tool.
 package devel
 
 import (
@@ -11,7 +11,7 @@
 func New() *cobra.Command {
 	root := exit.Group(&cobra.Command{
 		Use:   "jujubedev",
-		Short: "Runs the whole system on embedded stand-ins, drives load, measures",
+		Short: "Runs the whole system on embedded stand-ins, generates load and measures",
 	})
 	root.AddCommand(newBounds(), newUp(), newStand(), newLoad(), newMeasure(), newRollouts(), newSlope(), newSoak())
 	return root
--- a/internal/cli/devel/slope.go
+++ b/internal/cli/devel/slope.go
@@ -21,7 +21,7 @@
 	options := slopeOptions{repeats: 3}
 	command := &cobra.Command{
 		Use:   "slope",
-		Short: "Measures what one more session, endpoint, organisation or change costs",
+		Short: "Measures the cost of one additional session, endpoint, organisation or change",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -44,7 +44,7 @@
 			return writeResult(options.result, results)
 		},
 	}
-	command.Flags().IntVar(&options.repeats, "repeats", options.repeats, "measurements at each size")
+	command.Flags().IntVar(&options.repeats, "repeats", options.repeats, "number of measurements at each size")
 	command.Flags().StringVar(&options.result, "result", "", "file for all points as JSON")
 	return command
 }
--- a/internal/cli/devel/soak.go
+++ b/internal/cli/devel/soak.go
@@ -28,7 +28,7 @@
 	var options soakOptions
 	command := &cobra.Command{
 		Use:   "soak --program PATH",
-		Short: "Runs gateways as processes, injects faults drawn from seeds and checks what must always hold",
+		Short: "Runs gateways as processes, injects faults drawn from seeds and checks invariants",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runSoak(command, options)
@@ -36,17 +36,17 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&options.program, "program", "target/jujubed", "path of jujubed")
-	flags.StringVar(&options.folder, "folder", "", "folder for settings and logs; kept for seeds that fail (default: a temporary one)")
+	flags.StringVar(&options.folder, "folder", "", "folder for settings and logs, kept for seeds that fail (default: a temporary one)")
 	flags.Uint64Var(&options.seed, "seed", 1, "first seed")
 	flags.IntVar(&options.seeds, "seeds", 1, "number of seeds")
 	flags.IntVar(&options.seconds, "seconds", 26, "length of each run")
 	flags.IntVar(&options.gateways, "gateways", 3, "number of processes")
-	flags.IntVar(&options.perSecond, "per-second", 40, "requests a second")
-	flags.BoolVar(&options.verbose, "verbose", false, "print each trouble as it strikes")
+	flags.IntVar(&options.perSecond, "per-second", 40, "requests per second")
+	flags.BoolVar(&options.verbose, "verbose", false, "print each fault when it is injected")
 	return command
 }
 
-// SoakError says that seeds broke a promise.
+// SoakError is returned if the runs of some seeds violated an invariant.
 type SoakError struct {
 	Seeds []uint64
 }
@@ -57,11 +57,11 @@
 func runSoak(command *cobra.Command, options soakOptions) error {
 	folder := options.folder
 	if folder == "" {
-		made, err := os.MkdirTemp("", "soak")
+		temporary, err := os.MkdirTemp("", "soak")
 		if err != nil {
 			return err
 		}
-		folder = made
+		folder = temporary
 	}
 	var failed []uint64
 	for i := range options.seeds {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// soakSeed plays one seed; the folder stays if it fails.
+// soakSeed runs one seed and reports whether it passed. If it passed, the folder is
+// removed.
 func soakSeed(command *cobra.Command, options soakOptions, seed uint64, folder string) (bool, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return false, err
--- a/internal/cli/devel/stand.go
+++ b/internal/cli/devel/stand.go
@@ -30,7 +30,7 @@
 	AgentAddress     string `json:"agentAddress"`
 }
 
-// StandReport is the line that `jujubedev stand` prints once it serves.
+// StandReport is the line that `jujubedev stand` prints when the stand-ins are ready.
 type StandReport struct {
 	PlatformURL string          `json:"platformUrl"`
 	ControlURL  string          `json:"controlUrl"`
@@ -41,10 +41,10 @@
 	options := standOptions{platform: "127.0.0.1:0", agentHost: "127.0.0.1", firstPort: 7100, endpoints: 3}
 	command := &cobra.Command{
 		Use:   "stand",
-		Short: "Runs the stand-ins alone, for entries and agents that are processes of their own",
-		Long: "Runs the stand-ins of the platform and of the endpoints, and prints where they\n" +
-			"listen as one line of JSON. The agent of the n-th endpoint is expected on\n" +
-			"--agent-host at --first-port + n.",
+		Short: "Runs only the stand-ins, for entries and agents that run as separate processes",
+		Long: "Runs the stand-ins of the platform and of the endpoints, and prints their addresses\n" +
+			"as one line of JSON. The agent of the n-th endpoint has to listen on --agent-host\n" +
+			"at port --first-port + n.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return runStand(command, options) },
 	}
@@ -86,13 +86,14 @@
 	return nil
 }
 
-// StandLedger is what the plain services ran.
+// StandLedger holds the keys of calls that the plain services ran more than once, and
+// the number of runs of the requested key.
 type StandLedger struct {
 	Doubled []string `json:"doubled"`
 	Runs    int      `json:"runs"`
 }
 
-// standControl lets a test ask the stand-ins what they saw and make faults happen.
+// standControl returns a handler with which tests read the ledger and inject faults.
 func standControl(system *whole.Whole) http.Handler {
 	router := chi.NewRouter()
 	router.Get("/ledger", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/cli/devel/up.go
+++ b/internal/cli/devel/up.go
@@ -41,7 +41,7 @@
 	}
 	command.Flags().StringVar(&options.listen, "listen", options.listen, "address of the first entry (IP:port)")
 	command.Flags().IntVar(&options.endpoints, "endpoints", options.endpoints, "endpoints in each pool")
-	command.Flags().StringVar(&options.logLevel, "log-level", options.logLevel, "least level that is logged: debug, info, warn or error")
+	command.Flags().StringVar(&options.logLevel, "log-level", options.logLevel, "minimum level of logged lines: debug, info, warn or error")
 	command.Flags().IntVar(&options.entries, "entries", options.entries, "number of entries")
 	return command
 }
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// printUp shows where the system listens and calls that work as they stand.
+// printUp prints the addresses of the system and example calls that can be copied.
 func printUp(out io.Writer, system *whole.Whole) {
 	for _, front := range system.Fronts {
 		_, _ = fmt.Fprintf(out, "entry in availability zone %s on http://%s\n", front.Zone, front.Address)
@@ -73,6 +73,6 @@
 	_, _ = fmt.Fprintf(out, "platform stand-in on %s\n\n", system.PlatformURL)
 	bearer := "-H 'Authorization: Bearer " + whole.SampleToken + "'"
 	_, _ = fmt.Fprintf(out, "A pipeline, streamed:\n  curl -N %s %s/v1/services/setup-sheets -d '{\"input\":\"glue and fold 42\",\"stream\":true}'\n", bearer, system.URL())
-	_, _ = fmt.Fprintf(out, "A call that may not be repeated:\n  curl %s -H 'Idempotency-Key: reel-1' %s/v1/services/orders/call/bookings -d '{\"reel\":1}'\n", bearer, system.URL())
-	_, _ = fmt.Fprintf(out, "What operators see:\n  go run ./cmd/jujubectl status --platform %s\n", system.PlatformURL)
+	_, _ = fmt.Fprintf(out, "A call that must not be repeated:\n  curl %s -H 'Idempotency-Key: reel-1' %s/v1/services/orders/call/bookings -d '{\"reel\":1}'\n", bearer, system.URL())
+	_, _ = fmt.Fprintf(out, "The status for operators:\n  go run ./cmd/jujubectl status --platform %s\n", system.PlatformURL)
 }
--- a/internal/cli/devel/up_test.go
+++ b/internal/cli/devel/up_test.go
@@ -19,7 +19,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// output keeps what a command prints while it runs.
+// output collects the output of a command while it runs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
