--- a/internal/cli/state/losses.go
+++ b/internal/cli/state/losses.go
@@ -117,7 +117,7 @@
 	return file.Close()
 }
 
-// outcomes lists the outcomes in the order of the table columns.
+// outcomes in the order of the tables.
 var outcomes = []losses.Outcome{losses.InTime, losses.Late, losses.Refused, losses.Failed, losses.Left}
 
 func writeLosses(out io.Writer, report *losses.Report) {
@@ -152,7 +152,7 @@
 		report.Lines, report.Skipped, report.Dropped, report.LeftOut)
 }
 
-// mostFor returns the most frequent cause of an interval.
+// mostFor returns the most frequent cause of a span.
 func mostFor(span *losses.Span) losses.Cause {
 	var causes []losses.Cause
 	for cause := range span.Causes {
