--- a/internal/cli/desk/desk.go
+++ b/internal/cli/desk/desk.go
@@ -46,16 +46,16 @@
 }
 
 // Apply puts a manifest into force as another operator.
-func (d *System) Apply(t *testing.T, manifest *manif.Manifest, who string) {
+func (s *System) Apply(t *testing.T, manifest *manif.Manifest, who string) {
 	t.Helper()
-	_, err := d.Operator.Apply(t.Context(), manifest, apply.Change{Who: who})
+	_, err := s.Operator.Apply(t.Context(), manifest, apply.Change{Who: who})
 	assert.NilError(t, err)
 }
 
 // Head returns the head that the platform holds.
-func (d *System) Head(t *testing.T) *head.Head {
+func (s *System) Head(t *testing.T) *head.Head {
 	t.Helper()
-	current, err := head.Decode(d.Platform.Get(head.Object).Value)
+	current, err := head.Decode(s.Platform.Get(head.Object).Value)
 	assert.NilError(t, err)
 	return current
 }
@@ -115,7 +115,7 @@
 
 // AddDaemon starts a daemon on a host and adds the host to the platform's list. The
 // daemon stops at the end of the test.
-func (d *System) AddDaemon(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
+func (s *System) AddDaemon(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
 	t.Helper()
 	daemon := &Daemon{status: admin.Status{Process: host.Name, Role: host.Role, Ready: true}}
 	options = append(options, admin.WithStatus(daemon.currentStatus), admin.WithRequest(daemon.lookup))
@@ -123,8 +123,8 @@
 	t.Cleanup(daemon.server.Close)
 	host.State = store.HostLive
 	host.Operators = strings.TrimPrefix(daemon.server.URL, "http://")
-	d.hosts = append(d.hosts, host)
-	d.Platform.SetHosts(d.hosts)
+	s.hosts = append(s.hosts, host)
+	s.Platform.SetHosts(s.hosts)
 	return daemon
 }
 
@@ -142,15 +142,15 @@
 }
 
 // Run executes args with the command that build returns, without standard input.
-func (d *System) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Result {
+func (s *System) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
-	return d.RunWith(t, "", build, args...)
+	return s.RunWith(t, "", build, args...)
 }
 
 // RunWith executes args with the command that build returns and with a standard input.
-func (d *System) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Result {
+func (s *System) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
-	t.Setenv("JUJUBECTL_PLATFORM", d.url)
+	t.Setenv("JUJUBECTL_PLATFORM", s.url)
 	t.Setenv("JUJUBECTL_WHO", "tester")
 	options := reach.New()
 	root := &cobra.Command{Use: "jujubectl"}
