--- a/internal/cli/desk/desk.go
+++ b/internal/cli/desk/desk.go
@@ -1,6 +1,5 @@
-// Package desk is an operator's desk for tests: a stand-in of the platform,
-// daemons that have an operators' port and nothing else, and a way to run
-// jujubectl's subcommands against them.
+// Package desk runs the subcommands of jujubectl in tests, against a stand-in of the
+// platform and against daemons that have only an operators' port.
 package desk
 
 import (
@@ -26,67 +25,67 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// Desk is one operator's desk.
-type Desk struct {
+// System is a stand-in of the platform with its daemons.
+type System struct {
 	Platform *plat.Plat
-	// Operator is another operator, who acts without jujubectl.
+	// Operator changes the configuration without jujubectl, as another operator would.
 	Operator *apply.Operator
 
 	url   string
 	hosts []store.Host
 }
 
-// New starts a platform. It ends with the test.
-func New(t *testing.T) *Desk {
+// New starts a stand-in of the platform, which stops at the end of the test.
+func New(t *testing.T) *System {
 	t.Helper()
 	platform := plat.New()
 	server := httptest.NewServer(platform.Handler())
 	t.Cleanup(server.Close)
 	operator := apply.New(client.New(server.URL).Store(), apply.WithCheck(check.Fill))
-	return &Desk{Platform: platform, Operator: operator, url: server.URL}
+	return &System{Platform: platform, Operator: operator, url: server.URL}
 }
 
 // Apply puts a manifest into force as another operator.
-func (d *Desk) Apply(t *testing.T, manifest *manif.Manifest, who string) {
+func (s *System) Apply(t *testing.T, manifest *manif.Manifest, who string) {
 	t.Helper()
-	_, err := d.Operator.Apply(t.Context(), manifest, apply.Change{Who: who})
+	_, err := s.Operator.Apply(t.Context(), manifest, apply.Change{Who: who})
 	assert.NilError(t, err)
 }
 
-// Head reads the head as the platform holds it.
-func (d *Desk) Head(t *testing.T) *head.Head {
+// Head returns the head that the platform holds.
+func (s *System) Head(t *testing.T) *head.Head {
 	t.Helper()
-	current, err := head.Decode(d.Platform.Get(head.Object).Value)
+	current, err := head.Decode(s.Platform.Get(head.Object).Value)
 	assert.NilError(t, err)
 	return current
 }
 
-// Daemon is a daemon that has an operators' port only.
+// Daemon is a daemon that has only an operators' port.
 type Daemon struct {
 	mu      sync.Mutex
 	status  admin.Status
 	request *admin.Request
 	server  *httptest.Server
-	// platform is set when the daemon follows it.
+	// platform, if not nil, sets the release of the status.
 	platform *plat.Plat
 }
 
-// Set changes what the daemon says.
-func (d *Daemon) Set(change func(status *admin.Status)) {
+// SetStatus changes the status of the daemon.
+func (d *Daemon) SetStatus(change func(status *admin.Status)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.status)
 }
 
-// Follow makes the daemon say at once what the platform holds.
-func (d *Daemon) Follow(platform *plat.Plat) {
+// FollowRelease makes the daemon report the release that the platform holds.
+func (d *Daemon) FollowRelease(platform *plat.Plat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.platform = platform
 }
 
-// Remember gives the daemon a request that it knows.
-func (d *Daemon) Remember(request *admin.Request) {
+// SetRequest sets the only request of which the daemon has a record.
+func (d *Daemon) SetRequest(request *admin.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.request = request
@@ -95,7 +94,7 @@
 // Close makes the daemon unreachable.
 func (d *Daemon) Close() { d.server.Close() }
 
-func (d *Daemon) said() admin.Status {
+func (d *Daemon) currentStatus() admin.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	status := d.status
@@ -105,7 +104,7 @@
 	return status
 }
 
-func (d *Daemon) remembered(id string) *admin.Request {
+func (d *Daemon) lookup(id string) *admin.Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.request == nil || d.request.RequestID != id {
@@ -114,43 +113,44 @@
 	return d.request
 }
 
-// Add starts a daemon on a host and puts the host on the platform's list.
-func (d *Desk) Add(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
+// AddDaemon starts a daemon on a host and adds the host to the platform's list. The
+// daemon stops at the end of the test.
+func (s *System) AddDaemon(t *testing.T, host store.Host, options ...admin.Option) *Daemon {
 	t.Helper()
 	daemon := &Daemon{status: admin.Status{Process: host.Name, Role: host.Role, Ready: true}}
-	options = append(options, admin.WithStatus(daemon.said), admin.WithRequest(daemon.remembered))
+	options = append(options, admin.WithStatus(daemon.currentStatus), admin.WithRequest(daemon.lookup))
 	daemon.server = httptest.NewServer(admin.New(options...).Handler())
 	t.Cleanup(daemon.server.Close)
 	host.State = store.HostLive
 	host.Operators = strings.TrimPrefix(daemon.server.URL, "http://")
-	d.hosts = append(d.hosts, host)
-	d.Platform.SetHosts(d.hosts)
+	s.hosts = append(s.hosts, host)
+	s.Platform.SetHosts(s.hosts)
 	return daemon
 }
 
-// Ran is what a command came to.
-type Ran struct {
+// Result holds the output and the exit code of a command.
+type Result struct {
 	Out  string
 	Err  string
 	Code exit.Code
 }
 
-// JSON reads the command's output into a value.
-func (r Ran) JSON(t *testing.T, into any) {
+// JSON decodes the command's output into a value.
+func (r Result) JSON(t *testing.T, into any) {
 	t.Helper()
 	assert.NilError(t, json.Unmarshal([]byte(r.Out), into), "%s%s", r.Out, r.Err)
 }
 
-// Run runs one of the commands that build returns, as an operator types it.
-func (d *Desk) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Ran {
+// Run executes args with the command that build returns, without standard input.
+func (s *System) Run(t *testing.T, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
-	return d.RunWith(t, "", build, args...)
+	return s.RunWith(t, "", build, args...)
 }
 
-// RunWith runs a command with a standard input.
-func (d *Desk) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Ran {
+// RunWith executes args with the command that build returns and with a standard input.
+func (s *System) RunWith(t *testing.T, input string, build func(*reach.Options) *cobra.Command, args ...string) Result {
 	t.Helper()
-	t.Setenv("JUJUBECTL_PLATFORM", d.url)
+	t.Setenv("JUJUBECTL_PLATFORM", s.url)
 	t.Setenv("JUJUBECTL_WHO", "tester")
 	options := reach.New()
 	root := &cobra.Command{Use: "jujubectl"}
@@ -161,5 +161,5 @@
 	root.SetErr(&errs)
 	root.SetIn(strings.NewReader(input))
 	code := exit.RunContext(t.Context(), root, args)
-	return Ran{Out: out.String(), Err: errs.String(), Code: code}
+	return Result{Out: out.String(), Err: errs.String(), Code: code}
 }
--- a/internal/cli/state/state_test.go
+++ b/internal/cli/state/state_test.go
@@ -24,11 +24,11 @@
 func TestStatus(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry", AvailabilityZone: "za"}).Set(func(s *admin.Status) { s.Release = 1 })
-	d.Add(t, store.Host{Name: "entry-2", Role: "entry", AvailabilityZone: "zb"}).Set(func(s *admin.Status) {
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry", AvailabilityZone: "za"}).SetStatus(func(s *admin.Status) { s.Release = 1 })
+	d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry", AvailabilityZone: "zb"}).SetStatus(func(s *admin.Status) {
 		s.Ready, s.NotReady = false, "leaving"
 	})
-	d.Add(t, store.Host{Name: "entry-3", Role: "entry", AvailabilityZone: "zc"}).Close()
+	d.AddDaemon(t, store.Host{Name: "entry-3", Role: "entry", AvailabilityZone: "zc"}).Close()
 	ran := d.Run(t, state.NewStatus, "status")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	for _, part := range []string{"release 1 by anna", "ready", "not ready: leaving", "not seen: "} {
@@ -40,11 +40,11 @@
 	assert.Equal(t, d.Run(t, state.NewStatus, "status", "--output=yaml").Code, exit.Usage)
 }
 
-// A caller reports the id of a request that failed. Only one entry saw it.
-func TestRequestIsFoundWhereverItWas(t *testing.T) {
+// A request is found although only one of the entries has a record of it.
+func TestRequestIsFoundOnAnyDaemon(t *testing.T) {
 	d := desk.New(t)
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"})
-	d.Add(t, store.Host{Name: "entry-2", Role: "entry"}).Remember(&admin.Request{
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"})
+	d.AddDaemon(t, store.Host{Name: "entry-2", Role: "entry"}).SetRequest(&admin.Request{
 		RequestID: "5f", Process: "entry-2", Service: "orders", State: "refused", Reason: fault.QueueFull, Ran: fault.NotRun,
 		Attempts: []admin.Attempt{{Pool: "orders", Endpoint: "orders-1", State: "refused", Reason: fault.QueueFull}},
 	})
@@ -56,19 +56,19 @@
 	assert.Assert(t, strings.Contains(missing.Err, "none of 2 daemons"), missing.Err)
 }
 
-// An operator without the token learns nothing of a daemon.
-func TestDaemonsThatWantAToken(t *testing.T) {
+// Guards against access without a token: the status shows that a daemon refused the
+// call and nothing else about it.
+func TestDaemonsThatRequireAToken(t *testing.T) {
 	d := desk.New(t)
 	d.Apply(t, whole.Sample(), "anna")
 	sum := sha256.Sum256([]byte("secret"))
-	d.Add(t, store.Host{Name: "entry-1", Role: "entry"}, admin.WithTokenHashes([]string{hex.EncodeToString(sum[:])}))
+	d.AddDaemon(t, store.Host{Name: "entry-1", Role: "entry"}, admin.WithTokenHashes([]string{hex.EncodeToString(sum[:])}))
 	ran := d.Run(t, state.NewStatus, "status")
 	assert.Assert(t, strings.Contains(ran.Out, "answered status 401"), ran.Out)
 }
 
-// A caller reports a failed request, and all that is left are the logs of
-// several processes. The command shows its way through them without asking any
-// daemon.
+// The history of a failed request can be shown from the logs of several processes
+// alone, without a call to a daemon.
 func TestRequestIsTracedThroughLogs(t *testing.T) {
 	d := desk.New(t)
 	const log = `time=2026-03-01T10:00:04.200Z level=info msg="request ended" process=gw-1 request=5f status=503 reason=noEndpoint
@@ -89,8 +89,8 @@
 	assert.Equal(t, d.RunWith(t, log, state.NewRequest, "request", "trace", "").Code, exit.Usage)
 }
 
-// A tenth of the callers complain. One command over the logs says which requests
-// were lost and for what.
+// The report shows from the logs of several processes which requests were not answered
+// in time, and the cause.
 func TestLossesAreReadFromLogs(t *testing.T) {
 	d := desk.New(t)
 	const log = `time=2026-03-01T10:00:04.200Z level=info msg="request ended" process=gw-1 request=5f route=r status=503 reason=overloaded pool=enc
@@ -119,16 +119,16 @@
 		name string
 		args []string
 		code exit.Code
-		says string
+		want string
 	}{
 		{"no end of a request", nil, exit.NotFound, "none of 1 lines"},
 		{"no such file", []string{"missing.log"}, exit.Usage, "missing.log"},
-		{"no span", []string{"--every=0"}, exit.Usage, "--every is 0"},
+		{"interval of length 0", []string{"--every=0"}, exit.Usage, "--every is 0"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ran := d.RunWith(t, "nothing here\n", state.NewLosses, append([]string{"losses"}, tt.args...)...)
 			assert.Equal(t, ran.Code, tt.code)
-			assert.Assert(t, strings.Contains(ran.Err, tt.says), ran.Err)
+			assert.Assert(t, strings.Contains(ran.Err, tt.want), ran.Err)
 		})
 	}
 }
