--- a/internal/bench/soak/engine.go
+++ b/internal/bench/soak/engine.go
@@ -6,30 +6,29 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// engine is an engine and the proxy before it.
+// engine is an engine and the proxy in front of it.
 type engine struct {
 	*stand.Engine
 	proxy *Proxy
-	// ended says that its version was replaced or rolled back.
+	// ended is set once its version was replaced or rolled back.
 	ended atomic.Bool
 }
 
-// end stops the engine at once.
+// end makes the engine unreachable at once and for good.
 func (e *engine) end() {
 	e.ended.Store(true)
-	e.proxy.Set(Harm{Refuse: true})
+	e.proxy.SetFault(LinkFault{Refuse: true})
 	e.proxy.Reset()
 }
 
-// engineAt returns the engine with a number.
+// engineAt returns the engine with the given number, modulo the number of engines.
 func (r *run) engineAt(number int) *engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.engines[number%len(r.engines)]
 }
 
-// enginesOf returns the engines of a service that have not ended, in the order in
-// which they were started.
+// enginesOf returns the engines of a service that have not ended, in start order.
 func (r *run) enginesOf(service string) []*engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// fault is an unplanned trouble.
+// fault is an unplanned disturbance.
 type fault struct {
 	kind Kind
-	// process is the one that it concerns, nil for all.
+	// process is the affected process; nil means all.
 	process *process
 	// to is zero while it lasts.
 	from, to time.Time
 }
 
-// faultLog is what was unplanned in a run; the zero value has nothing.
+// faultLog records the unplanned disturbances of a run; the zero value is empty.
 type faultLog struct {
-	mu  sync.Mutex
-	all []*fault
-	// lastEngine is when the operator last ended an engine.
-	lastEngine time.Time
+	mu     sync.Mutex
+	faults []*fault
+	// lastEngineEnd is the time at which the operator last ended an engine.
+	lastEngineEnd time.Time
 }
 
-// engineEnds notes that the operator ends an engine.
-func (f *faultLog) engineEnds() {
+// recordEngineEnd records that the operator ends an engine now.
+func (f *faultLog) recordEngineEnd() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastEngine = time.Now()
+	f.lastEngineEnd = time.Now()
 }
 
-// engineEnded reports whether the operator has ended an engine since a time.
+// engineEnded reports whether the operator has ended an engine since the given time.
 func (f *faultLog) engineEnded(since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lastEngine.Before(since)
+	return !f.lastEngineEnd.Before(since)
 }
 
-// begin notes a fault and returns what notes its end.
+// begin records the start of a fault and returns a function that records its end.
 func (f *faultLog) begin(kind Kind, who *process) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	begun := &fault{kind: kind, process: who, from: time.Now()}
-	f.all = append(f.all, begun)
+	f.faults = append(f.faults, begun)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -50,31 +50,32 @@
 	}
 }
 
-// between reports whether a process had a fault in a span of time, one of the given
-// kinds or, without any, of whatever kind.
-func (f *faultLog) between(from, to time.Time, who *process, kinds ...Kind) bool {
+// overlapping reports whether a fault of a process overlaps a time span. Without kinds
+// it considers faults of every kind.
+func (f *faultLog) overlapping(from, to time.Time, who *process, kinds ...Kind) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.all, func(one *fault) bool {
+	return slices.ContainsFunc(f.faults, func(one *fault) bool {
 		concerns := one.process == nil || one.process == who
 		overlaps := !one.from.After(to) && (one.to.IsZero() || !one.to.Before(from))
 		return concerns && overlaps && (len(kinds) == 0 || slices.Contains(kinds, one.kind))
 	})
 }
 
-// disturbs returns whether a trouble is unplanned, and the process that it concerns,
-// nil for all. Stops, reloads, configurations and engines that leave are planned.
-func (r *run) disturbs(t Trouble, index int) (who *process, unplanned bool) {
-	switch t.Kind {
+// unplannedOn reports whether a disturbance is unplanned and returns the affected
+// process; nil means all. Stops, reloads, new configurations, evacuated zones and
+// engines that leave are planned.
+func (r *run) unplannedOn(d Disturbance, index int) (affected *process, unplanned bool) {
+	switch d.Kind {
 	case Terminate, RollingStop, Reload, Configure, EngineLeaves, EmptyZone:
 		return nil, false
 	case ResetLinks, SilenceLinks, DelayLinks, CutOneWay:
-		if t.Subject%linkKinds == engineLink {
+		if d.Subject%linkKinds == engineLink {
 			return nil, true
 		}
-		return r.pick(index), true
+		return r.processAt(index), true
 	case Kill, Pause, CutStore:
-		return r.pick(index), true
+		return r.processAt(index), true
 	default:
 		return nil, true
 	}
--- a/internal/bench/soak/keeper.go
+++ b/internal/bench/soak/keeper.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// keepers are the callers of each process that keep a connection.
-	keepers = 4
-	// redialPause is the time between two tries to open one.
+	// callersPerProcess is the number of callers of each process that keep a connection
+	// open.
+	callersPerProcess = 4
+	// redialPause is the time between two attempts to open a connection.
 	redialPause = 10 * time.Millisecond
-	// idleMost and gapMost bound the pause before a request and that in the middle of
-	// it: about what a port takes to close.
-	idleMost = 300 * time.Millisecond
-	gapMost  = 60 * time.Millisecond
+	// maxIdle and maxGap are the longest pauses before and within a request: about the
+	// time that a port takes to close.
+	maxIdle = 300 * time.Millisecond
+	maxGap  = 60 * time.Millisecond
 )
 
-// keeper is a caller that sends one request after the other on a connection of its
-// own. There is no proxy on it: one that resets a connection may lose an answer that
-// is on its way, and what ends here without one was ended by the process.
-type keeper struct {
+// persistentCaller sends requests one at a time on its own connection. It uses no
+// proxy, because a reset by a proxy may lose an answer in flight; so the process itself
+// has closed each connection that ends without an answer.
+type persistentCaller struct {
 	*run
 	process *process
 	random  *rand.Rand
 }
 
-// startKeepers starts the keepers of all processes.
-func (r *run) startKeepers(ctx context.Context) {
-	for i := range keepers * len(r.processes) {
-		k := &keeper{run: r, process: r.pick(i), random: rand.New(rand.NewPCG(r.Seed, 23+uint64(i)))}
+// startPersistentCallers starts the persistent callers of all processes.
+func (r *run) startPersistentCallers(ctx context.Context) {
+	for i := range callersPerProcess * len(r.processes) {
+		k := &persistentCaller{run: r, process: r.processAt(i), random: rand.New(rand.NewPCG(r.Seed, 23+uint64(i)))}
 		r.group.Add(1)
 		go func() {
 			defer r.group.Done()
@@ -42,8 +43,8 @@
 	}
 }
 
-// serve opens connections, each once the last one was closed, until the run ends.
-func (k *keeper) serve(ctx context.Context) {
+// serve opens a new connection each time the last one was closed, until the run ends.
+func (k *persistentCaller) serve(ctx context.Context) {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", k.process.ports.callers, time.Second)
 		if err != nil {
@@ -55,12 +56,12 @@
 	}
 }
 
-// use sends requests until the process closes the connection or says that it will.
-func (k *keeper) use(ctx context.Context, c net.Conn) {
-	current, replies := k.process.currentLife(), bufio.NewReader(c)
+// use sends requests until the process closes the connection or announces its close.
+func (k *persistentCaller) use(ctx context.Context, c net.Conn) {
+	current, replies := k.process.currentIncarnation(), bufio.NewReader(c)
 	for {
 		if k.random.IntN(2) == 0 {
-			pause(ctx, time.Duration(k.random.Int64N(int64(idleMost))))
+			pause(ctx, time.Duration(k.random.Int64N(int64(maxIdle))))
 		}
 		if ctx.Err() != nil {
 			return
@@ -68,13 +69,13 @@
 		s := requests[k.random.IntN(len(requests))]()
 		began := time.Now()
 		if k.send(c, s) != nil {
-			return // a part of a request needs no answer
+			return // an incomplete request needs no answer
 		}
 		k.kept.Add(1)
 		sent := time.Now()
 		got := k.client.Receive(replies, s)
 		if got.Status == 0 || got.Truncated {
-			k.checkUnanswered(&unanswered{id: s.ID, process: k.process, life: current, began: began, sent: sent, ended: time.Now(), got: got})
+			k.checkUnanswered(&unanswered{id: s.ID, process: k.process, incarnation: current, began: began, sent: sent, ended: time.Now(), got: got})
 		}
 		if got.Closing {
 			return
@@ -82,13 +83,13 @@
 	}
 }
 
-// send writes a request, some of them in two parts.
-func (k *keeper) send(c net.Conn, s *stand.Request) error {
+// send writes a request; a third of the requests are written in two parts.
+func (k *persistentCaller) send(c net.Conn, s *stand.Request) error {
 	raw, err := k.client.Encode(s)
 	if err != nil {
 		return err
 	}
-	if err := c.SetDeadline(time.Now().Add(time.Duration(s.DeadlineMs)*time.Millisecond + tardy)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(time.Duration(s.DeadlineMs)*time.Millisecond + deadlineTolerance)); err != nil {
 		return err
 	}
 	if k.random.IntN(3) == 0 {
@@ -96,7 +97,7 @@
 		if _, err := c.Write(raw[:first]); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(k.random.Int64N(int64(gapMost))))
+		time.Sleep(time.Duration(k.random.Int64N(int64(maxGap))))
 		raw = raw[first:]
 	}
 	_, err = c.Write(raw)
--- a/internal/bench/soak/late_test.go
+++ b/internal/bench/soak/late_test.go
@@ -14,9 +14,9 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// Guards against callers whose requests are cut without an answer by the kill at the end
-// of the grace, because the process had no processor time when SIGTERM came.
-func TestStopThatIsNoticedLateEndsWithinItsGrace(t *testing.T) {
+// Guards against requests that get no answer because the process got no processor time
+// when SIGTERM arrived: it started its grace period late and was killed before its end.
+func TestStopOfPausedProcessEndsWithinItsGrace(t *testing.T) {
 	const long, late = 8 * time.Second, 900 * time.Millisecond
 	path := filepath.Join(t.TempDir(), "jujubed")
 	out, err := exec.Command("go", "build", "-o", path, "../../../cmd/jujubed").CombinedOutput()
@@ -24,13 +24,13 @@
 	r, err := newRun(Options{Program: path, Folder: t.TempDir(), Gateways: 1, Out: io.Discard})
 	assert.NilError(t, err)
 	defer r.close()
-	assert.NilError(t, r.await(t.Context()))
+	assert.NilError(t, r.awaitReady(t.Context()))
 	p := r.processes[0]
 	p.grace = long
 	assert.NilError(t, p.writeSettings(zones[0], 0))
-	p.signal(syscall.SIGKILL) // it starts again with the longer grace
+	p.signal(syscall.SIGKILL) // the restart loads the longer grace period
 	time.Sleep(2 * restartPause)
-	assert.NilError(t, r.await(t.Context()))
+	assert.NilError(t, r.awaitReady(t.Context()))
 
 	r.deployment.Config.Routes[0].TimeoutMs = 20_000
 	r.deployment.Publish()
@@ -42,9 +42,9 @@
 	s.DeadlineMs = 20_000
 	got := make(chan stand.Outcome, 1)
 	go func() { got <- r.client.Do(context.Background(), p.ports.callers, s) }()
-	time.Sleep(300 * time.Millisecond) // until it waits for its engine
+	time.Sleep(300 * time.Millisecond) // until the request is at its engine
 
-	stopping := p.currentLife()
+	stopping := p.currentIncarnation()
 	p.signal(syscall.SIGSTOP)
 	p.signal(syscall.SIGTERM)
 	time.Sleep(late)
--- a/internal/bench/soak/order.go
+++ b/internal/bench/soak/order.go
@@ -8,26 +8,26 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// Bounds of rollouts, as the processes' settings have them.
+// Bounds of rollouts in the settings of the processes.
 const (
-	rolloutShare  = 0.1
-	rolloutSpare  = 50
-	rolloutWithin = 5 * time.Second
+	rolloutShare = 0.1
+	rolloutSpare = 50
+	rollbackTime = 5 * time.Second
 )
 
 const (
-	// orderTime is the time from an order to its deadline, orderPause that between
-	// two orders.
-	orderTime  = 6 * time.Second
-	orderPause = 500 * time.Millisecond
-	// decideAfter is how much later than its deadline an order may be decided while
-	// processes and the store fail.
-	decideAfter = 6 * time.Second
-	// stray is a version that nobody orders.
-	stray = "stray"
+	// orderDuration is the time from an order to its deadline, orderPause the time
+	// between two orders.
+	orderDuration = 6 * time.Second
+	orderPause    = 500 * time.Millisecond
+	// decisionTolerance is the time after its deadline by which an order must be decided;
+	// failures of processes and of the store delay decisions.
+	decisionTolerance = 6 * time.Second
+	// unorderedVersion is a version that the operator never orders.
+	unorderedVersion = "stray"
 )
 
-// versions of candidates, and whether they are bad.
+// versions are the candidates that the operator orders.
 var versions = []struct {
 	name  string
 	fault stand.Fault
@@ -36,23 +36,24 @@
 	{"v2", stand.Fault{}, false}, {"v3", stand.Fault{Every: 3, Fail: true}, true}, {"v4", stand.Fault{}, false},
 }
 
-// addStray starts an engine of a version that no order names.
-func (r *run) addStray() error {
+// addUnorderedVersion starts an engine of a version that no order names.
+func (r *run) addUnorderedVersion() error {
 	e := engines(zones[0])[0]
-	e.Version = stray
+	e.Version = unorderedVersion
 	return r.addEngine(e)
 }
 
-// operate plays the operator: one order after the other, of a service and a version
-// drawn from the seed, until there is no time for another one.
+// operate acts as the operator: it issues one order at a time, for a service and a
+// version that the seed determines, until the remaining time is too short for another
+// order.
 func (r *run) operate(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 13))
 	inForce := make(map[string]string)
-	for time.Since(r.began) < r.Length-orderTime-decideAfter && ctx.Err() == nil {
+	for time.Since(r.started) < r.Length-orderDuration-decisionTolerance && ctx.Err() == nil {
 		kind, version := random.IntN(len(engines(zones[0]))), versions[random.IntN(len(versions))]
 		order := &stand.Rollout{
-			Service: engines(zones[0])[kind].Service, Version: version.name, Duration: orderTime, Bad: version.bad,
-			Share: rolloutShare, BaseAllowance: rolloutSpare, RollbackTime: rolloutWithin,
+			Service: engines(zones[0])[kind].Service, Version: version.name, Duration: orderDuration, Bad: version.bad,
+			Share: rolloutShare, BaseAllowance: rolloutSpare, RollbackTime: rollbackTime,
 		}
 		if inForce[order.Service] == version.name {
 			continue
@@ -64,14 +65,14 @@
 	}
 }
 
-// States of orders in the platform's words.
+// States of orders as the platform names them.
 const (
 	completed  = "completed"
 	rolledBack = "rolled_back"
 )
 
-// carryOut starts the engines of a version, orders it and returns how it ended, ""
-// if it didn't.
+// carryOut starts the engines of a version, orders the version and returns the final
+// state of the order, "" if it was not decided.
 func (r *run) carryOut(order *stand.Rollout, kind int, fault stand.Fault) string {
 	before := r.enginesOf(order.Service)
 	var added []*engine
@@ -79,16 +80,16 @@
 		e := engines(zone)[kind]
 		e.Version = order.Version
 		if err := r.addEngine(e); err != nil {
-			r.breach("engine of %s: %v", order.Version, err)
+			r.addViolation("engine of %s: %v", order.Version, err)
 			return ""
 		}
 		e.SetFault(fault)
 	}
 	added = r.enginesOf(order.Service)[len(before):]
 	r.deployment.Order(order)
-	state := r.deployment.AwaitDecision(order, decideAfter)
+	state := r.deployment.AwaitDecision(order, decisionTolerance)
 	if state == "" {
-		r.breach("%s to %s was not decided", order.Service, order.Version)
+		r.addViolation("%s to %s was not decided", order.Service, order.Version)
 		return ""
 	}
 	ended := before
@@ -96,33 +97,35 @@
 		ended = added
 	}
 	for _, e := range ended {
-		if e.Version != stray {
-			r.faults.engineEnds()
+		if e.Version != unorderedVersion {
+			r.faults.recordEngineEnd()
 			e.end()
 			r.deployment.Remove(e.Engine)
 		}
 	}
 	if order.Bad && state == completed {
-		// With processes killed and paused there may be too few answers to find it.
+		// While processes are killed and paused, there may be too few answers to detect a
+		// bad version.
 		order.Bad = false
-		mend(added)
+		clearFaults(added)
 	}
-	for _, breach := range r.deployment.CheckExposure(order) {
-		r.breach("%s", breach)
+	for _, violation := range r.deployment.CheckExposure(order) {
+		r.addViolation("%s", violation)
 	}
 	return state
 }
 
-// mend ends what candidates do wrong, as an operator does who finds it afterwards.
-func mend(engines []*engine) {
+// clearFaults removes the faults of engines, like an operator who detects a bad version
+// after its rollout.
+func clearFaults(engines []*engine) {
 	for _, e := range engines {
 		e.SetFault(stand.Fault{})
 	}
 }
 
-// checkStray notes requests that reached the version that nobody ordered.
-func (r *run) checkStray() {
-	if count := r.deployment.Ledger.CountArrivals(engines(zones[0])[0].Service, stray, r.began); count > 0 {
-		r.breach("%d requests reached a version that no order names", count)
+// checkUnorderedVersion reports requests that reached the version that was never ordered.
+func (r *run) checkUnorderedVersion() {
+	if count := r.deployment.Ledger.CountArrivals(engines(zones[0])[0].Service, unorderedVersion, r.started); count > 0 {
+		r.addViolation("%d requests reached a version that no order names", count)
 	}
 }
--- a/internal/bench/soak/plan.go
+++ b/internal/bench/soak/plan.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Kind is what goes wrong.
+// Kind is the kind of a disturbance.
 type Kind string
 
-// Kinds of trouble.
+// Kinds of disturbances.
 const (
 	Kill         Kind = "kill"
 	Pause        Kind = "pause"
@@ -34,64 +34,66 @@
 	RollingStop Kind = "rollingStop"
 )
 
-// Kinds lists all of them.
-func Kinds() []Kind { return append(mixed(), RollingStop) }
+// Kinds returns all kinds.
+func Kinds() []Kind { return append(overlappingKinds(), RollingStop) }
 
-// mixed are the kinds that come at the same time as others.
-func mixed() []Kind {
+// overlappingKinds returns the kinds that may overlap with other disturbances.
+func overlappingKinds() []Kind {
 	return []Kind{
 		Kill, Pause, Terminate, Reload, ResetLinks, SilenceLinks, DelayLinks, CutOneWay, CutStore, StoreDown, StoreSilent,
 		StoreForgets, StoreLoses, EngineFaults, EngineCrash, EngineLeaves, EmptyZone, Configure,
 	}
 }
 
-// Trouble is one thing that goes wrong for a while.
-type Trouble struct {
+// Disturbance is a fault or a planned operation during a run.
+type Disturbance struct {
 	Kind Kind
 	At   time.Duration
-	// For is how long it lasts, or the time between two processes of a rolling stop.
+	// For is its duration; for a rolling stop, the time between two processes.
 	For time.Duration
-	// Subject picks a process, an engine or a zone, by its number.
+	// Subject is the number of the affected process, engine or zone.
 	Subject int
 }
 
-// String describes the trouble in one line.
-func (t Trouble) String() string {
-	return fmt.Sprintf("%6.2fs for %5.2fs %s %d", t.At.Seconds(), t.For.Seconds(), t.Kind, t.Subject)
+// String describes the disturbance in one line.
+func (d Disturbance) String() string {
+	return fmt.Sprintf("%6.2fs for %5.2fs %s %d", d.At.Seconds(), d.For.Seconds(), d.Kind, d.Subject)
 }
 
-// rollingStops are those of a seed. They come first, because nothing else may
-// happen for a while before them if each request is to be answered.
-func rollingStops(seed uint64) []Trouble {
+// rollingStops returns the rolling stops of a seed. They come first: every request must
+// be answered during a rolling stop, which only holds if nothing else happens shortly
+// before it.
+func rollingStops(seed uint64) []Disturbance {
 	random := rand.New(rand.NewPCG(seed, 19))
-	plan := make([]Trouble, 0, rollingCount)
+	plan := make([]Disturbance, 0, rollingCount)
 	for i := range rollingCount {
 		between := time.Duration(30+random.IntN(220)) * time.Millisecond
-		plan = append(plan, Trouble{Kind: RollingStop, At: firstTrouble + time.Duration(i)*rollingSpan, For: between, Subject: random.IntN(64)})
+		plan = append(plan, Disturbance{Kind: RollingStop, At: firstDisturbance + time.Duration(i)*rollingSpan, For: between, Subject: random.IntN(64)})
 	}
 	return plan
 }
 
-// Plan draws troubles from a seed. After the rolling stops they come in series and
-// overlap. The last part of the run is left in peace, so that recovery can be seen.
-func Plan(seed uint64, length time.Duration) []Trouble {
+// Plan returns the disturbances of a seed, by time. Rolling stops come first, then
+// overlapping series of other kinds. No disturbance extends into the recovery span at
+// the end of the run.
+func Plan(seed uint64, length time.Duration) []Disturbance {
 	random := rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))
-	kinds := mixed()
+	kinds := overlappingKinds()
 	plan := rollingStops(seed)
-	for at := firstTrouble + rollingCount*rollingSpan; at < length-peace; {
+	for at := firstDisturbance + rollingCount*rollingSpan; at < length-recoverySpan; {
 		series := 1 + random.IntN(3)
 		kind := kinds[random.IntN(len(kinds))]
 		for range series {
-			t := Trouble{Kind: kind, At: at, For: time.Duration(200+random.IntN(2300)) * time.Millisecond, Subject: random.IntN(64)}
-			t.For = min(t.For, length-peace-t.At)
-			plan = append(plan, t)
+			d := Disturbance{Kind: kind, At: at, For: time.Duration(200+random.IntN(2300)) * time.Millisecond, Subject: random.IntN(64)}
+			d.For = min(d.For, length-recoverySpan-d.At)
+			plan = append(plan, d)
 			at += time.Duration(random.IntN(1200)) * time.Millisecond
-			if at >= length-peace {
+			if at >= length-recoverySpan {
 				break
 			}
 		}
 		at += time.Duration(random.IntN(900)) * time.Millisecond
 	}
-	slices.SortStableFunc(plan, func(a, b Trouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(plan, func(a, b Disturbance) int { return int(a.At - b.At) })
 	return plan
 }
--- a/internal/bench/soak/process.go
+++ b/internal/bench/soak/process.go
@@ -14,48 +14,46 @@
 	"time"
 )
 
-// process is one gateway as a program of its own, started again when it ends.
+// process is a gateway that runs as a separate program. It is restarted after each exit.
 type process struct {
-	name    string
-	program string
-	folder  string
-	ports   ports
-	storeAt string
-	// grace is how long after SIGTERM the process is killed.
+	name         string
+	program      string
+	folder       string
+	ports        ports
+	storeAddress string
+	// grace is the longest time from SIGTERM to the exit of the process.
 	grace time.Duration
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	lives   []*life
-	exited  chan struct{}
-	stopped bool
+	mu           sync.Mutex
+	command      *exec.Cmd
+	incarnations []*incarnation
+	exited       chan struct{}
+	stopped      bool
 }
 
-// life is a process from one start to its end.
-type life struct {
+// incarnation is one run of a process.
+type incarnation struct {
 	began time.Time
-	// terminated is when it got its first SIGTERM; both are zero before they happen.
+	// terminated is the time of the first SIGTERM, ended that of the exit; zero before.
 	terminated, ended time.Time
-	// failed is how it ended, nil for exit code 0.
+	// failed is the error of the exit, nil for exit code 0.
 	failed error
 }
 
-// ports are the addresses of one gateway; sessions and callers are reached
-// through proxies.
+// ports are the addresses of one gateway. Most callers connect through a proxy.
 type ports struct {
 	callers, ready, sessions, operators string
 }
 
-// Ports are drawn below the range that the kernel uses for outgoing
-// connections: one from that range may be taken by anybody between its choice
-// and the start of the process that shall listen on it.
+// Ports are chosen below the range that the kernel uses for outgoing connections. A port
+// of that range may be taken by another connection before the process listens on it.
 const (
 	firstPort = 12_000
 	lastPort  = 30_000
 	portTries = 200
 )
 
-// freeAddress returns an address on loopback where nobody listens.
+// freeAddress returns a loopback address whose port is free.
 func freeAddress() (string, error) {
 	var last error
 	for range portTries {
@@ -84,10 +82,10 @@
 
 func (p *process) settingsFile() string { return filepath.Join(p.folder, p.name+".json") }
 
-// writeSettings writes the settings file; generation changes its content.
+// writeSettings writes the settings file; the content depends on generation.
 func (p *process) writeSettings(zone string, generation int) error {
 	raw, err := json.Marshal(map[string]any{
-		"process": p.name, "availabilityZone": zone, "platformUrl": "http://" + p.storeAt,
+		"process": p.name, "availabilityZone": zone, "platformUrl": "http://" + p.storeAddress,
 		"callers": p.ports.callers, "ready": p.ports.ready, "sessions": p.ports.sessions, "operators": p.ports.operators,
 		"graceSeconds": p.grace.Seconds(), "balancerLagMs": balancerLag.Milliseconds(), "extraSpare": 40 + generation%2,
 		"coldShare": 1.5, "coldSpare": 5, "rollouts": true, "rolloutShare": rolloutShare, "rolloutSpare": rolloutSpare,
@@ -98,7 +96,7 @@
 	return os.WriteFile(p.settingsFile(), raw, 0o600)
 }
 
-// start runs the program and starts it again after each end until stop.
+// start runs the program and restarts it after each exit until stop is called.
 func (p *process) start() error {
 	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -110,14 +108,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stopped {
-		return log.Close() // the run ended while the process was away
+		return log.Close() // the run ended while the process was down
 	}
 	if err := command.Start(); err != nil {
 		return err
 	}
 	p.command, p.exited = command, exited
-	current := &life{began: time.Now()}
-	p.lives = append(p.lives, current)
+	current := &incarnation{began: time.Now()}
+	p.incarnations = append(p.incarnations, current)
 	go func() {
 		defer close(exited)
 		failed := command.Wait()
@@ -139,33 +137,33 @@
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	current := p.lives[len(p.lives)-1]
+	current := p.incarnations[len(p.incarnations)-1]
 	if signal == syscall.SIGTERM && current.terminated.IsZero() && current.ended.IsZero() {
 		current.terminated = time.Now()
 	}
-	_ = p.command.Process.Signal(signal) // one that has just ended needs none
+	_ = p.command.Process.Signal(signal) // fails if the process has just exited
 }
 
-// currentLife is the last one that began.
-func (p *process) currentLife() *life {
+// currentIncarnation returns the latest incarnation.
+func (p *process) currentIncarnation() *incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives[len(p.lives)-1]
+	return p.incarnations[len(p.incarnations)-1]
 }
 
-// history returns the lives so far.
-func (p *process) history() []life {
+// history returns copies of all incarnations so far.
+func (p *process) history() []incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make([]life, 0, len(p.lives))
-	for _, l := range p.lives {
+	all := make([]incarnation, 0, len(p.incarnations))
+	for _, l := range p.incarnations {
 		all = append(all, *l)
 	}
 	return all
 }
 
-// terminatedAt returns when a life got SIGTERM, zero if it didn't.
-func (p *process) terminatedAt(l *life) time.Time {
+// terminatedAt returns the time at which an incarnation got SIGTERM, zero if it did not.
+func (p *process) terminatedAt(l *incarnation) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.terminated
@@ -173,7 +171,7 @@
 
 func (p *process) logFile() string { return filepath.Join(p.folder, p.name+".log") }
 
-// stop ends the program for good.
+// stop kills the program and prevents further restarts.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.stopped = true
@@ -184,7 +182,7 @@
 	<-exited
 }
 
-// ready asks the process as a balancer does.
+// ready reports whether the process passes the readiness check of a load balancer.
 func (p *process) ready(path string) bool {
 	client := http.Client{Timeout: time.Second}
 	response, err := client.Get("http://" + p.ports.ready + path)
--- a/internal/bench/soak/proxy.go
+++ b/internal/bench/soak/proxy.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Harm is what a proxy does to the connections through it.
-type Harm struct {
-	// Delay of each chunk of bytes in both directions.
+// LinkFault is the fault that a proxy applies to its connections.
+type LinkFault struct {
+	// Delay is added to each chunk of bytes in both directions.
 	Delay time.Duration
-	// Deaf swallows what the caller sends, Mute what the other end sends: a cut
-	// in one direction. Both together are a partition.
-	Deaf, Mute bool
+	// DropUpstream discards the bytes from the client, DropDownstream those from the
+	// target. Each cuts one direction; both together form a partition.
+	DropUpstream, DropDownstream bool
 	// Refuse closes new connections at once.
 	Refuse bool
 }
 
-// Proxy passes connections on loopback to a target and harms them.
+// Proxy forwards loopback connections to a target and applies faults to them.
 type Proxy struct {
 	target   string
 	listener net.Listener
-	harm     atomic.Pointer[Harm]
+	fault    atomic.Pointer[LinkFault]
 
-	mu    sync.Mutex
-	pairs map[*pair]bool
-	group sync.WaitGroup
+	mu          sync.Mutex
+	connections map[*connection]bool
+	group       sync.WaitGroup
 }
 
-// pair is one connection and its other half.
-type pair struct {
+// connection is a client's connection and the connection to the target behind it.
+type connection struct {
 	client, server net.Conn
-	// silenced connections carry nothing any more, though they stay open.
-	silenced atomic.Bool
+	// blackholed connections stay open and discard all bytes.
+	blackholed atomic.Bool
 }
 
 // NewProxy listens on loopback; close it with Close.
@@ -44,8 +44,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: listener, pairs: make(map[*pair]bool)}
-	p.harm.Store(&Harm{})
+	p := &Proxy{target: target, listener: listener, connections: make(map[*connection]bool)}
+	p.fault.Store(&LinkFault{})
 	p.group.Add(1)
 	go func() {
 		defer p.group.Done()
@@ -54,15 +54,15 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes what the proxy does from now on.
-func (p *Proxy) Set(harm Harm) { p.harm.Store(&harm) }
+// SetFault replaces the fault that applies from now on.
+func (p *Proxy) SetFault(fault LinkFault) { p.fault.Store(&fault) }
 
-// Reset breaks all connections.
+// Reset closes all open connections; clients receive a TCP reset.
 func (p *Proxy) Reset() {
-	p.each(func(c *pair) {
+	p.each(func(c *connection) {
 		if tcp, ok := c.client.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -70,25 +70,25 @@
 	})
 }
 
-// Silence makes all open connections carry nothing any more; new ones work.
-func (p *Proxy) Silence() { p.each(func(c *pair) { c.silenced.Store(true) }) }
+// Blackhole makes all open connections discard their bytes; new connections work.
+func (p *Proxy) Blackhole() { p.each(func(c *connection) { c.blackholed.Store(true) }) }
 
-func (p *Proxy) each(visit func(*pair)) {
+func (p *Proxy) each(visit func(*connection)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.connections {
 		visit(c)
 	}
 }
 
-// Close ends the proxy with all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.each(func(c *pair) { c.close() })
+	p.each(func(c *connection) { c.close() })
 	p.group.Wait()
 }
 
-func (c *pair) close() {
+func (c *connection) close() {
 	_ = c.client.Close()
 	_ = c.server.Close()
 }
@@ -99,7 +99,7 @@
 		if err != nil {
 			return
 		}
-		if p.harm.Load().Refuse {
+		if p.fault.Load().Refuse {
 			_ = client.Close()
 			continue
 		}
@@ -108,13 +108,13 @@
 			_ = client.Close()
 			continue
 		}
-		p.begin(&pair{client: client, server: server})
+		p.relay(&connection{client: client, server: server})
 	}
 }
 
-func (p *Proxy) begin(c *pair) {
+func (p *Proxy) relay(c *connection) {
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.connections[c] = true
 	p.mu.Unlock()
 	p.group.Add(1)
 	go func() {
@@ -123,31 +123,31 @@
 		halves.Add(2)
 		go func() {
 			defer halves.Done()
-			p.pass(c, c.server, c.client, func(h *Harm) bool { return h.Deaf })
+			p.copyChunks(c, c.server, c.client, func(h *LinkFault) bool { return h.DropUpstream })
 		}()
 		go func() {
 			defer halves.Done()
-			p.pass(c, c.client, c.server, func(h *Harm) bool { return h.Mute })
+			p.copyChunks(c, c.client, c.server, func(h *LinkFault) bool { return h.DropDownstream })
 		}()
 		halves.Wait()
 		c.close()
 		p.mu.Lock()
-		delete(p.pairs, c)
+		delete(p.connections, c)
 		p.mu.Unlock()
 	}()
 }
 
-// pass copies one direction; the end of one side ends the other.
-func (p *Proxy) pass(c *pair, to io.Writer, from io.Reader, lost func(*Harm) bool) {
+// copyChunks copies one direction; if one side closes, it closes the other side.
+func (p *Proxy) copyChunks(c *connection, to io.Writer, from io.Reader, drops func(*LinkFault) bool) {
 	const chunk = 16 << 10
 	buf := make([]byte, chunk)
 	for {
 		n, err := from.Read(buf)
-		harm := p.harm.Load()
-		time.Sleep(harm.Delay)
-		if n > 0 && !lost(harm) && !c.silenced.Load() {
-			if _, failed := to.Write(buf[:n]); failed != nil {
-				err = failed
+		fault := p.fault.Load()
+		time.Sleep(fault.Delay)
+		if n > 0 && !drops(fault) && !c.blackholed.Load() {
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err != nil {
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak runs the real programs as processes of their own on one machine
-// and injects faults from outside them, drawn from a seed: connections that are
-// delayed, reset, cut one way or silenced by proxies, processes that are
-// killed, paused, stopped and reloaded by signals, a store that fails, engines
-// that fail, leave and return. While it runs, the engines and the callers check
-// what must always hold.
+// Package soak runs the real programs as processes on one machine and injects
+// faults from outside. A seed determines the faults: proxies delay, reset, cut or
+// black-hole connections; signals kill, pause, stop and reload processes; the store
+// fails; engines fail, leave and return. During the run, engines and callers check
+// the invariants of the system.
 package soak
 
 import (
@@ -20,58 +19,62 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// Spans of a run.
+// Durations and counts of a run.
 const (
-	grace        = 4 * time.Second
-	balancerLag  = 1200 * time.Millisecond
-	restartPause = 200 * time.Millisecond
-	firstTrouble = 500 * time.Millisecond
-	// rollingCount rolling stops come before all other troubles, one each rollingSpan:
-	// processes leave within it and are ready again.
+	grace            = 4 * time.Second
+	balancerLag      = 1200 * time.Millisecond
+	restartPause     = 200 * time.Millisecond
+	firstDisturbance = 500 * time.Millisecond
+	// rollingCount rolling stops precede all other disturbances, one each rollingSpan.
+	// Within rollingSpan all processes leave and become ready again.
 	rollingCount = 2
 	rollingSpan  = 3 * time.Second
-	// peace is the calm at the end; requests of its last part must succeed.
-	peace   = 7 * time.Second
-	settled = 4 * time.Second
-	// startLimit bounds the wait for processes; a busy machine is slow.
+	// recoverySpan is the time without disturbances at the end of a run. Requests that
+	// start more than settlingTime after its beginning must succeed.
+	recoverySpan = 7 * time.Second
+	settlingTime = 4 * time.Second
+	// startLimit is the timeout for all processes to become ready; it allows for a
+	// busy machine.
 	startLimit = 30 * time.Second
-	// tardy is how much later than its deadline a request may end.
-	tardy = 2500 * time.Millisecond
+	// deadlineTolerance is the time after its deadline by which a request must end.
+	deadlineTolerance = 2500 * time.Millisecond
 )
 
-// Options say what runs.
+// Options configure a run.
 type Options struct {
 	Seed   uint64
 	Length time.Duration
-	// Program is the path of jujubed, Folder takes settings and logs.
+	// Program is the path of jujubed. Settings and logs are written to Folder.
 	Program string
 	Folder  string
-	// Gateways and PerSecond are the size of the system and its load.
+	// Gateways is the number of processes, PerSecond the number of requests a second.
 	Gateways  int
 	PerSecond int
 	Out       io.Writer
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Sent, Served, Refused, Failed int64
-	// Kept are the requests on connections that callers keep for themselves, Crossed
-	// those of them whose connection a planned stop closed within 200 ms.
+	// Kept counts the requests on persistent connections. Crossed counts those of them
+	// whose connection a planned stop closed within 200 ms, before the process read them.
 	Kept, Crossed int64
-	// Breaches are what must never have happened.
+	// Breaches describes the violated invariants.
 	Breaches []string
-	// Settled are the requests of the calm at the end, and how many succeeded.
+	// SettledSent counts the requests that were sent after recovery at the end of the
+	// run, SettledServed those of them that succeeded.
 	SettledSent, SettledServed int64
 }
 
-// Run plays one seed.
+// Run runs the disturbances of one seed. It returns a StartError if a process does not
+// become ready.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r, err := newRun(options)
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := r.await(ctx); err != nil {
+	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
 	r.play(ctx)
@@ -83,17 +86,17 @@
 	deployment *stand.Deployment
 	client     *stand.Client
 	processes  []*process
-	callers    []*Proxy // before each process
+	callers    []*Proxy // between the callers and each process
 	stores     []*Proxy // between each process and the store
 	engines    []*engine
-	began      time.Time
+	started    time.Time
 	faults     faultLog
 
 	kept, crossed                 atomic.Int64
 	sent, served, refused, failed atomic.Int64
 	calmSent, calmServed          atomic.Int64
 	mu                            sync.Mutex
-	breaches                      []string
+	violations                    []string
 	group                         sync.WaitGroup
 }
 
@@ -111,7 +114,7 @@
 			}
 		}
 	}
-	if err := r.addStray(); err != nil {
+	if err := r.addUnorderedVersion(); err != nil {
 		r.close()
 		return nil, err
 	}
@@ -157,7 +160,7 @@
 	}
 	r.stores = append(r.stores, store)
 	p := &process{
-		name: fmt.Sprintf("gateway-%d", number), program: r.Program, folder: r.Folder, ports: own, storeAt: store.Address(), grace: grace,
+		name: fmt.Sprintf("gateway-%d", number), program: r.Program, folder: r.Folder, ports: own, storeAddress: store.Address(), grace: grace,
 	}
 	if err := p.writeSettings(zones[number%len(zones)], 0); err != nil {
 		return err
@@ -183,8 +186,8 @@
 	r.deployment.Close()
 }
 
-// await waits until every process is ready.
-func (r *run) await(ctx context.Context) error {
+// awaitReady waits until every process is ready.
+func (r *run) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(startLimit)
 	for _, p := range r.processes {
 		for !p.ready(platform.Spelling().ReadyPath) {
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// StartError says that a process did not become ready.
+// StartError is returned if a process does not become ready within the timeout.
 type StartError struct {
 	Process string
 }
@@ -206,14 +209,14 @@
 func (e *StartError) Error() string { return e.Process + " did not become ready" }
 
 func (r *run) play(ctx context.Context) {
-	r.began = time.Now()
+	r.started = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.Length)
 	defer cancel()
-	for _, trouble := range Plan(r.Seed, r.Length) {
+	for _, disturbance := range Plan(r.Seed, r.Length) {
 		r.group.Add(1)
 		go func() {
 			defer r.group.Done()
-			r.strike(ctx, trouble)
+			r.inject(ctx, disturbance)
 		}()
 	}
 	r.group.Add(1)
@@ -221,14 +224,14 @@
 		defer r.group.Done()
 		r.operate(ctx)
 	}()
-	r.startKeepers(ctx)
+	r.startPersistentCallers(ctx)
 	r.load(ctx)
 	r.group.Wait()
-	r.checkStray()
+	r.checkUnorderedVersion()
 	r.checkStops()
 }
 
-// load sends requests until the time is over and waits for their ends.
+// load sends requests until ctx ends. It does not wait for their answers.
 func (r *run) load(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 7))
 	ticker := time.NewTicker(time.Second / time.Duration(r.PerSecond))
@@ -249,16 +252,16 @@
 	}
 }
 
-// request sends one request, as callers do: a refused one comes back once, to
-// another process.
+// request sends one request and retries it once, on another process, if it is refused
+// with a Retry-After. If leaves is set, the caller cancels it after 30 ms.
 func (r *run) request(number int, s *stand.Request, leaves bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.DeadlineMs)*time.Millisecond+tardy)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.DeadlineMs)*time.Millisecond+deadlineTolerance)
 	defer cancel()
 	if leaves {
 		timer := time.AfterFunc(30*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	calm := time.Since(r.began) > r.Length-peace+settled
+	calm := time.Since(r.started) > r.Length-recoverySpan+settlingTime
 	r.sent.Add(1)
 	got := r.client.Do(ctx, r.callers[number].Address(), s)
 	if got.RetryAfter > 0 && got.Status == http.StatusServiceUnavailable {
@@ -283,14 +286,14 @@
 	}
 }
 
-func (r *run) breach(format string, args ...any) {
+func (r *run) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// leastServed is the part of the calm's requests that must succeed.
-const leastServed = 0.95
+// minServedShare is the share of the requests after recovery that must succeed.
+const minServedShare = 0.95
 
 func (r *run) report() *Report {
 	report := &Report{
@@ -298,17 +301,17 @@
 		Kept: r.kept.Load(), Crossed: r.crossed.Load(),
 		SettledSent: r.calmSent.Load(), SettledServed: r.calmServed.Load(),
 	}
-	if float64(report.SettledServed) < leastServed*float64(report.SettledSent) {
-		r.breach("only %d of %d requests were served after the troubles had ended", report.SettledServed, report.SettledSent)
+	if float64(report.SettledServed) < minServedShare*float64(report.SettledSent) {
+		r.addViolation("only %d of %d requests were served after the last disturbance", report.SettledServed, report.SettledSent)
 	}
-	report.Breaches = append(r.deployment.Ledger.Violations(), r.breaches...)
+	report.Breaches = append(r.deployment.Ledger.Violations(), r.violations...)
 	return report
 }
 
-// pick returns the process with a number.
-func (r *run) pick(number int) *process { return r.processes[number%len(r.processes)] }
+// processAt returns the process with the given number, modulo the number of processes.
+func (r *run) processAt(number int) *process { return r.processes[number%len(r.processes)] }
 
-// pause waits for the length of a trouble or the end of the run.
+// pause waits for span or until ctx ends.
 func pause(ctx context.Context, span time.Duration) {
 	select {
 	case <-time.After(span):
--- a/internal/bench/soak/strike.go
+++ b/internal/bench/soak/strike.go
@@ -10,123 +10,123 @@
 	"github.com/jujubescale/jujubescale/platform/stand"
 )
 
-// strike makes one trouble happen and ends it.
-func (r *run) strike(ctx context.Context, t Trouble) {
-	pause(ctx, t.At)
+// inject starts one disturbance at its time and ends it.
+func (r *run) inject(ctx context.Context, d Disturbance) {
+	pause(ctx, d.At)
 	if ctx.Err() != nil {
 		return
 	}
-	_, _ = fmt.Fprintln(r.Out, t)
-	index := t.Subject % len(r.processes)
-	if who, unplanned := r.disturbs(t, index); unplanned {
-		defer r.faults.begin(t.Kind, who)()
+	_, _ = fmt.Fprintln(r.Out, d)
+	index := d.Subject % len(r.processes)
+	if who, unplanned := r.unplannedOn(d, index); unplanned {
+		defer r.faults.begin(d.Kind, who)()
 	}
-	switch t.Kind {
+	switch d.Kind {
 	case Kill:
-		r.pick(index).signal(syscall.SIGKILL)
+		r.processAt(index).signal(syscall.SIGKILL)
 	case Pause:
-		r.pick(index).signal(syscall.SIGSTOP)
-		pause(ctx, t.For)
-		r.pick(index).signal(syscall.SIGCONT)
+		r.processAt(index).signal(syscall.SIGSTOP)
+		pause(ctx, d.For)
+		r.processAt(index).signal(syscall.SIGCONT)
 	case Terminate:
-		r.pick(index).signal(syscall.SIGTERM)
+		r.processAt(index).signal(syscall.SIGTERM)
 	case RollingStop:
 		for i := range r.processes {
-			r.pick(index + i).signal(syscall.SIGTERM)
-			pause(ctx, t.For)
+			r.processAt(index + i).signal(syscall.SIGTERM)
+			pause(ctx, d.For)
 		}
 	case Reload:
-		if err := r.pick(index).writeSettings(zones[index%len(zones)], t.Subject); err != nil {
-			r.breach("settings: %v", err)
+		if err := r.processAt(index).writeSettings(zones[index%len(zones)], d.Subject); err != nil {
+			r.addViolation("settings: %v", err)
 		}
-		r.pick(index).signal(syscall.SIGHUP)
+		r.processAt(index).signal(syscall.SIGHUP)
 	case ResetLinks, SilenceLinks, DelayLinks, CutOneWay, CutStore:
-		r.strikeLinks(ctx, t, index)
+		r.injectLinkFault(ctx, d, index)
 	case StoreDown, StoreSilent, StoreForgets, StoreLoses:
-		r.strikeStore(ctx, t)
+		r.injectStoreFault(ctx, d)
 	default:
-		r.strikePlatform(ctx, t)
+		r.injectPlatformChange(ctx, d)
 	}
 }
 
-// Troubles of links strike those of callers, of the store, or of an engine, by their
-// subject.
+// The subject of a link disturbance, modulo linkKinds, selects the link: to a process
+// (0), to the store (1) or to an engine (engineLink).
 const (
 	linkKinds  = 3
 	engineLink = 2
 )
 
-func (r *run) strikeLinks(ctx context.Context, t Trouble, index int) {
-	proxies := []*Proxy{r.callers[index], r.stores[index], r.engineAt(t.Subject).proxy}
-	proxy := proxies[t.Subject%linkKinds]
-	switch t.Kind {
+func (r *run) injectLinkFault(ctx context.Context, d Disturbance, index int) {
+	proxies := []*Proxy{r.callers[index], r.stores[index], r.engineAt(d.Subject).proxy}
+	proxy := proxies[d.Subject%linkKinds]
+	switch d.Kind {
 	case ResetLinks:
 		proxy.Reset()
 		return
 	case SilenceLinks:
-		proxy.Silence()
+		proxy.Blackhole()
 		return
 	case DelayLinks:
-		proxy.Set(Harm{Delay: 40 * time.Millisecond})
+		proxy.SetFault(LinkFault{Delay: 40 * time.Millisecond})
 	case CutOneWay:
-		proxy.Set(Harm{Deaf: t.Subject%2 == 0, Mute: t.Subject%2 == 1})
+		proxy.SetFault(LinkFault{DropUpstream: d.Subject%2 == 0, DropDownstream: d.Subject%2 == 1})
 	default:
 		proxy = r.stores[index]
-		proxy.Set(Harm{Deaf: true, Mute: true})
+		proxy.SetFault(LinkFault{DropUpstream: true, DropDownstream: true})
 	}
-	pause(ctx, t.For)
-	proxy.Set(Harm{})
+	pause(ctx, d.For)
+	proxy.SetFault(LinkFault{})
 	proxy.Reset()
 }
 
-func (r *run) strikeStore(ctx context.Context, t Trouble) {
+func (r *run) injectStoreFault(ctx context.Context, d Disturbance) {
 	store := r.deployment.Store
-	switch t.Kind {
+	switch d.Kind {
 	case StoreForgets:
 		store.SetFault(stand.StoreFault{HideChanges: true})
 		r.deployment.Publish()
-		pause(ctx, min(t.For, time.Second))
+		pause(ctx, min(d.For, time.Second))
 		store.DropHistory()
 	case StoreDown:
 		store.SetFault(stand.StoreFault{Status: http.StatusServiceUnavailable})
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 	case StoreSilent:
 		store.SetFault(stand.StoreFault{Hang: true})
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 	default:
 		store.SetFault(stand.StoreFault{LoseAnswers: true, Delay: 50 * time.Millisecond})
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 	}
 	store.SetFault(stand.StoreFault{})
 }
 
-func (r *run) strikePlatform(ctx context.Context, t Trouble) {
-	e := r.engineAt(t.Subject)
-	if e.ended.Load() || (t.Kind == EngineFaults && e.Version != "") {
-		return // what candidates do wrong is the operator's matter
+func (r *run) injectPlatformChange(ctx context.Context, d Disturbance) {
+	e := r.engineAt(d.Subject)
+	if e.ended.Load() || (d.Kind == EngineFaults && e.Version != "") {
+		return // operate sets the faults of candidates
 	}
-	switch t.Kind {
+	switch d.Kind {
 	case EngineFaults:
-		e.SetFault(faults[t.Subject%len(faults)])
-		pause(ctx, t.For)
+		e.SetFault(faults[d.Subject%len(faults)])
+		pause(ctx, d.For)
 		e.SetFault(stand.Fault{})
 	case EngineCrash:
-		e.proxy.Set(Harm{Refuse: true})
+		e.proxy.SetFault(LinkFault{Refuse: true})
 		e.proxy.Reset()
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 		if !e.ended.Load() {
-			e.proxy.Set(Harm{})
+			e.proxy.SetFault(LinkFault{})
 		}
 	case EngineLeaves:
 		r.deployment.Register(e.Engine, false, 0)
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 		if !e.ended.Load() {
 			r.deployment.Register(e.Engine, true, 0)
 		}
 	case EmptyZone:
-		zone := zones[t.Subject%len(zones)]
+		zone := zones[d.Subject%len(zones)]
 		r.deployment.Evacuate(zone)
-		pause(ctx, t.For)
+		pause(ctx, d.For)
 		r.deployment.EndEvacuation(zone)
 	default:
 		r.deployment.Publish()
--- a/internal/bench/soak/world.go
+++ b/internal/bench/soak/world.go
@@ -15,7 +15,7 @@
 	organisation = "one"
 )
 
-// config is the operator's configuration of a run.
+// config returns the operator's configuration of a run.
 func config() stand.Config {
 	return stand.Config{
 		Services: []stand.Service{
@@ -39,7 +39,7 @@
 
 const streamEvents = 10
 
-// engines are those of one zone.
+// engines returns the engines of one zone.
 func engines(zone string) []*stand.Engine {
 	return []*stand.Engine{
 		{Service: "orders", Kind: stand.Plain, Zone: zone, WorkTime: 10 * time.Millisecond},
@@ -49,12 +49,12 @@
 	}
 }
 
-// faults are those that an engine is given.
+// faults are the faults of EngineFaults.
 var faults = []stand.Fault{
 	{Every: 3, Reset: true}, {Every: 3, Truncate: true}, {Every: 2, Refuse: true}, {Every: 3, Fail: true}, {Every: 4, Duplicate: true}, {Every: 5, Hang: true},
 }
 
-// requests are the kinds that callers send.
+// requests create the kinds of requests that callers send.
 var requests = []func() *stand.Request{
 	func() *stand.Request {
 		return &stand.Request{
