--- a/internal/bench/fluid/fluid.go
+++ b/internal/bench/fluid/fluid.go
@@ -1,6 +1,6 @@
-// Package fluid bounds what the engines of a deployment can serve at best: by kind of
-// request and by span of time, as if requests could be divided, calls were always
-// full and nobody had to wait for a decision. What a scheduler serves stays below it.
+// Package fluid computes an upper bound on the requests that the engines of a deployment
+// can serve, by route and time span. It assumes divisible requests, full batches and
+// decisions without delay, so no scheduler can exceed the bound.
 package fluid
 
 import (
@@ -11,22 +11,22 @@
 	"strings"
 )
 
-// Model is a deployment and its load over time.
+// Model describes a deployment and its load over time.
 type Model struct {
 	Name  string `json:"name"`
 	Pools []Pool `json:"pools"`
 	// Routes are the kinds of requests.
 	Routes []Route `json:"routes"`
-	// Seconds is how long the load lasts.
+	// Seconds is the duration of the load.
 	Seconds float64 `json:"seconds"`
 	Events  []Event `json:"events"`
 }
 
-// Pool is engines that do the same work.
+// Pool is a group of engines that do the same work.
 type Pool struct {
 	Name    string  `json:"name"`
 	Engines float64 `json:"engines"`
-	// Slots is how many calls or requests an engine works on at the same time.
+	// Slots is the number of calls or requests that an engine processes concurrently.
 	Slots float64 `json:"slots"`
 }
 
@@ -34,13 +34,13 @@
 type Route struct {
 	Name      string  `json:"name"`
 	PerSecond float64 `json:"perSecond"`
-	// Worth of a request that is answered within its objective.
+	// Worth is the value of a request that is answered within its objective.
 	Worth       float64 `json:"worth"`
 	ObjectiveMs float64 `json:"objectiveMs"`
 	Uses        []Use   `json:"uses"`
 }
 
-// Use is the time that a request needs of a pool: its share of full calls, in
+// Use is the time that a request takes in a pool: its share of full batches, in
 // milliseconds of one slot.
 type Use struct {
 	Pool   string  `json:"pool"`
@@ -51,13 +51,14 @@
 type Event struct {
 	FromS float64 `json:"fromS"`
 	ToS   float64 `json:"toS"`
-	// Route whose rate is multiplied, all with "*"; or Pool whose engines are.
+	// Either Route or Pool is set. The event multiplies the rate of Route ("*" for all
+	// routes) or the number of engines of Pool by Times.
 	Route string  `json:"route,omitempty"`
 	Pool  string  `json:"pool,omitempty"`
 	Times float64 `json:"times"`
 }
 
-// ModelError is returned for a model that describes no deployment.
+// ModelError describes an invalid field of a model.
 type ModelError struct {
 	Field string
 	Cause string
@@ -66,10 +67,11 @@
 // Error implements error.
 func (e *ModelError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Cause) }
 
-// maxSeconds bounds the length of a load.
+// maxSeconds is the longest duration of a load.
 const maxSeconds = 86_400
 
-// Read reads a model as JSON and checks it. Unknown fields are errors.
+// Read reads a model as JSON and checks it. It returns a ModelError if the model is
+// invalid or has unknown fields.
 func Read(from io.Reader) (*Model, error) {
 	decoder := json.NewDecoder(from)
 	decoder.DisallowUnknownFields()
@@ -90,10 +92,10 @@
 	for i, pool := range m.Pools {
 		field := fmt.Sprintf("pools[%d]", i)
 		switch {
-		case pool.Name == "" || m.pool(pool.Name) != i:
-			return &ModelError{Field: field, Cause: fmt.Sprintf("name %q is empty or not the first", pool.Name)}
+		case pool.Name == "" || m.poolIndex(pool.Name) != i:
+			return &ModelError{Field: field, Cause: fmt.Sprintf("name %q is empty or not unique", pool.Name)}
 		case !(pool.Engines > 0) || !(pool.Slots > 0):
-			return &ModelError{Field: field, Cause: fmt.Sprintf("%v engines with %v slots", pool.Engines, pool.Slots)}
+			return &ModelError{Field: field, Cause: fmt.Sprintf("%v engines with %v slots; both must be above 0", pool.Engines, pool.Slots)}
 		}
 	}
 	for i := range m.Routes {
@@ -114,7 +116,7 @@
 		return &ModelError{Field: field, Cause: "a name, a rate of 0 or more, a worth and an objective above 0 are needed"}
 	}
 	for _, use := range route.Uses {
-		if m.pool(use.Pool) < 0 || !(use.SlotMs >= 0) {
+		if m.poolIndex(use.Pool) < 0 || !(use.SlotMs >= 0) {
 			return &ModelError{Field: field, Cause: fmt.Sprintf("use of pool %q for %v ms", use.Pool, use.SlotMs)}
 		}
 	}
@@ -126,7 +128,7 @@
 	switch {
 	case (event.Route == "") == (event.Pool == ""):
 		return &ModelError{Field: field, Cause: "either a route or a pool is needed"}
-	case event.Route != "" && !known, event.Pool != "" && m.pool(event.Pool) < 0:
+	case event.Route != "" && !known, event.Pool != "" && m.poolIndex(event.Pool) < 0:
 		return &ModelError{Field: field, Cause: fmt.Sprintf("no route %q or pool %q", event.Route, event.Pool)}
 	case !(event.FromS >= 0) || !(event.ToS > event.FromS) || !(event.Times >= 0):
 		return &ModelError{Field: field, Cause: fmt.Sprintf("%v to %v s, times %v", event.FromS, event.ToS, event.Times)}
@@ -134,109 +136,112 @@
 	return nil
 }
 
-// allRoutes names every route in an event.
+// allRoutes is the route of an event that affects all routes.
 const allRoutes = "*"
 
-func (m *Model) pool(name string) int {
+func (m *Model) poolIndex(name string) int {
 	return slices.IndexFunc(m.Pools, func(p Pool) bool { return p.Name == name })
 }
 
-// Span is the bound of one span of time.
+// Span is the bound for one time span.
 type Span struct {
 	FromS float64 `json:"fromSeconds"`
 	toS   float64
-	// Asked and Served are requests by route; Served is the bound.
+	// Asked and Served are numbers of requests by route: those that arrive, and those that
+	// can be served at most.
 	Asked  []float64 `json:"asked"`
 	Served []float64 `json:"served"`
-	// Worth is the bound's part of what was asked for.
+	// Worth is the value of the served requests divided by that of all requests.
 	Worth float64 `json:"worth"`
-	// Binding names the pools that are used up.
+	// Binding lists the pools that are fully used.
 	Binding []string `json:"binding"`
 }
 
-// Bound is the bound of a whole load.
+// Bound is the bound for a load.
 type Bound struct {
 	Name   string   `json:"name"`
 	Routes []string `json:"routes"`
 	Spans  []Span   `json:"spans"`
-	// Worth is the bound's part of all that was asked for, ByRoute the part of the
-	// requests of each route.
+	// Worth is the value of the served requests divided by that of all requests. ByRoute is
+	// the share of requests served, for each route.
 	Worth   float64   `json:"worth"`
 	ByRoute []float64 `json:"byRoute"`
 }
 
-// Of returns the bound of a model, by spans of so many seconds. It asks of every run of
-// spans that what is served of its requests fits into the engines' time until the last
-// of them are late, which requests outside the run may use as well: the bound is never
-// too low.
+// Of returns the bound for a model, in spans of spanS seconds. For every window of
+// consecutive spans, the requests served from it must fit into the engine time from its
+// start until its last requests miss their objective. Requests from outside the window may
+// use the same time, so the bound is never too low.
 func Of(m *Model, spanS float64) *Bound {
 	b := &Bound{Name: m.Name}
 	for _, route := range m.Routes {
 		b.Routes = append(b.Routes, route.Name)
 	}
 	for from := 0.0; from < m.Seconds; from += spanS {
-		b.Spans = append(b.Spans, m.span(from, min(from+spanS, m.Seconds)))
+		b.Spans = append(b.Spans, m.newSpan(from, min(from+spanS, m.Seconds)))
 	}
-	p := program{}
+	lp := program{}
 	for i := range b.Spans {
 		for r, route := range m.Routes {
-			p.most = append(p.most, b.Spans[i].Asked[r])
-			p.gains = append(p.gains, route.Worth)
+			lp.maxAmounts = append(lp.maxAmounts, b.Spans[i].Asked[r])
+			lp.values = append(lp.values, route.Worth)
 		}
 	}
-	rows := m.limit(&p, b.Spans)
-	m.share(b, p.solve())
-	m.markBinding(b, &p, rows)
+	windows := m.addCapacityLimits(&lp, b.Spans)
+	m.distribute(b, lp.solve())
+	m.markBottlenecks(b, &lp, windows)
 	return b
 }
 
-// run is a pool over several spans, from the first to the last.
-type run struct{ pool, first, last int }
+// window is a pool over consecutive spans, from the first to the last.
+type window struct{ pool, first, last int }
 
-// limit adds what each pool can do in each run of spans, but for those that can do all
-// that is asked of them.
-func (m *Model) limit(p *program, spans []Span) []run {
-	longest := 0.0
+// addCapacityLimits adds the capacity of each pool in each window of spans to the linear
+// program and returns the windows. It omits windows whose capacity suffices for all
+// requests.
+func (m *Model) addCapacityLimits(p *program, spans []Span) []window {
+	maxObjectiveS := 0.0
 	for _, route := range m.Routes {
-		longest = max(longest, route.ObjectiveMs/1000)
+		maxObjectiveS = max(maxObjectiveS, route.ObjectiveMs/1000)
 	}
-	var rows []run
+	var windows []window
 	for i, pool := range m.Pools {
 		for first := range spans {
 			asked := 0.0
-			uses := make([]float64, len(p.most))
+			uses := make([]float64, len(p.maxAmounts))
 			for last := first; last < len(spans); last++ {
-				asked += m.use(i, spans[last].Asked, uses[last*len(m.Routes):])
-				room := 1000 * pool.Slots * m.integrate(spans[first].FromS, spans[last].toS+longest, pool.Engines,
+				asked += m.addUse(i, spans[last].Asked, uses[last*len(m.Routes):])
+				capacity := 1000 * pool.Slots * m.integrate(spans[first].FromS, spans[last].toS+maxObjectiveS, pool.Engines,
 					func(e Event) bool { return e.Pool == pool.Name })
-				if asked <= room {
+				if asked <= capacity {
 					continue
 				}
 				p.uses = append(p.uses, slices.Clone(uses))
-				p.limits = append(p.limits, room)
-				rows = append(rows, run{pool: i, first: first, last: last})
+				p.capacities = append(p.capacities, capacity)
+				windows = append(windows, window{pool: i, first: first, last: last})
 			}
 		}
 	}
-	return rows
+	return windows
 }
 
-// use adds up what requests take of a pool, and notes what each of them takes.
-func (m *Model) use(pool int, counts, each []float64) float64 {
+// addUse returns the time in a pool, in slot milliseconds, that the given numbers of
+// requests take. It adds the time of one request of each route to uses.
+func (m *Model) addUse(pool int, counts, uses []float64) float64 {
 	sum := 0.0
 	for r, route := range m.Routes {
 		for _, use := range route.Uses {
-			if m.pool(use.Pool) == pool {
-				each[r] += use.SlotMs
+			if m.poolIndex(use.Pool) == pool {
+				uses[r] += use.SlotMs
 			}
 		}
-		sum += each[r] * counts[r]
+		sum += uses[r] * counts[r]
 	}
 	return sum
 }
 
-// span counts the requests that come within a span of time.
-func (m *Model) span(from, to float64) Span {
+// newSpan returns a span with the numbers of requests that arrive in it.
+func (m *Model) newSpan(from, to float64) Span {
 	s := Span{FromS: from, toS: to}
 	for _, route := range m.Routes {
 		s.Asked = append(s.Asked, m.integrate(from, to, route.PerSecond, func(e Event) bool {
@@ -246,21 +251,21 @@
 	return s
 }
 
-// share splits a solution into spans and adds it up.
-func (m *Model) share(b *Bound, amounts []float64) {
+// distribute writes a solution into the spans of a bound and computes the totals.
+func (m *Model) distribute(b *Bound, amounts []float64) {
 	asked, served := make([]float64, len(m.Routes)), make([]float64, len(m.Routes))
 	for i := range b.Spans {
 		span := &b.Spans[i]
 		span.Served = amounts[i*len(m.Routes) : (i+1)*len(m.Routes)]
-		span.Worth = part(m.worth(span.Served), m.worth(span.Asked))
+		span.Worth = ratio(m.worth(span.Served), m.worth(span.Asked))
 		for r := range m.Routes {
 			asked[r] += span.Asked[r]
 			served[r] += span.Served[r]
 		}
 	}
-	b.Worth = part(m.worth(served), m.worth(asked))
+	b.Worth = ratio(m.worth(served), m.worth(asked))
 	for r := range m.Routes {
-		b.ByRoute = append(b.ByRoute, part(served[r], asked[r]))
+		b.ByRoute = append(b.ByRoute, ratio(served[r], asked[r]))
 	}
 }
 
@@ -272,25 +277,25 @@
 	return sum
 }
 
-func part(some, all float64) float64 {
+func ratio(some, all float64) float64 {
 	if all == 0 {
 		return 1
 	}
 	return some / all
 }
 
-// markBinding names in each span the pools that are used up over a run of spans it
-// belongs to.
-func (m *Model) markBinding(b *Bound, p *program, rows []run) {
-	const nearly = 0.999
-	for k, row := range rows {
+// markBottlenecks adds to each span the pools that are fully used over a window that
+// contains the span.
+func (m *Model) markBottlenecks(b *Bound, p *program, windows []window) {
+	const fullShare = 0.999
+	for k, row := range windows {
 		used := 0.0
 		for i := row.first; i <= row.last; i++ {
 			for r := range m.Routes {
 				used += p.uses[k][i*len(m.Routes)+r] * b.Spans[i].Served[r]
 			}
 		}
-		if used < nearly*p.limits[k] {
+		if used < fullShare*p.capacities[k] {
 			continue
 		}
 		name := m.Pools[row.pool].Name
@@ -302,7 +307,8 @@
 	}
 }
 
-// integrate adds up a rate over time, as events change it.
+// integrate returns the integral of a rate from one time to another. Events for which
+// applies returns true change the rate.
 func (m *Model) integrate(from, to, rate float64, applies func(Event) bool) float64 {
 	edges := []float64{from, to}
 	for _, event := range m.Events {
@@ -326,5 +332,5 @@
 	return sum
 }
 
-// BindingText lists the pools that bind, for people.
+// BindingText returns the names of the fully used pools, separated by commas.
 func (s *Span) BindingText() string { return strings.Join(s.Binding, ", ") }
--- a/internal/bench/fluid/fluid_test.go
+++ b/internal/bench/fluid/fluid_test.go
@@ -33,29 +33,30 @@
 	// Output: 0.50 encode
 }
 
-func TestWhatFitsIsServed(t *testing.T) {
+func TestLoadWithinCapacityIsServed(t *testing.T) {
 	b := fluid.Of(model(), 2)
 	assert.Equal(t, len(b.Spans), 5)
 	assert.Equal(t, b.Worth, 1.0)
 }
 
-// Guards against a bound that leaves out a burst, or serves what is worth less.
-func TestBurstServesWhatIsWorthMost(t *testing.T) {
+// Guards against a bound that ignores a burst, or that serves requests of lower value first.
+func TestBurstServesMostValuableRequests(t *testing.T) {
 	m := model()
 	m.Events = []fluid.Event{{FromS: 2, ToS: 4, Route: "*", Times: 4}, {FromS: 6, ToS: 8, Pool: "encode", Times: 0}}
 	b := fluid.Of(m, 2)
 	assert.Equal(t, b.Spans[0].Worth, 1.0)
 	burst := b.Spans[1]
 	assert.Assert(t, math.Abs(burst.Asked[0]-80) < 1e-6)
-	// Two engines have six seconds of work: sixty drafts, and no guides.
+	// Two engines work for 3 s each, the span and the objective: 60 drafts at 100 ms and no
+	// guides.
 	assert.Assert(t, math.Abs(burst.Served[0]-60) < 1e-6 && burst.Served[1] < 1e-6, "%+v", burst)
 	assert.DeepEqual(t, burst.Binding, []string{"encode"})
 	assert.Assert(t, b.Spans[3].Worth < 1)
 	assert.Assert(t, b.ByRoute[0] > b.ByRoute[1])
 }
 
-// Guards against a solution that breaks a limit, or that another one beats.
-func TestSolutionsAreTheBestPossible(t *testing.T) {
+// Guards against solutions that exceed a limit or are not optimal.
+func TestSolutionsAreOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model()
 		for i := range m.Routes {
@@ -77,16 +78,16 @@
 			t.Fatalf("%v does not fit", best)
 		}
 		for range 20 {
-			other := change(t, b)
-			if fits(m, other, 0) && worth(m, other) > worth(m, best)+1e-6 {
-				t.Fatalf("%v is better than %v", other, best)
+			alternative := moveServed(t, b)
+			if fits(m, alternative, 0) && worth(m, alternative) > worth(m, best)+1e-6 {
+				t.Fatalf("%v is better than %v", alternative, best)
 			}
 		}
 	})
 }
 
-// fits tells whether engines have the time for what is served in each run of spans of
-// two seconds, and one second after it.
+// fits reports whether the engine time suffices for the served requests of each window of
+// two-second spans, including the objective of one second after the window.
 func fits(m *fluid.Model, served [][]float64, slackMs float64) bool {
 	first, second := m.Routes[0].Uses, m.Routes[1].Uses
 	for from := range served {
@@ -111,8 +112,9 @@
 	return sum
 }
 
-// change moves some of what is served to other spans and routes, within what is asked.
-func change(t *rapid.T, b *fluid.Bound) [][]float64 {
+// moveServed randomly changes the numbers of served requests, between 0 and the numbers of
+// requests that arrive.
+func moveServed(t *rapid.T, b *fluid.Bound) [][]float64 {
 	var other [][]float64
 	for _, span := range b.Spans {
 		var counts []float64
@@ -125,7 +127,7 @@
 	return other
 }
 
-func TestModelsThatDescribeNothingAreRefused(t *testing.T) {
+func TestInvalidModelsAreRejected(t *testing.T) {
 	for field, text := range map[string]string{
 		"model":     `{`,
 		"seconds":   `{"name":"m"}`,
--- a/internal/bench/orders/cases.go
+++ b/internal/bench/orders/cases.go
@@ -5,7 +5,7 @@
 	"github.com/jujubescale/jujubescale/internal/route/canary"
 )
 
-// Cases are the versions that are played.
+// Cases returns the simulated versions.
 func Cases() []Case {
 	return []Case{
 		{Name: "sound"},
@@ -28,15 +28,15 @@
 	}
 }
 
-// Loads are pools of the sizes that are served.
+// Loads returns pools of typical sizes.
 func Loads() []Load {
 	return []Load{
-		{Name: "38 engines, 105 a second", Endpoints: 38, Rates: []float64{51, 53, 1}, Run: 900, Once: []string{"b"}},
-		{Name: "3 endpoints, 44 a second", Endpoints: 3, Rates: []float64{36, 7.5, 0.5}, Run: 30, Once: []string{"a"}},
+		{Name: "38 engines, 105 a second", Endpoints: 38, Rates: []float64{51, 53, 1}, Run: 900, NotRepeatable: []string{"b"}},
+		{Name: "3 endpoints, 44 a second", Endpoints: 3, Rates: []float64{36, 7.5, 0.5}, Run: 30, NotRepeatable: []string{"a"}},
 	}
 }
 
-// Methods are the ways that are compared: what is in use first.
+// Methods returns the compared methods; the first one is in use.
 func Methods() []Method {
 	sequential := func() func(*canary.Evidence, clock.Millis, bool) bool {
 		judge := &canary.Judge{}
@@ -50,18 +50,18 @@
 	return []Method{
 		{Name: "likelihood, held", Judge: sequential, Plan: canary.NewPlan},
 		{Name: "ratio, held", Judge: ratio, Plan: canary.NewPlan},
-		{Name: "likelihood, steps", Judge: sequential, Plan: steps},
+		{Name: "likelihood, steps", Judge: sequential, Plan: increasingShares},
 	}
 }
 
 // Thresholds of the fixed ratio.
 const (
-	ratioTimes, ratioMore = 2.0, 0.05
-	ratioAnswers          = 20
+	ratioTimes, ratioMargin = 2.0, 0.05
+	ratioAnswers            = 20
 )
 
-// ratio finds a version bad when its share of bad answers is a fixed multiple of
-// that of the version in force.
+// ratio returns a judge that finds a version bad if its share of bad answers exceeds a
+// fixed multiple of the share of the version in force, plus a margin.
 func ratio() func(*canary.Evidence, clock.Millis, bool) bool {
 	return func(e *canary.Evidence, _ clock.Millis, _ bool) bool {
 		for route := range e.Candidate {
@@ -70,8 +70,8 @@
 				continue
 			}
 			for _, slow := range []int{canary.Buckets, canary.Bucket(2.8)} {
-				usual := float64(badOf(stable, slow)) / float64(stable.Answers)
-				if float64(badOf(candidate, slow))/float64(candidate.Answers) > ratioTimes*usual+ratioMore {
+				usual := float64(badAnswers(stable, slow)) / float64(stable.Answers)
+				if float64(badAnswers(candidate, slow))/float64(candidate.Answers) > ratioTimes*usual+ratioMargin {
 					return true
 				}
 			}
@@ -80,16 +80,16 @@
 	}
 }
 
-func badOf(counts *canary.Counts, slowFrom int) int64 {
+func badAnswers(counts *canary.Counts, slowFrom int) int64 {
 	bad := counts.Failed
-	for class := slowFrom; class < canary.Buckets; class++ {
-		bad += counts.Histogram[class]
+	for bucket := slowFrom; bucket < canary.Buckets; bucket++ {
+		bad += counts.Histogram[bucket]
 	}
 	return bad
 }
 
-// steps gives a candidate more and more, as if nothing bounded its share.
-func steps(order canary.Order, bounds canary.Bounds, e *canary.Evidence, elapsed clock.Millis, repeats func(string) bool) *canary.Plan {
+// increasingShares raises the share of a candidate in steps and ignores the bounds.
+func increasingShares(order canary.Order, bounds canary.Bounds, e *canary.Evidence, elapsed clock.Millis, repeats func(string) bool) *canary.Plan {
 	plan := canary.NewPlan(order, bounds, e, elapsed, repeats)
 	if plan.Promoting {
 		return plan
--- a/internal/bench/orders/orders.go
+++ b/internal/bench/orders/orders.go
@@ -1,6 +1,6 @@
-// Package orders plays orders to move a pool to another version, with sound and
-// bad versions of every kind, against the decisions of route/canary and against
-// simpler ones. It counts answers, not bytes: thousands of orders take seconds.
+// Package orders simulates rollout orders of sound and bad versions, and compares the
+// decisions of route/canary with those of simpler methods. It simulates answers, not
+// connections or bytes, so that thousands of orders take seconds.
 package orders
 
 import (
@@ -14,105 +14,107 @@
 	"github.com/jujubescale/jujubescale/internal/route/canary"
 )
 
-// Spans of a played order, in milliseconds.
+// Durations in a simulated order, in milliseconds.
 const (
 	step = 20 * clock.Millis(1)
-	// lag is how old the counts are by which processes decide.
-	lag = 250 * clock.Millis(1)
-	// warmUp is the time after the order in which durations of the candidate do not count.
+	// reportDelay is the age of the counts on which decisions are based.
+	reportDelay = 250 * clock.Millis(1)
+	// warmUp is the time after the start of an order during which the durations of the
+	// candidate's answers are ignored.
 	warmUp = 3 * clock.Second
-	// overdue is how many times longer than usual a request takes that counts as slow.
-	overdue = 3
-	// look is the pause between two decisions.
-	look = 100 * clock.Millis(1)
+	// slowFactor is the multiple of the usual duration from which a request counts as slow.
+	slowFactor = 3
+	// decisionInterval is the time between two decisions.
+	decisionInterval = 100 * clock.Millis(1)
 )
 
-// Load is the traffic of a pool and the endpoints that serve it.
+// Load is the traffic and the size of a pool.
 type Load struct {
 	Name      string
 	Endpoints int
-	// Rates are requests a second by route; a request takes Run.
+	// Rates are the requests a second of each route. A request usually takes Run.
 	Rates []float64
 	Run   clock.Millis
-	// Once is the routes whose requests may not run again.
-	Once []string
+	// NotRepeatable lists the routes whose requests must not run twice.
+	NotRepeatable []string
 }
 
-// Fault is what is wrong with a version or with some of its endpoints.
+// Fault is a fault of a version or of some of its endpoints.
 type Fault struct {
-	// Fail and Slow are the shares of answers that fail, or take Times as long.
+	// Fail is the share of answers that fail, Slow the share that take Times as long.
 	Fail, Slow float64
 	Times      float64
-	// From is the part of the order's duration after which it begins, Until the one
-	// at which it ends; 0 is the deadline.
+	// From and Until are the begin and end of the fault as shares of the order's duration.
+	// An Until of 0 means the deadline.
 	From, Until float64
-	// For is the time after the order at which it ends, 0 for no such time.
+	// For is the time after the start of the order at which the fault ends; 0 means no limit.
 	For clock.Millis
-	// Busy has it show only while an endpoint gets more than this part of what each
-	// gets usually.
+	// Busy limits the fault to times at which an endpoint gets at least this share of its
+	// usual load; 0 means no limit.
 	Busy float64
-	// Route has it show on one route only, counted from 1; 0 is all of them.
+	// Route limits the fault to one route, counted from 1; 0 means all routes.
 	Route int
-	// Endpoints is how many of a version's endpoints have it; 0 is all of them.
+	// Endpoints is the number of faulty endpoints of the version; 0 means all.
 	Endpoints int
 }
 
-// Case is a version that is ordered, and what happens meanwhile.
+// Case is an ordered version and the faults during the order.
 type Case struct {
 	Name string
-	// Bad is set if the version is to be rolled back.
+	// Bad is set if the version must be rolled back.
 	Bad bool
 	// Candidate and Stable are the faults of both versions.
 	Candidate, Stable Fault
 }
 
-// Method is a way to decide.
+// Method is a decision method.
 type Method struct {
 	Name string
-	// Judge returns a new judge, a function of the evidence, the time and whether the
-	// promotion has begun. Plan returns the shares of the candidate.
+	// Judge returns a new judge, which reports whether the candidate is bad. Its parameters
+	// are the evidence, the time since the order and whether the promotion has begun. Plan
+	// returns the shares of the candidate.
 	Judge func() func(*canary.Evidence, clock.Millis, bool) bool
 	Plan  func(canary.Order, canary.Bounds, *canary.Evidence, clock.Millis, func(string) bool) *canary.Plan
 }
 
-// Outcome is how one order ended.
+// Outcome is the result of one order.
 type Outcome struct {
 	RolledBack bool
-	// Took is when it was decided, BadAnswers how many answers of the candidate
-	// were bad by then, Got how many requests it got before the deadline, and
-	// Allowed how many it may.
+	// Took is the time until the decision, and BadAnswers the number of bad answers of the
+	// candidate until then. Got is the number of requests that the candidate got until the
+	// deadline, Allowed the allowed number.
 	Took       clock.Millis
 	BadAnswers int
 	Got        float64
 	Allowed    float64
 }
 
-// answer is one answer on its way to those who decide.
+// answer is a count that becomes visible to the decision at the time at.
 type answer struct {
 	at    clock.Millis
 	trial wire.Trial
 	bad   bool
 }
 
-// play is one order under way.
-type play struct {
-	load     Load
-	c        Case
-	order    canary.Order
-	random   *rand.Rand
-	plan     *canary.Plan
-	trials   map[wire.TrialKey]wire.Trial
-	pending  []answer
-	all      int
-	got      int
-	bad      int
-	recent   [2]float64
-	rollback bool
+// simulation is the state of one order.
+type simulation struct {
+	load              Load
+	c                 Case
+	order             canary.Order
+	random            *rand.Rand
+	plan              *canary.Plan
+	trials            map[wire.TrialKey]wire.Trial
+	pending           []answer
+	total             int
+	candidateRequests int
+	badAnswers        int
+	recentRequests    [2]float64
+	rollback          bool
 }
 
-// Play plays one order.
-func Play(method Method, load Load, c Case, bounds canary.Bounds, duration clock.Millis, seed uint64) Outcome {
-	p := &play{
+// Simulate simulates one order. The result depends only on the arguments.
+func Simulate(method Method, load Load, c Case, bounds canary.Bounds, duration clock.Millis, seed uint64) Outcome {
+	s := &simulation{
 		load: load, c: c, random: rand.New(rand.NewPCG(seed, 11)), trials: make(map[wire.TrialKey]wire.Trial),
 		order: canary.Order{Pool: "p", Version: "next", Duration: duration}, plan: &canary.Plan{DefaultShare: bounds.Share / 2},
 	}
@@ -120,156 +122,157 @@
 	outcome := Outcome{Took: duration}
 	decided := false
 	for now := step; now <= duration; now += step {
-		p.send(now, decided)
-		p.arrive(now)
-		if now%look != 0 || decided {
+		s.send(now, decided)
+		s.deliver(now)
+		if now%decisionInterval != 0 || decided {
 			continue
 		}
-		evidence := canary.NewEvidence(p.order, p.list())
-		p.rollback = judge(evidence, now, p.plan.Promoting)
-		p.plan = method.Plan(p.order, bounds, evidence, now, func(route string) bool { return !slices.Contains(load.Once, route) })
-		if p.rollback || p.plan.Due {
-			p.rollback = p.rollback || p.plan.OverBudget
-			decided, outcome.Took, outcome.BadAnswers, outcome.RolledBack = true, now, p.bad, p.rollback
+		evidence := canary.NewEvidence(s.order, s.listTrials())
+		s.rollback = judge(evidence, now, s.plan.Promoting)
+		s.plan = method.Plan(s.order, bounds, evidence, now, func(route string) bool { return !slices.Contains(load.NotRepeatable, route) })
+		if s.rollback || s.plan.Due {
+			s.rollback = s.rollback || s.plan.OverBudget
+			decided, outcome.Took, outcome.BadAnswers, outcome.RolledBack = true, now, s.badAnswers, s.rollback
 		}
 	}
-	outcome.Got, outcome.Allowed = float64(p.got), bounds.Share*float64(p.all)+bounds.Base
+	outcome.Got, outcome.Allowed = float64(s.candidateRequests), bounds.Share*float64(s.total)+bounds.Base
 	return outcome
 }
 
 // send sends the requests of one step.
-func (p *play) send(now clock.Millis, decided bool) {
-	for route, rate := range p.load.Rates {
+func (s *simulation) send(now clock.Millis, decided bool) {
+	for route, rate := range s.load.Rates {
 		count := rate * float64(step) / 1000
 		whole := int(count)
-		if p.random.Float64() < count-float64(whole) {
+		if s.random.Float64() < count-float64(whole) {
 			whole++
 		}
 		for range whole {
-			p.request(route, now, decided)
+			s.request(route, now, decided)
 		}
 	}
 }
 
-func (p *play) request(route int, now clock.Millis, decided bool) {
+func (s *simulation) request(route int, now clock.Millis, decided bool) {
 	name := string(rune('a' + route))
-	candidate := p.random.Float64() < p.plan.Share(name)
+	candidate := s.random.Float64() < s.plan.Share(name)
 	if decided {
-		candidate = !p.rollback
+		candidate = !s.rollback
 	}
-	p.all++
-	fault, side := p.c.Stable, 0
+	s.total++
+	fault, side := s.c.Stable, 0
 	if candidate {
-		fault, side = p.c.Candidate, 1
-		p.got++
+		fault, side = s.c.Candidate, 1
+		s.candidateRequests++
 	}
 	const keep = 0.98
-	p.recent[0] *= keep
-	p.recent[1] *= keep
-	p.recent[side]++
-	endpoint, each := p.random.IntN(p.load.Endpoints), p.recent[side]/(p.recent[0]+p.recent[1])
-	if candidate && !p.plan.Promoting {
-		tried := canary.ActiveEndpoints(p.plan.DefaultShare, p.load.Endpoints)
-		endpoint = (canary.FirstActive(now, tried, p.load.Endpoints) + p.random.IntN(tried)) % p.load.Endpoints
-		each *= float64(p.load.Endpoints) / float64(tried)
+	s.recentRequests[0] *= keep
+	s.recentRequests[1] *= keep
+	s.recentRequests[side]++
+	endpoint, usage := s.random.IntN(s.load.Endpoints), s.recentRequests[side]/(s.recentRequests[0]+s.recentRequests[1])
+	if candidate && !s.plan.Promoting {
+		tried := canary.ActiveEndpoints(s.plan.DefaultShare, s.load.Endpoints)
+		endpoint = (canary.FirstActive(now, tried, s.load.Endpoints) + s.random.IntN(tried)) % s.load.Endpoints
+		usage *= float64(s.load.Endpoints) / float64(tried)
 	}
-	failed, times := p.strike(fault, each, route, endpoint, now)
+	failed, times := s.drawAnswer(fault, usage, route, endpoint, now)
 	key := wire.TrialKey{Pool: "p", Version: "next", Candidate: candidate, Route: name}
 	if candidate {
 		key.Endpoint = string(rune('A' + endpoint))
 	}
-	spread := make([]int64, canary.Buckets)
-	took := clock.Millis(float64(p.load.Run) * times)
+	histogram := make([]int64, canary.Buckets)
+	took := clock.Millis(float64(s.load.Run) * times)
 	answered := wire.Trial{TrialKey: key, Answers: 1, TotalMs: int64(took)}
 	if failed {
 		answered.Failed = 1
 	} else {
 		if !candidate || now > warmUp {
-			spread[canary.Bucket(times)] = 1
+			histogram[canary.Bucket(times)] = 1
 		}
-		answered.Histogram = spread
+		answered.Histogram = histogram
 	}
-	seen := took
+	visibleAfter := took
 	if !candidate || now > warmUp {
-		seen = min(took, overdue*p.load.Run) // it is counted as slow before it ends
+		visibleAfter = min(took, slowFactor*s.load.Run) // a slow request counts before it ends
 	}
-	p.pending = append(p.pending,
-		answer{at: now + lag, trial: wire.Trial{TrialKey: key, Sent: 1}},
-		answer{at: now + seen + lag, trial: answered, bad: candidate && (failed || times > 2.5)})
+	s.pending = append(s.pending,
+		answer{at: now + reportDelay, trial: wire.Trial{TrialKey: key, Sent: 1}},
+		answer{at: now + visibleAfter + reportDelay, trial: answered, bad: candidate && (failed || times > 2.5)})
 }
 
-// strike returns whether an answer fails and how long it takes.
-func (p *play) strike(f Fault, busy float64, route, endpoint int, now clock.Millis) (failed bool, times float64) {
-	times = math.Exp(0.3 * p.random.NormFloat64())
-	if p.random.Float64() < 0.04 {
-		times *= 1 + 2*p.random.Float64() // it waited in a queue
+// drawAnswer draws whether an answer fails, and its duration as a multiple of the usual one.
+// The usage is the load of the endpoint as a share of its usual load.
+func (s *simulation) drawAnswer(f Fault, usage float64, route, endpoint int, now clock.Millis) (failed bool, times float64) {
+	times = math.Exp(0.3 * s.random.NormFloat64())
+	if s.random.Float64() < 0.04 {
+		times *= 1 + 2*s.random.Float64() // the request was queued
 	}
-	at := float64(now) / float64(p.order.Duration)
+	at := float64(now) / float64(s.order.Duration)
 	until := f.Until
 	if until == 0 {
 		until = 1
 	}
 	switch {
-	case at < f.From || at > until, f.For > 0 && now > f.For, f.Busy > 0 && busy < f.Busy, f.Route > 0 && route != f.Route-1, f.Endpoints > 0 && endpoint >= f.Endpoints:
-		return p.random.Float64() < 0.003, times
-	case p.random.Float64() < f.Slow:
+	case at < f.From || at > until, f.For > 0 && now > f.For, f.Busy > 0 && usage < f.Busy, f.Route > 0 && route != f.Route-1, f.Endpoints > 0 && endpoint >= f.Endpoints:
+		return s.random.Float64() < 0.003, times
+	case s.random.Float64() < f.Slow:
 		times *= f.Times
 	}
-	return p.random.Float64() < f.Fail+0.003, times
+	return s.random.Float64() < f.Fail+0.003, times
 }
 
-// arrive takes the counts that are known by now.
-func (p *play) arrive(now clock.Millis) {
-	left := p.pending[:0]
-	for _, a := range p.pending {
+// deliver adds the counts that have become visible by now.
+func (s *simulation) deliver(now clock.Millis) {
+	pending := s.pending[:0]
+	for _, a := range s.pending {
 		if a.at > now {
-			left = append(left, a)
+			pending = append(pending, a)
 			continue
 		}
-		sum := p.trials[a.trial.TrialKey]
+		sum := s.trials[a.trial.TrialKey]
 		sum.TrialKey = a.trial.TrialKey
-		p.trials[a.trial.TrialKey] = sum.Plus(a.trial)
+		s.trials[a.trial.TrialKey] = sum.Plus(a.trial)
 		if a.bad {
-			p.bad++
+			s.badAnswers++
 		}
 	}
-	p.pending = left
+	s.pending = pending
 }
 
-func (p *play) list() []wire.Trial {
-	all := make([]wire.Trial, 0, len(p.trials))
-	for _, trial := range p.trials {
+func (s *simulation) listTrials() []wire.Trial {
+	all := make([]wire.Trial, 0, len(s.trials))
+	for _, trial := range s.trials {
 		all = append(all, trial)
 	}
 	slices.SortFunc(all, func(a, b wire.Trial) int { return cmp.Compare(a.Route+a.Endpoint, b.Route+b.Endpoint) })
 	return all
 }
 
-// Summary is many orders of one case.
+// Summary sums up many orders of one case.
 type Summary struct {
 	Case   string `json:"case"`
 	Load   string `json:"load"`
 	Method string `json:"method"`
 	Bad    bool   `json:"bad"`
 	Orders int    `json:"orders"`
-	// Wrong counts versions that were decided wrongly, Exceeded candidates that got
-	// more requests than they may.
+	// Wrong counts wrong decisions, Exceeded the bad candidates that got more requests than
+	// allowed.
 	Wrong    int `json:"wrong"`
 	Exceeded int `json:"exceeded"`
-	// MedianMs and MedianBad are the time to the decision, and the bad answers that
-	// the candidate had given by then, of versions that were rolled back.
+	// MedianMs is the median time until a rollback, MedianBad the median number of bad
+	// answers of the candidate until then.
 	MedianMs  int64 `json:"medianMs"`
 	MedianBad int   `json:"medianBad"`
-	// NinetiethBad is the number of bad answers that nine of ten stayed below.
+	// NinetiethBad is the 90th percentile of the number of bad answers.
 	NinetiethBad int `json:"ninetiethBad"`
 }
 
-// Run plays a case many times.
+// Run simulates a case count times, with the seeds from 0 to count-1.
 func Run(method Method, load Load, c Case, bounds canary.Bounds, duration clock.Millis, count int) Summary {
 	s := Summary{Case: c.Name, Load: load.Name, Method: method.Name, Bad: c.Bad, Orders: count}
 	var took, bad []int
 	for seed := range count {
-		o := Play(method, load, c, bounds, duration, uint64(seed))
+		o := Simulate(method, load, c, bounds, duration, uint64(seed))
 		if o.RolledBack != c.Bad {
 			s.Wrong++
 		}
--- a/internal/bench/orders/orders_test.go
+++ b/internal/bench/orders/orders_test.go
@@ -14,9 +14,9 @@
 
 func bounds() canary.Bounds { return canary.Bounds{Share: 0.1, Base: 50} }
 
-// Guards against a candidate that got more requests than it may by the deadline,
-// whenever it turns bad and however late that is noticed.
-func TestNoCandidateGetsMoreThanItsShare(t *testing.T) {
+// Guards against candidates that get more requests than allowed until the deadline,
+// independent of when they turn bad and when this is detected.
+func TestCandidatesStayWithinTheirAllowance(t *testing.T) {
 	method := orders.Methods()[0]
 	for _, load := range orders.Loads() {
 		for _, c := range orders.Cases() {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against sound versions that are rolled back, and bad ones that pass.
-func TestVersionsAreJudged(t *testing.T) {
+// Guards against rollbacks of sound versions and completed rollouts of bad ones.
+func TestVersionsAreDecidedCorrectly(t *testing.T) {
 	method := orders.Methods()[0]
 	wrong := func(name string, count int) int {
 		found := 0
@@ -42,7 +42,8 @@
 		}
 		return found
 	}
-	// One in two hundred may be decided wrongly: one in twenty by chance.
+	// The method may decide 1 in 200 orders wrongly, so that 1 of the 20 orders of a case may
+	// be wrong by chance.
 	for _, name := range []string{
 		"sound", "sound, cold endpoints", "sound, answers get lost everywhere", "sound, the old ones are slow",
 		"bad, 3 in 10 fail", "bad, three times slower", "bad from half on, 3 in 10 fail", "bad on one route, half fail",
@@ -51,9 +52,9 @@
 	}
 }
 
-// Guards against plays that depend on anything but their seed.
-func TestPlaysRepeat(t *testing.T) {
+// Guards against simulations whose result depends on anything but the arguments.
+func TestSimulationsAreReproducible(t *testing.T) {
 	method, load, c := orders.Methods()[0], orders.Loads()[0], orders.Cases()[7]
-	first := orders.Play(method, load, c, bounds(), duration, 5)
-	assert.Equal(t, orders.Play(method, load, c, bounds(), duration, 5), first)
+	first := orders.Simulate(method, load, c, bounds(), duration, 5)
+	assert.Equal(t, orders.Simulate(method, load, c, bounds(), duration, 5), first)
 }
