--- a/internal/bench/slope/config.go
+++ b/internal/bench/slope/config.go
@@ -13,8 +13,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// manifestOf returns a manifest with that many organisations.
-func manifestOf(organisations int) *manif.Manifest {
+// newManifest returns a manifest with the given number of organisations.
+func newManifest(organisations int) *manif.Manifest {
 	m := whole.Sample()
 	m.Organisations = nil
 	for i := range organisations {
@@ -27,13 +27,13 @@
 	return m
 }
 
-// release is a configuration as it stands in the platform.
+// release is a configuration as the platform stores it.
 type release struct {
 	raw      []byte
 	sections map[head.Ref][]byte
 }
 
-func releaseOf(number uint64, m *manif.Manifest) (*release, error) {
+func newRelease(number uint64, m *manif.Manifest) (*release, error) {
 	sections, err := head.Split(m)
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
 			learner := newLearner()
 			before := heap()
-			if err := offer(ctx, learner, 1, manifestOf(size)); err != nil {
+			if err := offer(ctx, learner, 1, newManifest(size)); err != nil {
 				return 0, err
 			}
 			after := heap()
@@ -71,7 +71,7 @@
 }
 
 func offer(ctx context.Context, learner *spread.Learner, number uint64, m *manif.Manifest) error {
-	r, err := releaseOf(number, m)
+	r, err := newRelease(number, m)
 	if err != nil {
 		return err
 	}
@@ -82,18 +82,18 @@
 	return nil
 }
 
-// changeTime takes in changes of one organisation among many.
+// changeTime measures the processor time to apply a change of one organisation among many.
 func changeTime() Probe {
 	const changes = 20
 	return Probe{
 		Name: "processor time to take in a change of one organisation", X: "organisations", Y: "microseconds",
 		Sizes: []int{100, 400, 800, 1600},
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
-			learner, m := newLearner(), manifestOf(size)
+			learner, m := newLearner(), newManifest(size)
 			var releases []*release
 			for i := range changes + 1 {
 				m.Organisations[0].MaxOpen = 1 + i
-				next, err := releaseOf(uint64(i+1), m)
+				next, err := newRelease(uint64(i+1), m)
 				if err != nil {
 					return 0, err
 				}
@@ -117,19 +117,19 @@
 	}
 }
 
-// changeBytes is what a process must fetch after a change of one organisation.
+// changeBytes measures the bytes that a process fetches after a change of one organisation.
 func changeBytes() Probe {
 	return Probe{
 		Name: "bytes to fetch for a change of one organisation", X: "organisations", Y: "bytes",
 		Sizes: []int{200, 400, 800, 1600},
 		MeasureFunc: func(_ context.Context, size int) (float64, error) {
-			m := manifestOf(size)
-			old, err := releaseOf(1, m)
+			m := newManifest(size)
+			old, err := newRelease(1, m)
 			if err != nil {
 				return 0, err
 			}
 			m.Organisations[0].MaxOpen++
-			next, err := releaseOf(2, m)
+			next, err := newRelease(2, m)
 			if err != nil {
 				return 0, err
 			}
@@ -148,7 +148,7 @@
 	return Probe{
 		Name: "bytes of the head", X: "organisations", Y: "bytes", Sizes: []int{200, 400, 800, 1600},
 		MeasureFunc: func(_ context.Context, size int) (float64, error) {
-			r, err := releaseOf(1, manifestOf(size))
+			r, err := newRelease(1, newManifest(size))
 			if err != nil {
 				return 0, err
 			}
@@ -186,7 +186,8 @@
 	}
 }
 
-// subsetTime chooses whom to hold sessions to among all endpoints of a pool.
+// subsetTime measures the processor time to choose, among all endpoints of a pool, those to
+// which a process keeps sessions.
 func subsetTime() Probe {
 	const rounds, subset = 20, 128
 	return Probe{
--- a/internal/bench/slope/roster.go
+++ b/internal/bench/slope/roster.go
@@ -14,16 +14,16 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-const listedPool = "engines"
+const poolName = "engines"
 
-// listed returns a platform that names that many endpoints of one pool.
-func listed(count int) *store.Store {
+// newPlatform returns a platform whose list of hosts has count endpoints of one pool.
+func newPlatform(count int) *store.Store {
 	p := plat.New()
 	var hosts []store.Host
 	for i := range count {
 		hosts = append(hosts, store.Host{
 			Name: fmt.Sprintf("host-engines-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7100", i/250, i%250),
-			AvailabilityZone: fmt.Sprintf("za-%d", i%19), Role: "agent", Pool: listedPool,
+			AvailabilityZone: fmt.Sprintf("za-%d", i%19), Role: "agent", Pool: poolName,
 			Endpoint: fmt.Sprintf("engines-%05d", i), State: store.HostLive,
 		})
 	}
@@ -35,14 +35,14 @@
 
 func newRoster(platform *store.Store) *roster.Roster {
 	self := store.Host{Name: "host-entry-1", Address: "10.1.0.1:7000", AvailabilityZone: "za-1", Role: "entry"}
-	return roster.New(self, platform, roster.WithPools(func() []string { return []string{listedPool} }))
+	return roster.New(self, platform, roster.WithPools(func() []string { return []string{poolName} }))
 }
 
 func rosterMemory() Probe {
 	return Probe{
 		Name: "memory of an endpoint on the list of hosts", X: "endpoints", Y: "bytes", Sizes: []int{500, 1000, 2000, 4000},
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
-			platform := listed(size)
+			platform := newPlatform(size)
 			r := newRoster(platform)
 			before := heap()
 			r.Step(ctx)
@@ -60,7 +60,7 @@
 		Name: "processor time to read the list of a pool once", X: "endpoints", Y: "microseconds",
 		Sizes: []int{500, 1000, 2000, 4000},
 		MeasureFunc: func(ctx context.Context, size int) (float64, error) {
-			platform := listed(size)
+			platform := newPlatform(size)
 			before, err := processorTime()
 			if err != nil {
 				return 0, err
@@ -74,8 +74,8 @@
 	}
 }
 
-// idleTime runs a whole system without load: heartbeats, load reports of the
-// endpoints, lists of hosts and watches are all that goes on.
+// idleTime measures a complete system without requests. Its processor time comes from
+// heartbeats, load reports of the endpoints, lists of hosts and watches.
 func idleTime() Probe {
 	const span, entries = 5 * time.Second, 2
 	return Probe{
@@ -100,7 +100,7 @@
 	}
 }
 
-// discard drops the daemons' logs.
+// discard is a writer that discards the logs of the daemons.
 type discard struct{}
 
 // Write implements io.Writer.
--- a/internal/bench/slope/session.go
+++ b/internal/bench/slope/session.go
@@ -15,29 +15,29 @@
 	"github.com/jujubescale/jujubescale/internal/link/wire"
 )
 
-// sessions is a number of open sessions, both ends in this process.
-type sessions struct {
+// sessionSet holds open sessions with both ends in this process.
+type sessionSet struct {
 	server *httptest.Server
 	stop   context.CancelFunc
 	open   []*sess.Session
 	bytes  atomic.Int64
 }
 
-// counted counts the bytes of a connection in both directions.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(into []byte) (int, error) {
+func (c *countingConn) Read(into []byte) (int, error) {
 	got, err := c.Conn.Read(into)
 	c.bytes.Add(int64(got))
 	return got, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(bytes []byte) (int, error) {
+func (c *countingConn) Write(bytes []byte) (int, error) {
 	c.bytes.Add(int64(len(bytes)))
 	return c.Conn.Write(bytes)
 }
@@ -46,9 +46,9 @@
 	return &wire.Load{Running: 5, Queued: 2, Limit: 8, Cost: 40, ServiceTime: 540, PrefixEpoch: 1 << 40}
 }
 
-func openSessions(ctx context.Context, count int, opts ...sess.Option) (*sessions, error) {
+func openSessions(ctx context.Context, count int, opts ...sess.Option) (*sessionSet, error) {
 	ctx, stop := context.WithCancel(ctx)
-	s := &sessions{stop: stop}
+	s := &sessionSet{stop: stop}
 	hello := func() wire.Hello {
 		return wire.Hello{
 			Process: "agent-setup-engines-3", Role: "agent", Host: "host-setup-engines-3",
@@ -64,7 +64,7 @@
 	address := strings.TrimPrefix(s.server.URL, "http://")
 	dial := sess.WithDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &counted{Conn: conn, bytes: &s.bytes}, err
+		return &countingConn{Conn: conn, bytes: &s.bytes}, err
 	})
 	for range count {
 		opened, err := sess.Dial(ctx, address, append(opts, dial)...)
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-func (s *sessions) close() {
+func (s *sessionSet) close() {
 	s.stop()
 	for _, one := range s.open {
 		<-one.Done()
@@ -102,8 +102,8 @@
 	}
 }
 
-// sessionBytes makes heartbeats frequent and counts what one and its reply
-// take; by the span between heartbeats that is what an idle session costs.
+// sessionBytes measures the bytes of a heartbeat and its reply with frequent heartbeats.
+// The bytes a second of an idle session are this number divided by the heartbeat interval.
 func sessionBytes() Probe {
 	const every, beats = 200 * clock.Millis(1), 10
 	return Probe{
@@ -114,15 +114,16 @@
 				return 0, err
 			}
 			defer s.close()
-			begin := s.bytes.Load()
+			before := s.bytes.Load()
 			time.Sleep(beats * every.Duration())
-			return float64(s.bytes.Load()-begin) / beats, nil
+			return float64(s.bytes.Load()-before) / beats, nil
 		},
 	}
 }
 
-// beatTime makes heartbeats frequent, so that their processor time shows.
-func beatTime() Probe {
+// heartbeatTime measures the processor time of a heartbeat and its reply. Heartbeats are
+// frequent so that their share of the processor time is measurable.
+func heartbeatTime() Probe {
 	const every, span = 10 * clock.Millis(1), 2 * time.Second
 	return Probe{
 		Name: "processor time of a heartbeat and its reply, both ends", X: "heartbeats", Y: "microseconds",
--- a/internal/bench/slope/slope.go
+++ b/internal/bench/slope/slope.go
@@ -1,7 +1,6 @@
-// Package slope measures what the product spends for one more of something: a
-// session, an endpoint known, an organisation, a change of configuration. Each
-// probe measures several sizes and fits a line; docs/CAPACITY.md is worked out
-// from these slopes.
+// Package slope measures the marginal cost of sessions, known endpoints, organisations and
+// configuration changes. Each probe measures several sizes and fits a line; docs/CAPACITY.md
+// is based on the slopes.
 package slope
 
 import (
@@ -19,7 +18,7 @@
 	Y float64 `json:"y"`
 }
 
-// Line is the least-squares fit of some points: y = Base + Slope * x.
+// Line is a least-squares fit: y = Base + Slope * x.
 type Line struct {
 	Base  float64 `json:"base"`
 	Slope float64 `json:"slope"`
@@ -29,7 +28,7 @@
 	R2 float64 `json:"r2"`
 }
 
-// Fit fits a line to at least three points.
+// Fit fits a line to at least three points with different X.
 func Fit(points []Point) Line {
 	n := float64(len(points))
 	var sumX, sumY float64
@@ -46,32 +45,32 @@
 	}
 	line := Line{Slope: xy / xx}
 	line.Base = meanY - line.Slope*meanX
-	left := 0.0
+	residual := 0.0
 	for _, p := range points {
-		miss := p.Y - line.Base - line.Slope*p.X
-		left += miss * miss
+		deviation := p.Y - line.Base - line.Slope*p.X
+		residual += deviation * deviation
 	}
-	line.Error = math.Sqrt(left / (n - 2) / xx)
+	line.Error = math.Sqrt(residual / (n - 2) / xx)
 	line.R2 = 1
 	if yy > 0 {
-		line.R2 = 1 - left/yy
+		line.R2 = 1 - residual/yy
 	}
 	return line
 }
 
-// Probe is one slope to measure.
+// Probe measures one slope.
 type Probe struct {
-	// Name says what one more costs, X of what, and Y in which unit.
+	// Name describes the measured cost, X is the counted thing and Y the unit of the cost.
 	Name string
 	X    string
 	Y    string
-	// Sizes to measure at.
+	// Sizes are the measured values of X.
 	Sizes []int
 	// MeasureFunc returns the cost at one size.
 	MeasureFunc func(ctx context.Context, size int) (float64, error)
 }
 
-// Result is a probe's points with their fit.
+// Result holds the points of a probe and the fitted line.
 type Result struct {
 	Name   string  `json:"name"`
 	X      string  `json:"x"`
@@ -80,7 +79,7 @@
 	Line   Line    `json:"line"`
 }
 
-// Run measures a probe, each size repeats times in turn.
+// Run measures each size of a probe the given number of times, cycling through the sizes.
 func Run(ctx context.Context, probe *Probe, repeats int) (*Result, error) {
 	result := &Result{Name: probe.Name, X: probe.X, Y: probe.Y}
 	for range repeats {
@@ -99,13 +98,13 @@
 // Probes returns every probe, in the order of docs/CAPACITY.md.
 func Probes() []Probe {
 	return []Probe{
-		sessionMemory(), sessionBytes(), beatTime(),
+		sessionMemory(), sessionBytes(), heartbeatTime(),
 		endpointMemory(), subsetTime(), rosterMemory(), rosterTime(), idleTime(),
 		organisationMemory(), changeTime(), changeBytes(), headBytes(),
 	}
 }
 
-// heap returns the bytes in use after a collection, stacks included.
+// heap returns the bytes in use after a garbage collection, including stacks.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -114,7 +113,7 @@
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// processorTime returns what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/bench/slope/slope_test.go
+++ b/internal/bench/slope/slope_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFitOfAnExactLineHasNoError(t *testing.T) {
+func TestFitOfExactLineHasNoError(t *testing.T) {
 	line := Fit([]Point{{1, 5}, {2, 7}, {3, 9}, {10, 23}})
 	assert.Assert(t, math.Abs(line.Slope-2) < 1e-9 && math.Abs(line.Base-3) < 1e-9, line)
 	assert.Assert(t, line.Error < 1e-9 && line.R2 > 1-1e-9, line)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestSessionsOfAProbeOpenAndEnd(t *testing.T) {
+func TestProbeSessionsOpenAndClose(t *testing.T) {
 	s, err := openSessions(context.Background(), 3)
 	assert.NilError(t, err)
 	assert.Assert(t, s.bytes.Load() > 0)
