--- a/internal/bench/chart/chart.go
+++ b/internal/bench/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws results as SVG: deadline attainment by second with the
-// faults marked, and cost by stage.
+// Package chart draws results as SVG, such as deadline attainment by second with marked
+// faults and cost by stage.
 package chart
 
 import (
@@ -11,15 +11,15 @@
 )
 
 const (
-	width        = 1000
-	height       = 420
-	percent      = 100
-	millisSecond = 1000
-	padding      = 60
+	width           = 1000
+	height          = 420
+	percent         = 100
+	millisPerSecond = 1000
+	padding         = 60
 )
 
-// Attainment draws the attainment of each second, one line a result, and marks
-// the faults of the first result.
+// Attainment draws the attainment of each second with one line per result. It marks the
+// faults of the first result.
 func Attainment(w io.Writer, results []*tally.Result) error {
 	graph := gochart.Chart{
 		Title: "requests answered in time, % a second", Width: width, Height: height,
@@ -44,7 +44,7 @@
 func faultMarks(result *tally.Result) []gochart.Series {
 	var marks []gochart.Series
 	for i, fault := range result.Faults {
-		at := float64(fault.AtMs) / millisSecond
+		at := float64(fault.AtMs) / millisPerSecond
 		height := percent / float64(len(result.Faults)+1) * float64(i+1)
 		marks = append(marks,
 			gochart.ContinuousSeries{
@@ -58,15 +58,14 @@
 	return marks
 }
 
-// Cost draws the engine time that one answer in time cost in each stage, a bar
-// for each result beside each other.
+// Cost draws the engine time per answer in time for each stage, with one bar per result.
 func Cost(w io.Writer, results []*tally.Result) error {
 	const barWidth, barSpacing, perBar = 30, 15, 60
 	graph := gochart.BarChart{
 		Title: "engine time by answer in time, ms, by stage", Height: height, BarWidth: barWidth, BarSpacing: barSpacing,
 		Background: gochart.Style{Padding: gochart.Box{Top: padding, Bottom: padding}},
 		XAxis:      gochart.Style{TextRotationDegrees: 30, FontSize: 7},
-		YAxis:      gochart.YAxis{Range: &gochart.ContinuousRange{Min: 0, Max: mostCost(results)}},
+		YAxis:      gochart.YAxis{Range: &gochart.ContinuousRange{Min: 0, Max: maxCost(results)}},
 	}
 	for stage := range results[0].Stages {
 		for i, result := range results {
@@ -82,24 +81,24 @@
 	return graph.Render(gochart.SVG, w)
 }
 
-func mostCost(results []*tally.Result) float64 {
-	const room = 1.1
-	most := 1.0
+func maxCost(results []*tally.Result) float64 {
+	const headroom = 1.1
+	highest := 1.0
 	for _, result := range results {
 		for _, stage := range result.Stages {
-			most = max(most, stage.PerAnswerMs)
+			highest = max(highest, stage.PerAnswerMs)
 		}
 	}
-	return room * most
+	return headroom * highest
 }
 
-// Bar is one bar of Shares.
+// Bar is a bar in a chart of Shares.
 type Bar struct {
 	Label string
 	Value float64
 }
 
-// Shares draws shares from 0 to 1, a bar for each.
+// Shares draws a bar chart of shares from 0 to 1.
 func Shares(w io.Writer, title string, bars []Bar) error {
 	const barWidth, barSpacing, perBar = 14, 6, 24
 	graph := gochart.BarChart{
@@ -114,13 +113,13 @@
 	return graph.Render(gochart.SVG, w)
 }
 
-// Line is one line of Lines.
+// Line is a line in a chart of Lines.
 type Line struct {
 	Label string
 	X, Y  []float64
 }
 
-// Lines draws shares from 0 to 1 over seconds.
+// Lines draws a line chart of shares from 0 to 1 by second.
 func Lines(w io.Writer, title string, lines []Line) error {
 	graph := gochart.Chart{
 		Title: title, Width: width, Height: height,
--- a/internal/bench/chart/chart_test.go
+++ b/internal/bench/chart/chart_test.go
@@ -13,7 +13,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-func TestChartsNameWhatTheyShow(t *testing.T) {
+func TestChartsHaveLabels(t *testing.T) {
 	result := &tally.Result{
 		Experiment: "e", System: "s",
 		Seconds: []tally.Second{{Second: 0}, {Second: 1, Counts: tally.Counts{Sent: 2, InTime: 1}}},
--- a/internal/bench/drive/drive.go
+++ b/internal/bench/drive/drive.go
@@ -1,6 +1,6 @@
-// Package drive puts an experiment's load on a system as its callers do: an
-// open loop, whose send times do not depend on the answers, so that a slow
-// system can't hide its slowness by being asked less.
+// Package drive sends the load of an experiment to a system. It is an open-loop load
+// generator: send times do not depend on the answers, so that a slow system gets no fewer
+// requests.
 package drive
 
 import (
@@ -15,28 +15,27 @@
 	"github.com/jujubescale/jujubescale/internal/bench/plan"
 )
 
-// Outcome is how a request ended, as its caller sees it.
+// Outcome is the result of a request from the caller's point of view.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// InTime is a whole, right answer within the deadline.
+	// InTime is a complete, correct answer within the deadline.
 	InTime Outcome = "inTime"
-	// Late is a whole, right answer after the deadline, or none at all.
+	// Late is a complete, correct answer after the deadline, or no answer until the timeout.
 	Late Outcome = "late"
-	// Refused is a clear refusal.
+	// Refused is a refusal that does not count as Cut.
 	Refused Outcome = "refused"
-	// Cut is a request that broke off: no answer, half of one, or a refusal
-	// that can't say what became of it.
+	// Cut is a request with a broken connection, a truncated answer, or a refusal because of
+	// a failure after which the request may have run.
 	Cut Outcome = "cut"
-	// Wrong is an answer to another request.
+	// Wrong is an invalid answer, such as the answer to another request.
 	Wrong Outcome = "wrong"
 )
 
-// Record is what became of one request. Spans are counted from the time at
-// which it was meant to be sent.
+// Record is the result of one request. Durations count from its intended send time.
 type Record struct {
-	// At is the intended send time from the begin of the measurement.
+	// At is the intended send time, counted from the start of the measurement.
 	At           time.Duration
 	Service      string
 	Organisation string
@@ -48,34 +47,33 @@
 	Reason       fault.Reason
 	Ran          fault.Ran
 	Detail       string
-	// Counts tells that it was meant to be sent during the measurement, and not
-	// before or after.
-	Counts bool
+	// Measured is set if the intended send time lies within the measurement.
+	Measured bool
 }
 
-// Driver sends requests to entries.
+// Driver sends the requests of an experiment to entries.
 type Driver struct {
 	targets  func() []string
 	client   *http.Client
 	progress func(Progress)
 }
 
-// Progress is told once a second.
+// Progress is reported once a second. Sent is an estimate.
 type Progress struct {
 	Elapsed time.Duration
 	Total   time.Duration
 	Sent    int
 }
 
-// Option changes a Driver while it is built.
+// Option configures a Driver.
 type Option func(*Driver)
 
-// WithDial replaces how connections to entries are made.
+// WithDial sets the function that opens connections to entries.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(d *Driver) { d.client.Transport = transport(dial) }
 }
 
-// WithProgress sets who is told of the progress.
+// WithProgress sets the function that receives progress reports.
 func WithProgress(progress func(Progress)) Option { return func(d *Driver) { d.progress = progress } }
 
 func transport(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Transport {
@@ -83,8 +81,8 @@
 	return &http.Transport{DialContext: dial, MaxIdleConns: idle, MaxIdleConnsPerHost: idle}
 }
 
-// New returns a driver. Targets returns the base URLs of the entries that the
-// balancer has in rotation just now.
+// New returns a driver. The function targets returns the base URLs of the entries that the
+// load balancer currently uses.
 func New(targets func() []string, opts ...Option) *Driver {
 	d := &Driver{
 		targets:  targets,
@@ -97,35 +95,35 @@
 	return d
 }
 
-// Run sends the whole load and returns the record of each request. Begun is
-// called when the warm-up is over.
-func (d *Driver) Run(ctx context.Context, e *plan.Experiment, begun func()) []Record {
-	planned := arrivals(e)
+// Run sends the load and returns a record of each request. It calls measurementBegins at
+// the end of the warm-up. If ctx ends, it returns the records so far.
+func (d *Driver) Run(ctx context.Context, e *plan.Experiment, measurementBegins func()) []Record {
+	planned := drawArrivals(e)
 	records := make([]Record, len(planned))
 	warmup := time.Duration(e.WarmupMs) * time.Millisecond
 	end := warmup + time.Duration(e.DurationMs)*time.Millisecond
 	start := time.Now()
-	timer := time.AfterFunc(warmup, begun)
+	timer := time.AfterFunc(warmup, measurementBegins)
 	defer timer.Stop()
-	done := d.report(start, end+time.Duration(e.CooldownMs)*time.Millisecond, len(planned))
+	done := d.reportProgress(start, end+time.Duration(e.CooldownMs)*time.Millisecond, len(planned))
 	defer close(done)
 	random := rand.New(rand.NewPCG(uint64(e.Seed), 0))
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for i := range planned {
 		if wait(ctx, time.Until(start.Add(planned[i].at))) != nil {
 			records = records[:i]
 			break
 		}
-		open.Add(1)
+		inFlight.Add(1)
 		target := random.Uint64()
 		go func() {
-			defer open.Done()
+			defer inFlight.Done()
 			records[i] = d.send(ctx, e, &planned[i], start.Add(planned[i].at), target)
 			records[i].At = planned[i].at - warmup
-			records[i].Counts = planned[i].at >= warmup && planned[i].at < end
+			records[i].Measured = planned[i].at >= warmup && planned[i].at < end
 		}()
 	}
-	open.Wait()
+	inFlight.Wait()
 	d.client.CloseIdleConnections()
 	return records
 }
@@ -144,7 +142,7 @@
 	}
 }
 
-func (d *Driver) report(start time.Time, total time.Duration, planned int) chan struct{} {
+func (d *Driver) reportProgress(start time.Time, total time.Duration, planned int) chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		ticker := time.NewTicker(time.Second)
--- a/internal/bench/drive/drive_test.go
+++ b/internal/bench/drive/drive_test.go
@@ -21,7 +21,7 @@
 
 func TestLoadIsTheSameForTheSameSeed(t *testing.T) {
 	e := experiment(t)
-	first, second := arrivals(e), arrivals(e)
+	first, second := drawArrivals(e), drawArrivals(e)
 	assert.Equal(t, len(first), len(second))
 	for i := range first {
 		assert.Equal(t, first[i], second[i])
@@ -30,19 +30,19 @@
 	assert.Assert(t, float64(len(first)) > 0.9*offered && float64(len(first)) < 1.1*offered)
 }
 
-func TestOutcomeIsWhatTheCallerSees(t *testing.T) {
+func TestOutcomesOfAnswers(t *testing.T) {
 	const sse = "text/event-stream"
 	cases := []struct {
 		name, contentType, body string
 		want                    Outcome
 	}{
-		{"whole answer", "", `{"output":"echo=m w1 end=2"}`, InTime},
-		{"answer to another", "", `{"output":"echo=x w1 end=2"}`, Wrong},
+		{"complete answer", "", `{"output":"echo=m w1 end=2"}`, InTime},
+		{"answer to another request", "", `{"output":"echo=x w1 end=2"}`, Wrong},
 		{"tokens missing", "", `{"output":"echo=m end=2"}`, Wrong},
 		{"refusal", "", `{"reason":"overloaded","ran":"notRun"}`, Refused},
-		{"refusal that can't say", "", `{"reason":"outcomeUnknown","ran":"mayHaveRun"}`, Cut},
-		{"whole stream", sse, "event: token\ndata: {}\n\nevent: end\ndata: {\"output\":\"echo=m w1 end=2\"}\n\n", InTime},
-		{"stream breaks off", sse, "event: token\ndata: {}\n\n", Cut},
+		{"refusal with unknown outcome", "", `{"reason":"outcomeUnknown","ran":"mayHaveRun"}`, Cut},
+		{"complete stream", sse, "event: token\ndata: {}\n\nevent: end\ndata: {\"output\":\"echo=m w1 end=2\"}\n\n", InTime},
+		{"truncated stream", sse, "event: token\ndata: {}\n\n", Cut},
 	}
 	e := experiment(t)
 	for _, c := range cases {
@@ -61,18 +61,18 @@
 	}
 }
 
-// An entry is gone when a balancer picks it. The connection can't be made, so
-// nothing ran, and the next entry takes the request.
-func TestBalancerGoesToTheNextEntry(t *testing.T) {
+// Guards against a failed request if the chosen entry is down. The connection fails, so
+// nothing ran and the request can go to the next entry.
+func TestUnreachableEntryIsSkipped(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, err := w.Write([]byte(`{"output":"echo=m w1 end=2"}`))
 		assert.Check(t, err)
 	}))
 	defer server.Close()
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
 	e := experiment(t)
-	d := New(func() []string { return []string{gone.URL, server.URL} })
+	d := New(func() []string { return []string{closed.URL, server.URL} })
 	a := arrival{kind: &e.Mix[0], from: &e.Organisations[0], mark: "m"}
 	assert.Equal(t, d.send(context.Background(), e, &a, time.Now(), 0).Outcome, InTime)
 }
--- a/internal/bench/drive/send.go
+++ b/internal/bench/drive/send.go
@@ -17,13 +17,13 @@
 	"github.com/jujubescale/jujubescale/internal/bench/plan"
 )
 
-// patience is how long past the deadline a caller waits for an answer.
-const patience = 2 * time.Second
+// answerGrace is the time after the deadline for which a caller waits for an answer.
+const answerGrace = 2 * time.Second
 
-// maxAnswer bounds an answer.
+// maxAnswer is the largest size of an answer in bytes.
 const maxAnswer = 16 << 20
 
-// input is a caller's input, as the stand-ins understand it.
+// input is a caller's input in the format of the stand-in engines.
 type input struct {
 	Echo   string  `json:"echo"`
 	Prefix string  `json:"prefix,omitempty"`
@@ -35,8 +35,8 @@
 	Stream bool  `json:"stream"`
 }
 
-// answer is what any answer may hold: that of a pipeline, of a plain service,
-// or a refusal.
+// answer holds the fields of all kinds of answers: of a pipeline, of a plain service and of
+// a refusal.
 type answer struct {
 	Output json.RawMessage `json:"output"`
 	Echo   string          `json:"echo"`
@@ -48,16 +48,16 @@
 
 func (d *Driver) send(ctx context.Context, e *plan.Experiment, a *arrival, at time.Time, target uint64) Record {
 	deadline := time.Duration(e.DeadlineMs(a.kind.Service)) * time.Millisecond
-	ctx, cancel := context.WithDeadline(ctx, at.Add(deadline+patience))
+	ctx, cancel := context.WithDeadline(ctx, at.Add(deadline+answerGrace))
 	defer cancel()
 	record := Record{Service: a.kind.Service, Organisation: a.from.Name, Mark: a.mark}
-	response, err := d.reach(ctx, a, target)
+	response, err := d.sendToFirstReachable(ctx, a, target)
 	if err == nil {
 		defer func() { _ = response.Body.Close() }()
 		record.RequestID = response.Header.Get("X-Request-Id")
 		record.read(response, a, at)
 	} else {
-		record.broken(err)
+		record.setFailure(err)
 	}
 	record.Took = time.Since(at)
 	if record.Outcome == InTime && record.Took > deadline {
@@ -66,9 +66,9 @@
 	return record
 }
 
-// reach sends the request to one entry, and as a balancer does to the next one
-// when the connection can't even be made.
-func (d *Driver) reach(ctx context.Context, a *arrival, target uint64) (*http.Response, error) {
+// sendToFirstReachable sends the request to one entry. If the connection fails, it tries
+// the next entry, like a load balancer.
+func (d *Driver) sendToFirstReachable(ctx context.Context, a *arrival, target uint64) (*http.Response, error) {
 	targets := d.targets()
 	if len(targets) == 0 {
 		return nil, errors.New("no entry in rotation")
@@ -95,8 +95,7 @@
 	if err != nil {
 		panic(err) // method and URL come from a checked experiment
 	}
-	// The transport must not repeat a request by itself: a call that ran twice
-	// would then be the tool's fault.
+	// Prevents retries by the transport, which could make a call run twice.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+a.from.Token)
 	return request
@@ -117,7 +116,7 @@
 	return body
 }
 
-func (r *Record) broken(err error) {
+func (r *Record) setFailure(err error) {
 	r.Outcome = Cut
 	if errors.Is(err, context.DeadlineExceeded) {
 		r.Outcome = Late
@@ -132,13 +131,13 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		r.broken(err)
+		r.setFailure(err)
 		return
 	}
-	r.judge(body, a)
+	r.setOutcome(body, a)
 }
 
-// readStream reads server-sent events up to the one that ends the answer.
+// readStream reads server-sent events up to the last event of the answer.
 func (r *Record) readStream(body io.Reader, a *arrival, at time.Time) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxAnswer)
@@ -152,21 +151,21 @@
 		switch {
 		case !found:
 		case event == "end" || event == "refused":
-			r.judge([]byte(data), a)
+			r.setOutcome([]byte(data), a)
 			return
 		case r.First == 0:
 			r.First = time.Since(at)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		r.broken(err)
+		r.setFailure(err)
 		return
 	}
 	r.Outcome, r.Detail = Cut, "stream ended without its end event"
 }
 
-// judge tells a right answer from a wrong one and from a refusal.
-func (r *Record) judge(body []byte, a *arrival) {
+// setOutcome sets the outcome by the content of a complete answer or refusal.
+func (r *Record) setOutcome(body []byte, a *arrival) {
 	var got answer
 	if err := json.Unmarshal(body, &got); err != nil {
 		r.Outcome, r.Detail = Wrong, err.Error()
@@ -174,17 +173,17 @@
 	}
 	switch {
 	case got.Reason != "":
-		r.refuse(&got)
+		r.setRefusal(&got)
 	case a.kind.Path != "" && (got.Echo == a.mark || strings.HasSuffix(got.Path, a.mark)):
 		r.Outcome = InTime
-	case a.kind.Path == "" && whole(got.Output, a.mark):
+	case a.kind.Path == "" && isComplete(got.Output, a.mark):
 		r.Outcome = InTime
 	default:
 		r.Outcome, r.Detail = Wrong, string(body)
 	}
 }
 
-func (r *Record) refuse(got *answer) {
+func (r *Record) setRefusal(got *answer) {
 	r.Outcome, r.Reason, r.Ran, r.Detail = Refused, got.Reason, got.Ran, got.Detail
 	switch got.Reason {
 	case fault.EndpointFailed, fault.OutcomeUnknown, fault.AnswerBroken, fault.Cancelled:
@@ -195,9 +194,9 @@
 	}
 }
 
-// whole reports whether a generated answer belongs to the mark and has all its
-// tokens: the first names the mark, the last one their number.
-func whole(output json.RawMessage, mark string) bool {
+// isComplete reports whether a generated answer belongs to the mark and has all its tokens.
+// The first token holds the mark, the last one the number of tokens before it.
+func isComplete(output json.RawMessage, mark string) bool {
 	var text string
 	if json.Unmarshal(output, &text) != nil {
 		return false
--- a/internal/bench/plan/bears.go
+++ b/internal/bench/plan/bears.go
@@ -5,7 +5,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-func (e *Experiment) shape(pool string) *whole.Shape {
+func (e *Experiment) findShape(pool string) *whole.Shape {
 	for i := range e.Pools {
 		if e.Pools[i].Pool == pool {
 			return &e.Pools[i]
@@ -14,7 +14,7 @@
 	return nil
 }
 
-func (e *Experiment) pool(name string) *manif.Pool {
+func (e *Experiment) findPool(name string) *manif.Pool {
 	for i := range e.Deployment.Pools {
 		if e.Deployment.Pools[i].Name == name {
 			return &e.Deployment.Pools[i]
@@ -23,13 +23,13 @@
 	return nil
 }
 
-// Endpoints returns how many endpoints a pool has.
-func (e *Experiment) Endpoints(pool string) int { return e.shape(pool).Endpoints }
+// Endpoints returns the number of endpoints of a pool.
+func (e *Experiment) Endpoints(pool string) int { return e.findShape(pool).Endpoints }
 
-// workMs is the engine time of one run in a pool at full load.
+// workMs returns the engine time of one run in a pool at full load, in milliseconds.
 func (e *Experiment) workMs(pool string, cached bool) float64 {
-	shape := e.shape(pool)
-	if e.pool(pool).Kind != manif.KindGenerate {
+	shape := e.findShape(pool)
+	if e.findPool(pool).Kind != manif.KindGenerate {
 		return shape.WorkMs
 	}
 	prompt := shape.PrefillMs
@@ -41,13 +41,13 @@
 
 const millisPerSecond = 1000
 
-// runsPerSecond is what a pool bears, in runs.
+// runsPerSecond returns the capacity of a pool in runs a second.
 func (e *Experiment) runsPerSecond(pool string, cached bool) float64 {
-	return float64(e.shape(pool).Endpoints*e.pool(pool).Limit) * millisPerSecond / e.workMs(pool, cached)
+	return float64(e.findShape(pool).Endpoints*e.findPool(pool).Limit) * millisPerSecond / e.workMs(pool, cached)
 }
 
-// share of all requests that each kind of the mix has.
-func (e *Experiment) share(kind int) float64 {
+// requestShare returns the share of a kind of request in all requests.
+func (e *Experiment) requestShare(kind int) float64 {
 	total := 0.0
 	for i := range e.Mix {
 		total += e.Mix[i].Share
@@ -55,56 +55,56 @@
 	return e.Mix[kind].Share / total
 }
 
-// runsPerRequest is how often the average request runs in a pool.
+// runsPerRequest returns the average number of runs in a pool per request.
 func (e *Experiment) runsPerRequest(pool string) float64 {
 	runs := 0.0
 	for i := range e.Mix {
-		for _, visited := range e.visits(e.Mix[i].Service) {
+		for _, visited := range e.poolsOf(e.Mix[i].Service) {
 			if visited == pool {
-				runs += e.share(i)
+				runs += e.requestShare(i)
 			}
 		}
 	}
 	return runs
 }
 
-// Bears returns the requests a second that the deployment bears with this mix
-// when no prompt is cached: the narrowest pool decides.
-func (e *Experiment) Bears() float64 {
-	least := 0.0
+// Capacity returns the requests a second that the deployment can serve with this mix if no
+// prompt is cached. It is limited by the pool with the lowest capacity.
+func (e *Experiment) Capacity() float64 {
+	lowest := 0.0
 	for i := range e.Pools {
 		runs := e.runsPerRequest(e.Pools[i].Pool)
 		if runs == 0 {
 			continue
 		}
-		bears := e.runsPerSecond(e.Pools[i].Pool, false) / runs
-		if least == 0 || bears < least {
-			least = bears
+		rate := e.runsPerSecond(e.Pools[i].Pool, false) / runs
+		if lowest == 0 || rate < lowest {
+			lowest = rate
 		}
 	}
-	return least
+	return lowest
 }
 
-// Rate returns the offered requests a second.
+// Rate returns the offered load in requests a second.
 func (e *Experiment) Rate() float64 {
 	if e.RatePerSecond > 0 {
 		return e.RatePerSecond
 	}
-	return e.Load * e.Bears()
+	return e.Load * e.Capacity()
 }
 
-// Allows returns the share of the offered requests that capacity allows to be
-// answered when every prompt is cached, which is the strictest reading: for
-// each kind of request its narrowest pool decides.
-func (e *Experiment) Allows() float64 {
+// AttainableShare returns the share of the offered requests for which the capacity
+// suffices if every prompt is cached, which is the highest attainable share. For each kind
+// of request, it is limited by its pool with the lowest capacity.
+func (e *Experiment) AttainableShare() float64 {
 	allowed := 0.0
 	for i := range e.Mix {
-		least := 1.0
-		for _, pool := range e.visits(e.Mix[i].Service) {
+		lowest := 1.0
+		for _, pool := range e.poolsOf(e.Mix[i].Service) {
 			offered := e.Rate() * e.runsPerRequest(pool)
-			least = min(least, e.runsPerSecond(pool, true)/offered)
+			lowest = min(lowest, e.runsPerSecond(pool, true)/offered)
 		}
-		allowed += e.share(i) * least
+		allowed += e.requestShare(i) * lowest
 	}
 	return allowed
 }
--- a/internal/bench/plan/check.go
+++ b/internal/bench/plan/check.go
@@ -18,7 +18,7 @@
 	maxEndpoints  = 1000
 )
 
-// Fill fills the defaults of an experiment and checks it.
+// Fill applies the defaults of an experiment and checks it.
 func Fill(e *Experiment) error {
 	step.ApplyDefaults(steps(), e)
 	return step.Check(steps(), e)
@@ -26,7 +26,7 @@
 
 func steps() []step.Step[Experiment] {
 	return []step.Step[Experiment]{
-		{Name: "load and times", Default: fill, Check: checkLoad},
+		{Name: "load and times", Default: applyDefaults, Check: checkLoad},
 		{Name: "pools", Check: checkPools},
 		{Name: "organisations", Check: checkOrganisations},
 		{Name: "mix", Check: checkMix},
@@ -34,7 +34,7 @@
 	}
 }
 
-func between(report *step.Report, path string, value, least, most float64) {
+func checkRange(report *step.Report, path string, value, least, most float64) {
 	if value < least || value > most {
 		report.Add(path, strconv.FormatFloat(value, 'g', -1, 64), fmt.Sprintf("%g to %g", least, most))
 	}
@@ -44,10 +44,10 @@
 	if e.Name == "" {
 		report.Add("name", "", "a name")
 	}
-	between(report, "load", e.Load, 0, maxLoad)
-	between(report, "ratePerSecond", e.RatePerSecond, 0, maxRate)
-	between(report, "betweenZonesMs", e.BetweenZonesMs, 0, 1000)
-	between(report, "clientsMs", e.ClientsMs, 0, 1000)
+	checkRange(report, "load", e.Load, 0, maxLoad)
+	checkRange(report, "ratePerSecond", e.RatePerSecond, 0, maxRate)
+	checkRange(report, "betweenZonesMs", e.BetweenZonesMs, 0, 1000)
+	checkRange(report, "clientsMs", e.ClientsMs, 0, 1000)
 	report.Range("entries", int64(e.Entries), 1, maxEntries)
 	report.Range("warmupMs", int64(e.WarmupMs), 0, maxDurationMs)
 	report.Range("cooldownMs", int64(e.CooldownMs), 0, maxDurationMs)
@@ -63,12 +63,12 @@
 		for _, number := range []float64{
 			shape.WorkMs, shape.PrefillMs, shape.CachedMs, shape.TokenMs, shape.ColdWorkMs, shape.LoadLagMs,
 		} {
-			between(report, at, number, 0, maxDurationMs)
+			checkRange(report, at, number, 0, maxDurationMs)
 		}
 	}
 	for i := range e.Deployment.Pools {
 		name := e.Deployment.Pools[i].Name
-		if e.shape(name) == nil {
+		if e.findShape(name) == nil {
 			report.Add("pools", "", "a line for pool "+strconv.Quote(name))
 		}
 	}
@@ -77,7 +77,7 @@
 func checkOrganisations(e *Experiment, report *step.Report) {
 	report.Count("organisations", len(e.Organisations), 1, maxEndpoints)
 	for i := range e.Organisations {
-		between(report, step.Index("organisations", i)+".share", e.Organisations[i].Share, 0, maxRate)
+		checkRange(report, step.Index("organisations", i)+".share", e.Organisations[i].Share, 0, maxRate)
 	}
 }
 
@@ -85,8 +85,8 @@
 	report.Count("mix", len(e.Mix), 1, maxEndpoints)
 	for i := range e.Mix {
 		request, at := &e.Mix[i], step.Index("mix", i)
-		between(report, at+".share", request.Share, 0, maxRate)
-		s := e.Find(request.Service)
+		checkRange(report, at+".share", request.Share, 0, maxRate)
+		s := e.FindService(request.Service)
 		switch {
 		case s == nil:
 			report.Add(at+".service", request.Service, "a service of the manifest")
--- a/internal/bench/plan/plan.go
+++ b/internal/bench/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan holds an experiment: a deployment, the load that callers put on
-// it, and a schedule of faults. Files are JSON and checked strictly.
+// Package plan reads and checks experiments. An experiment consists of a deployment, a load
+// and a schedule of faults. Its file is JSON; unknown fields are errors.
 package plan
 
 import (
@@ -15,43 +15,44 @@
 
 // Experiment is one experiment file.
 type Experiment struct {
-	// Name of the experiment, for tables.
+	// Name is the name of the experiment in tables.
 	Name string `json:"name"`
-	// Manifest is the manifest's file, relative to the experiment's.
+	// Manifest is the path of the manifest file, relative to the experiment's file.
 	Manifest string `json:"manifest"`
-	// BetweenZonesMs and ClientsMs are one-way delays in milliseconds.
+	// BetweenZonesMs and ClientsMs are one-way delays in milliseconds, between availability
+	// zones and between callers and entries.
 	BetweenZonesMs float64 `json:"betweenZonesMs,omitempty"`
 	ClientsMs      float64 `json:"clientsMs,omitempty"`
-	// Entries is the number of entries, spread over the zones in turn.
+	// Entries is the number of entries, distributed evenly over the availability zones.
 	Entries int `json:"entries,omitempty"`
-	// Pools gives size and speed of each pool.
+	// Pools holds the size and speed of each pool.
 	Pools []whole.Shape `json:"pools"`
-	// Organisations that call, with their share of the requests.
+	// Organisations are the callers with their shares of the requests.
 	Organisations []Organisation `json:"organisations"`
-	// Mix of requests.
+	// Mix is the mix of requests.
 	Mix []Request `json:"mix"`
-	// Load is the offered load as a share of what the deployment bears.
+	// Load is the offered load as a share of the deployment's capacity.
 	Load float64 `json:"load,omitempty"`
-	// RatePerSecond is the offered load in requests; it goes before Load.
+	// RatePerSecond is the offered load in requests a second; it takes precedence over Load.
 	RatePerSecond float64 `json:"ratePerSecond,omitempty"`
-	// WarmupMs is how long load runs before anything is measured.
+	// WarmupMs is the duration of the load before the measurement.
 	WarmupMs int `json:"warmupMs,omitempty"`
-	// DurationMs is how long is measured.
+	// DurationMs is the duration of the measurement.
 	DurationMs int `json:"durationMs,omitempty"`
-	// CooldownMs is how long load goes on after the measurement. Under overload
-	// the last requests would otherwise find the capacity of those that no
-	// longer come.
+	// CooldownMs is the duration of the load after the measurement. Without it, the last
+	// requests of an overload would be served with the capacity that missing later requests
+	// leave free.
 	CooldownMs int `json:"cooldownMs,omitempty"`
-	// Seed of all that is drawn.
+	// Seed is the seed of all random choices.
 	Seed int64 `json:"seed,omitempty"`
-	// Faults in the order of their time.
+	// Faults is the schedule of faults, ordered by time.
 	Faults []Fault `json:"faults,omitempty"`
 
-	// Deployment is the manifest, once it is read.
+	// Deployment is the manifest, set by Read.
 	Deployment *manif.Manifest `json:"-"`
 }
 
-// Organisation is a customer that calls.
+// Organisation is a customer that sends requests.
 type Organisation struct {
 	Name  string  `json:"name"`
 	Token string  `json:"token"`
@@ -62,17 +63,17 @@
 type Request struct {
 	Service string  `json:"service"`
 	Share   float64 `json:"share"`
-	// Method and Path of a plain service's call; "*" at the end of the path
-	// becomes a mark of its own for each request.
+	// Method and Path belong to a call of a plain service. A "*" at the end of the path is
+	// replaced by a unique mark for each request.
 	Method string `json:"method,omitempty"`
 	Path   string `json:"path,omitempty"`
-	// Prefixes is how many different prompt prefixes its callers use.
+	// Prefixes is the number of different prompt prefixes of each organisation.
 	Prefixes int `json:"prefixes,omitempty"`
-	// Stream asks for the answer as it comes.
+	// Stream requests a streamed answer.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// Fault is a fault with its time, counted from the begin of the measurement.
+// Fault is a fault with its time, counted from the start of the measurement.
 type Fault struct {
 	AtMs int `json:"atMs"`
 	whole.Fault
@@ -87,7 +88,7 @@
 	defaultSeed       = 1
 )
 
-// Read reads an experiment and its manifest, fills defaults and checks both.
+// Read reads an experiment and its manifest, applies the defaults and checks both.
 func Read(file string) (*Experiment, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return experiment, nil
 }
 
-func fill(e *Experiment) {
+func applyDefaults(e *Experiment) {
 	if e.Entries == 0 {
 		e.Entries = defaultEntries
 	}
@@ -128,8 +129,8 @@
 	}
 }
 
-// Find returns the deployment's service of that name, or nil.
-func (e *Experiment) Find(service string) *manif.Service {
+// FindService returns the deployment's service with the given name, or nil.
+func (e *Experiment) FindService(service string) *manif.Service {
 	for i := range e.Deployment.Services {
 		if e.Deployment.Services[i].Name == service {
 			return &e.Deployment.Services[i]
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// pipeline returns the pipeline under a service, or nil.
-func (e *Experiment) pipeline(s *manif.Service) *manif.Pipeline {
+// findPipeline returns the pipeline of a service, or nil.
+func (e *Experiment) findPipeline(s *manif.Service) *manif.Pipeline {
 	for i := range e.Deployment.Pipelines {
 		if e.Deployment.Pipelines[i].Name == s.Pipeline {
 			return &e.Deployment.Pipelines[i]
@@ -150,14 +151,14 @@
 
 // DeadlineMs returns the deadline of a service in milliseconds.
 func (e *Experiment) DeadlineMs(service string) int64 {
-	s := e.Find(service)
-	if p := e.pipeline(s); p != nil {
+	s := e.FindService(service)
+	if p := e.findPipeline(s); p != nil {
 		return int64(p.DeadlineMs)
 	}
 	return int64(s.DeadlineMs)
 }
 
-// MayCall reports whether the manifest lets an organisation call a service.
+// MayCall reports whether the manifest allows an organisation to call a service.
 func (e *Experiment) MayCall(organisation, service string) bool {
 	for i := range e.Deployment.Organisations {
 		o := &e.Deployment.Organisations[i]
@@ -168,9 +169,9 @@
 	return false
 }
 
-// Once reports whether a request of the mix may run at most once.
-func (e *Experiment) Once(request *Request) bool {
-	s := e.Find(request.Service)
+// AtMostOnce reports whether a request of the mix must not run more than once.
+func (e *Experiment) AtMostOnce(request *Request) bool {
+	s := e.FindService(request.Service)
 	for i := range s.Calls {
 		if s.Calls[i].Method == request.Method && s.Calls[i].Path == request.Path {
 			return s.Calls[i].NotIdempotent
@@ -179,10 +180,10 @@
 	return false
 }
 
-// visits returns the pools that a request of a service visits, in order.
-func (e *Experiment) visits(service string) []string {
-	s := e.Find(service)
-	p := e.pipeline(s)
+// poolsOf returns the pools in which a request of a service runs, in order.
+func (e *Experiment) poolsOf(service string) []string {
+	s := e.FindService(service)
+	p := e.findPipeline(s)
 	if p == nil {
 		return []string{s.Pool}
 	}
--- a/internal/bench/plan/plan_test.go
+++ b/internal/bench/plan/plan_test.go
@@ -23,20 +23,20 @@
 	for _, file := range files {
 		e, err := plan.Read(file)
 		assert.NilError(t, err, file)
-		assert.Assert(t, e.Bears() > 0, file)
+		assert.Assert(t, e.Capacity() > 0, file)
 	}
 }
 
-func TestCapacityDecidesWhatIsAllowed(t *testing.T) {
+func TestCapacityLimitsAttainableShare(t *testing.T) {
 	e, err := plan.Read(samples + "papierveda.json")
 	assert.NilError(t, err)
-	assert.Equal(t, e.Rate(), 0.7*e.Bears())
-	assert.Assert(t, math.Abs(e.Allows()-1) < 1e-9, e.Allows())
+	assert.Equal(t, e.Rate(), 0.7*e.Capacity())
+	assert.Assert(t, math.Abs(e.AttainableShare()-1) < 1e-9, e.AttainableShare())
 	e.Load = 3
-	assert.Assert(t, e.Allows() > 0.33 && e.Allows() < 0.6, e.Allows())
+	assert.Assert(t, e.AttainableShare() > 0.33 && e.AttainableShare() < 0.6, e.AttainableShare())
 }
 
-func TestFaultsOfAnExperimentAreNamed(t *testing.T) {
+func TestInvalidFieldsAreNamed(t *testing.T) {
 	cases := []struct{ name, from, to, path string }{
 		{"unknown field", `"load": 0.7`, `"lood": 0.7`, "lood"},
 		{"negative load", `"load": 0.7`, `"load": -1`, "load"},
--- a/internal/bench/study/study.go
+++ b/internal/bench/study/study.go
@@ -10,7 +10,7 @@
 	"github.com/jujubescale/jujubescale/internal/bench/trial"
 )
 
-// Finding is all runs of one case.
+// Finding holds the results of all runs of one case.
 type Finding struct {
 	Case      string          `json:"case"`
 	Measured  []*tally.Result `json:"measured"`
@@ -26,13 +26,13 @@
 	runFunc    func(context.Context, *plan.Experiment, trial.System, func(drive.Progress)) (*tally.Result, error)
 }
 
-// Option changes a Study while it is built.
+// Option configures a Study.
 type Option func(*Study)
 
-// WithRepeats sets how often each case runs.
+// WithRepeats sets the number of runs of each case.
 func WithRepeats(repeats int) Option { return func(s *Study) { s.repeats = repeats } }
 
-// WithSeed sets the seed of the first repeat.
+// WithSeed sets the seed of the first repeat; each further repeat increments it.
 func WithSeed(seed int64) Option {
 	return func(s *Study) {
 		if seed > 0 {
@@ -43,11 +43,11 @@
 	}
 }
 
-// WithCases measures only the cases of these names.
+// WithCases selects the cases with the given names, which may be extra cases.
 func WithCases(names ...string) Option {
 	return func(s *Study) {
 		var kept []Case
-		for _, one := range append(s.cases, Extra(s.experiment)...) {
+		for _, one := range append(s.cases, ExtraCases(s.experiment)...) {
 			for _, name := range names {
 				if one.Name == name {
 					kept = append(kept, one)
@@ -58,7 +58,7 @@
 	}
 }
 
-// WithProgress sets who is told which run begins.
+// WithProgress sets the function that receives a line at the start of each run.
 func WithProgress(progress func(line string)) Option { return func(s *Study) { s.progress = progress } }
 
 const defaultRepeats = 5
@@ -74,8 +74,8 @@
 	return s
 }
 
-// Run measures every case. Repeats of all cases are interleaved, and within a
-// repeat measured and reference take turns in going first.
+// Run measures all cases. It interleaves the repeats of all cases; measured and reference
+// run first in alternate repeats.
 func (s *Study) Run(ctx context.Context) ([]Finding, error) {
 	findings := make([]Finding, len(s.cases))
 	for repeat := range s.repeats {
@@ -83,7 +83,7 @@
 			one := &s.cases[i]
 			findings[i].Case = one.Name
 			s.progress(fmt.Sprintf("%s: repeat %d of %d, %s", s.experiment.Name, repeat+1, s.repeats, one.Name))
-			if err := s.pair(ctx, one, repeat, &findings[i]); err != nil {
+			if err := s.runPair(ctx, one, repeat, &findings[i]); err != nil {
 				return nil, fmt.Errorf("%s, %s: %w", s.experiment.Name, one.Name, err)
 			}
 		}
@@ -91,13 +91,13 @@
 	return findings, nil
 }
 
-func (s *Study) pair(ctx context.Context, one *Case, repeat int, finding *Finding) error {
-	measured := func() error { return s.once(ctx, one, &one.Measured, repeat, &finding.Measured) }
+func (s *Study) runPair(ctx context.Context, one *Case, repeat int, finding *Finding) error {
+	measured := func() error { return s.runOnce(ctx, one, &one.Measured, repeat, &finding.Measured) }
 	reference := func() error {
 		if one.Reference == nil {
 			return nil
 		}
-		return s.once(ctx, one, one.Reference, repeat, &finding.Reference)
+		return s.runOnce(ctx, one, one.Reference, repeat, &finding.Reference)
 	}
 	order := []func() error{measured, reference}
 	if repeat%2 == 1 {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (s *Study) once(ctx context.Context, one *Case, variant *Variant, repeat int, into *[]*tally.Result) error {
+func (s *Study) runOnce(ctx context.Context, one *Case, variant *Variant, repeat int, into *[]*tally.Result) error {
 	e := *s.experiment
 	e.Load, e.RatePerSecond = one.Load, 0
 	e.WarmupMs, e.DurationMs, e.CooldownMs = one.WarmupMs, one.DurationMs, one.CooldownMs
--- a/internal/bench/study/study_test.go
+++ b/internal/bench/study/study_test.go
@@ -14,9 +14,9 @@
 	"github.com/jujubescale/jujubescale/internal/bench/trial"
 )
 
-// measured answers three of four requests in time, and the baseline one of two.
-func measured(_ context.Context, e *plan.Experiment, system trial.System, _ func(drive.Progress)) (*tally.Result, error) {
-	r := &tally.Result{System: system.Name, Attainment: 0.75, Allowed: e.Allows(), WastedShare: 0.01}
+// fakeRun returns an attainment of 0.75, and of 0.5 for the baseline.
+func fakeRun(_ context.Context, e *plan.Experiment, system trial.System, _ func(drive.Progress)) (*tally.Result, error) {
+	r := &tally.Result{System: system.Name, Attainment: 0.75, Allowed: e.AttainableShare(), WastedShare: 0.01}
 	if system.Name == trial.Baseline().Name {
 		r.Attainment, r.WastedShare = 0.5, 0.4
 	}
@@ -27,25 +27,25 @@
 	e, err := plan.Read("../../../samples/experiments/papierveda.json")
 	assert.NilError(t, err)
 	s := New(e, WithRepeats(3), WithCases("load 1.5"))
-	s.runFunc = measured
+	s.runFunc = fakeRun
 	findings, err := s.Run(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, len(findings), 1)
 	assert.Equal(t, len(findings[0].Measured), 3)
 	assert.Equal(t, len(findings[0].Reference), 3)
 	sum := Sum(&findings[0])
-	assert.Equal(t, sum.AttainmentRatio, Spread{Median: 1.5, Least: 1.5, Most: 1.5})
+	assert.Equal(t, sum.AttainmentRatio, Spread{Median: 1.5, Min: 1.5, Max: 1.5})
 	var out bytes.Buffer
 	Table(&out, e.Name, []Summary{sum})
 	assert.Assert(t, !strings.Contains(out.String(), "MISSING"), out.String())
 	assert.Assert(t, strings.Contains(out.String(), "| load 1.5 | 75.00 (75.00–75.00) | 50.00"), out.String())
 }
 
-func TestMedianOfAnEvenNumberIsTheMiddle(t *testing.T) {
-	assert.Equal(t, spread([]float64{4, 1, 2, 3}), Spread{Median: 2.5, Least: 1, Most: 4})
+func TestMedianOfEvenCountIsMeanOfMiddleValues(t *testing.T) {
+	assert.Equal(t, newSpread([]float64{4, 1, 2, 3}), Spread{Median: 2.5, Min: 1, Max: 4})
 }
 
-func TestTargetsSayWhatIsNotMet(t *testing.T) {
+func TestMissedTargetsAreReported(t *testing.T) {
 	targets := Targets([]Summary{{Case: "zone leaves and returns", WorstSecond: Spread{Median: 0.98}, Cut: 1, LastNewWorkMs: 100}})
 	met := make([]bool, 0, len(targets))
 	for _, one := range targets {
--- a/internal/bench/study/sum.go
+++ b/internal/bench/study/sum.go
@@ -6,14 +6,14 @@
 	"github.com/jujubescale/jujubescale/internal/bench/tally"
 )
 
-// Spread is the median of some runs with the least and the most.
+// Spread holds the median, minimum and maximum of some runs.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
-func spread(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
@@ -23,47 +23,46 @@
 	if len(sorted)%2 == 0 {
 		median = (sorted[middle-1] + median) / 2
 	}
-	return Spread{Median: median, Least: sorted[0], Most: sorted[len(sorted)-1]}
+	return Spread{Median: median, Min: sorted[0], Max: sorted[len(sorted)-1]}
 }
 
 // Summary is one line of the table.
 type Summary struct {
 	Case string `json:"case"`
-	// Attainment of the measured runs and of the reference, and the ratio of
-	// each pair.
+	// Attainment and ReferenceAttainment are the attainments of the measured runs and of the
+	// reference runs, AttainmentRatio is the ratio within each pair.
 	Attainment          Spread `json:"attainment"`
 	ReferenceAttainment Spread `json:"referenceAttainment"`
 	AttainmentRatio     Spread `json:"attainmentRatio"`
-	// OfAllowed is attainment by what capacity allows.
+	// OfAllowed is the attainment divided by the share for which the capacity suffices.
 	OfAllowed   Spread `json:"ofAllowed"`
 	WorstSecond Spread `json:"worstSecond"`
-	// Wasted is the share of engine time that went into no answer in time.
+	// Wasted is the share of engine time that did not contribute to an answer in time.
 	Wasted          Spread `json:"wasted"`
 	ReferenceWasted Spread `json:"referenceWasted"`
-	// CostRatio is the engine time by answer in time, against the reference.
+	// CostRatio is the engine time per answer in time, relative to the reference.
 	CostRatio   Spread `json:"costRatio"`
 	Cut         int    `json:"cut"`
 	Doubled     int    `json:"doubled"`
 	FalseNotRun int    `json:"falseNotRun"`
 	Wrong       int    `json:"wrong"`
 	Falls       int    `json:"falls"`
-	// LastNewWorkMs is the longest time until the last new work in a zone that
-	// was taken out.
+	// LastNewWorkMs is the longest time from the evacuation of a zone to its last new work.
 	LastNewWorkMs int64 `json:"lastNewWorkMs"`
 	Reference     bool  `json:"reference"`
 }
 
-// Sum returns the line of a finding.
+// Sum returns the summary of a finding.
 func Sum(f *Finding) Summary {
 	s := Summary{Case: f.Case, Reference: len(f.Reference) > 0}
 	attained := func(r *tally.Result) float64 { return r.Attainment }
 	wasted := func(r *tally.Result) float64 { return r.WastedShare }
-	s.Attainment, s.ReferenceAttainment = spread(each(f.Measured, attained)), spread(each(f.Reference, attained))
-	s.Wasted, s.ReferenceWasted = spread(each(f.Measured, wasted)), spread(each(f.Reference, wasted))
-	s.OfAllowed = spread(each(f.Measured, func(r *tally.Result) float64 { return r.Attainment / min(r.Allowed, 1) }))
-	s.WorstSecond = spread(each(f.Measured, func(r *tally.Result) float64 { return r.WorstSecond }))
-	s.AttainmentRatio = spread(ratios(f, attained))
-	s.CostRatio = spread(ratios(f, costByAnswer))
+	s.Attainment, s.ReferenceAttainment = newSpread(each(f.Measured, attained)), newSpread(each(f.Reference, attained))
+	s.Wasted, s.ReferenceWasted = newSpread(each(f.Measured, wasted)), newSpread(each(f.Reference, wasted))
+	s.OfAllowed = newSpread(each(f.Measured, func(r *tally.Result) float64 { return r.Attainment / min(r.Allowed, 1) }))
+	s.WorstSecond = newSpread(each(f.Measured, func(r *tally.Result) float64 { return r.WorstSecond }))
+	s.AttainmentRatio = newSpread(ratios(f, attained))
+	s.CostRatio = newSpread(ratios(f, costPerAnswer))
 	for _, r := range f.Measured {
 		s.Cut += r.Cut
 		s.Doubled += r.Doubled
@@ -95,8 +94,8 @@
 	return values
 }
 
-// costByAnswer is all engine time by answers in time.
-func costByAnswer(r *tally.Result) float64 {
+// costPerAnswer returns the engine time per answer in time, in milliseconds.
+func costPerAnswer(r *tally.Result) float64 {
 	total := 0.0
 	for _, stage := range r.Stages {
 		total += stage.UsefulMs + stage.WastedMs
@@ -104,7 +103,7 @@
 	return total / float64(max(r.InTime, 1))
 }
 
-// Target is one thing that is wanted of the system.
+// Target is a target value of a case and the measured value.
 type Target struct {
 	Case   string  `json:"case"`
 	Wanted string  `json:"wanted"`
@@ -114,36 +113,36 @@
 
 // Bounds of the targets.
 const (
-	usualAttained    = 0.999
-	overloadAttained = 0.9
-	overloadWasted   = 0.05
-	zoneSecond       = 0.99
-	zoneLastNewMs    = 2000
-	storeDownRatio   = 0.99
+	minUsualAttainment    = 0.999
+	minOverloadAttainment = 0.9
+	maxOverloadWasted     = 0.05
+	minZoneSecond         = 0.99
+	maxLastNewWorkMs      = 2000
+	minStoreDownRatio     = 0.99
 )
 
-// Targets holds the summaries against what is wanted.
+// Targets compares the summaries with the targets.
 func Targets(sums []Summary) []Target {
 	var list []Target
 	for i := range sums {
 		s := &sums[i]
-		add := func(wanted string, value float64, met bool) {
-			list = append(list, Target{Case: s.Case, Wanted: wanted, Value: value, Met: met})
+		add := func(target string, value float64, met bool) {
+			list = append(list, Target{Case: s.Case, Wanted: target, Value: value, Met: met})
 		}
 		switch s.Case {
 		case "load 0.7":
-			add("in time at least 99.9%", s.Attainment.Median, s.Attainment.Median >= usualAttained)
+			add("in time at least 99.9%", s.Attainment.Median, s.Attainment.Median >= minUsualAttainment)
 		case "load 1.5":
-			add("in time at least 90% of what capacity allows", s.OfAllowed.Median, s.OfAllowed.Median >= overloadAttained)
-			add("engine time wasted below 5%", s.Wasted.Median, s.Wasted.Median < overloadWasted)
+			add("in time at least 90% of what capacity allows", s.OfAllowed.Median, s.OfAllowed.Median >= minOverloadAttainment)
+			add("engine time wasted below 5%", s.Wasted.Median, s.Wasted.Median < maxOverloadWasted)
 		case "zone leaves and returns":
-			add("no second below 99% in time", s.WorstSecond.Median, s.WorstSecond.Median >= zoneSecond)
+			add("no second below 99% in time", s.WorstSecond.Median, s.WorstSecond.Median >= minZoneSecond)
 			add("no request cut", float64(s.Cut), s.Cut == 0)
-			add("last new work within 2000 ms", float64(s.LastNewWorkMs), s.LastNewWorkMs <= zoneLastNewMs)
+			add("last new work within 2000 ms", float64(s.LastNewWorkMs), s.LastNewWorkMs <= maxLastNewWorkMs)
 		case "rolling restart":
 			add("no request cut", float64(s.Cut), s.Cut == 0)
 		case "store down":
-			add("within 1% of without", s.AttainmentRatio.Median, s.AttainmentRatio.Median >= storeDownRatio)
+			add("within 1% of without", s.AttainmentRatio.Median, s.AttainmentRatio.Median >= minStoreDownRatio)
 		}
 		add("no call doubled, none falsely said not to have run, no wrong answer",
 			float64(s.Doubled+s.FalseNotRun+s.Wrong), s.Doubled+s.FalseNotRun+s.Wrong == 0)
--- a/internal/bench/study/table.go
+++ b/internal/bench/study/table.go
@@ -18,7 +18,7 @@
 			s.Case, s.Attainment.percent(), s.ifReference(s.ReferenceAttainment.percent()),
 			s.ifReference(s.AttainmentRatio.ratio()), s.OfAllowed.percent(), s.WorstSecond.percent(),
 			s.Wasted.percent(), s.ifReference(s.ReferenceWasted.percent()), s.ifReference(s.CostRatio.ratio()),
-			s.Cut, s.Doubled, s.FalseNotRun, s.Wrong, s.Falls, s.lastNew())
+			s.Cut, s.Doubled, s.FalseNotRun, s.Wrong, s.Falls, s.lastNewWork())
 	}
 	line("")
 }
@@ -41,10 +41,10 @@
 const percent = 100
 
 func (s Spread) percent() string {
-	return fmt.Sprintf("%.2f (%.2f–%.2f)", percent*s.Median, percent*s.Least, percent*s.Most)
+	return fmt.Sprintf("%.2f (%.2f–%.2f)", percent*s.Median, percent*s.Min, percent*s.Max)
 }
 
-func (s Spread) ratio() string { return fmt.Sprintf("%.3f (%.3f–%.3f)", s.Median, s.Least, s.Most) }
+func (s Spread) ratio() string { return fmt.Sprintf("%.3f (%.3f–%.3f)", s.Median, s.Min, s.Max) }
 
 func (s *Summary) ifReference(text string) string {
 	if !s.Reference {
@@ -53,7 +53,7 @@
 	return text
 }
 
-func (s *Summary) lastNew() string {
+func (s *Summary) lastNewWork() string {
 	if s.LastNewWorkMs == 0 {
 		return "–"
 	}
--- a/internal/bench/tally/cost.go
+++ b/internal/bench/tally/cost.go
@@ -12,16 +12,17 @@
 // Stage is the engine time spent in one pool.
 type Stage struct {
 	Pool string `json:"pool"`
-	// UsefulMs went into answers within their deadline, WastedMs into nothing:
-	// answers that came late or not at all, and runs done twice.
+	// UsefulMs is the engine time of answers within their deadline. WastedMs is the engine
+	// time of late, incomplete or missing answers and of duplicate runs.
 	UsefulMs float64 `json:"usefulMs"`
 	WastedMs float64 `json:"wastedMs"`
-	// PerAnswerMs is all engine time here by answers in time that ran here.
+	// PerAnswerMs is the engine time of the pool divided by the number of its runs for
+	// answers in time.
 	PerAnswerMs float64 `json:"perAnswerMs"`
 	answers     int
 }
 
-// Wasted returns the share of the engine time that went into nothing.
+// Wasted returns the share of the engine time that was wasted.
 func (s *Stage) Wasted() float64 {
 	if s.UsefulMs+s.WastedMs == 0 {
 		return 0
@@ -29,15 +30,15 @@
 	return s.WastedMs / (s.UsefulMs + s.WastedMs)
 }
 
-// Pool is the engine time that one pool's endpoints spent.
+// Pool is the engine time of the endpoints of a pool.
 type Pool struct {
 	Name  string
 	Usage []slots.Usage
 }
 
-// Cost fills in the cost by stage. Work for requests before and after the
-// measurement does not count.
-func (r *Result) Cost(records []drive.Record, pools []Pool) {
+// AddCosts sets the cost of each stage. It ignores the engine time of requests before and
+// after the measurement.
+func (r *Result) AddCosts(records []drive.Record, pools []Pool) {
 	byRequest := make(map[string]*drive.Record, len(records))
 	for i := range records {
 		if records[i].RequestID != "" {
@@ -46,7 +47,7 @@
 	}
 	var useful, wasted float64
 	for _, pool := range pools {
-		stage := costOf(pool, byRequest)
+		stage := stageCosts(pool, byRequest)
 		useful += stage.UsefulMs
 		wasted += stage.WastedMs
 		r.Stages = append(r.Stages, stage)
@@ -56,24 +57,24 @@
 	}
 }
 
-func costOf(pool Pool, byRequest map[string]*drive.Record) Stage {
+func stageCosts(pool Pool, byRequest map[string]*drive.Record) Stage {
 	stage := Stage{Pool: pool.Name}
-	// One whole run of a stage is what the answer needed; others were hedges or
-	// retries whose result nobody used.
-	used := make(map[string]bool)
+	// An answer needs one complete run of a stage. Other runs were hedges or retries whose
+	// results were not used.
+	counted := make(map[string]bool)
 	for _, usage := range pool.Usage {
 		request, _, _ := strings.Cut(usage.ID, "/")
-		work := usage.ID[:strings.LastIndexByte(usage.ID, '/')+1]
+		run := usage.ID[:strings.LastIndexByte(usage.ID, '/')+1]
 		record := byRequest[request]
-		if record != nil && !record.Counts {
+		if record != nil && !record.Measured {
 			continue
 		}
 		spent := float64(usage.Spent) / float64(time.Millisecond)
-		if record == nil || record.Outcome != drive.InTime || !usage.Whole || used[work] {
+		if record == nil || record.Outcome != drive.InTime || !usage.Whole || counted[run] {
 			stage.WastedMs += spent
 			continue
 		}
-		used[work] = true
+		counted[run] = true
 		stage.UsefulMs += spent
 		stage.answers++
 	}
@@ -83,14 +84,16 @@
 	return stage
 }
 
-// Ledger is what the plain services count: how often the call with a mark ran.
+// Ledger returns how often the call with the given mark ran, as counted by the plain
+// services.
 type Ledger func(mark string) int
 
-// Once fills in the checks of calls that may not be repeated, with those before and after the measurement.
-func (r *Result) Once(records []drive.Record, ledger Ledger) {
+// CheckAtMostOnce counts violations for calls that must not be repeated. It includes calls
+// before and after the measurement.
+func (r *Result) CheckAtMostOnce(records []drive.Record, ledger Ledger) {
 	for i := range records {
 		record := &records[i]
-		if !strings.HasPrefix(record.Mark, drive.OnceMark) {
+		if !strings.HasPrefix(record.Mark, drive.AtMostOncePrefix) {
 			continue
 		}
 		runs := ledger(record.Mark)
--- a/internal/bench/tally/tally.go
+++ b/internal/bench/tally/tally.go
@@ -1,6 +1,6 @@
-// Package tally turns the records of a load and the engine time that endpoints
-// spent into the measures: deadline attainment, cost by stage, and service
-// while something fails or leaves.
+// Package tally computes results from the records of a load and the engine time of the
+// endpoints: deadline attainment, cost by stage, and service during faults and planned
+// stops.
 package tally
 
 import (
@@ -15,37 +15,38 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// Result is what one run of an experiment showed.
+// Result is the result of one run of an experiment.
 type Result struct {
 	Experiment    string  `json:"experiment"`
 	System        string  `json:"system"`
 	RatePerSecond float64 `json:"ratePerSecond"`
-	// Allowed is the share of the requests that capacity allows in time.
+	// Allowed is the share of the requests for which the capacity suffices.
 	Allowed float64 `json:"allowed"`
 	Counts
-	// Attainment is the share of all requests answered whole within the deadline.
+	// Attainment is the share of all requests with a complete answer within the deadline.
 	Attainment float64 `json:"attainment"`
 	// WorstSecond is the lowest attainment of any second.
 	WorstSecond float64 `json:"worstSecond"`
-	// Doubled counts calls that may not be repeated and ran more than once.
+	// Doubled counts calls that must not be repeated and ran more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun counts refusals that said notRun of calls that ran.
+	// FalseNotRun counts refusals with notRun for calls that ran.
 	FalseNotRun int       `json:"falseNotRun"`
 	LatencyMs   Quantiles `json:"latencyMs"`
 	FirstMs     Quantiles `json:"firstMs"`
 	Seconds     []Second  `json:"seconds"`
 	Stages      []Stage   `json:"stages"`
-	// WastedShare is the share of all engine time that went into no answer in time.
-	WastedShare float64      `json:"wastedShare"`
-	Refusals    []Refusal    `json:"refusals,omitempty"`
-	Details     []Detail     `json:"details,omitempty"`
-	Falls       int          `json:"falls"`
-	Zones       []ZoneOut    `json:"zones,omitempty"`
-	Platform    plat.Calls   `json:"platform"`
-	Faults      []plan.Fault `json:"faults,omitempty"`
+	// WastedShare is the share of all engine time that did not contribute to an answer in
+	// time.
+	WastedShare float64         `json:"wastedShare"`
+	Refusals    []Refusal       `json:"refusals,omitempty"`
+	Details     []Detail        `json:"details,omitempty"`
+	Falls       int             `json:"falls"`
+	Zones       []EvacuatedZone `json:"zones,omitempty"`
+	Platform    plat.Calls      `json:"platform"`
+	Faults      []plan.Fault    `json:"faults,omitempty"`
 }
 
-// Counts are requests by outcome.
+// Counts holds the numbers of requests by outcome.
 type Counts struct {
 	Sent    int `json:"sent"`
 	InTime  int `json:"inTime"`
@@ -55,7 +56,7 @@
 	Wrong   int `json:"wrong"`
 }
 
-// Attained returns the share answered in time; 1 when nothing was sent.
+// Attained returns the share of requests answered in time, or 1 if none was sent.
 func (c *Counts) Attained() float64 {
 	if c.Sent == 0 {
 		return 1
@@ -79,13 +80,14 @@
 	}
 }
 
-// Second is one second of the measurement, by intended send time.
+// Second counts the requests whose intended send time lies in one second of the
+// measurement.
 type Second struct {
 	Second int `json:"second"`
 	Counts
 }
 
-// Quantiles of a span in milliseconds.
+// Quantiles holds quantiles of durations in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -93,7 +95,7 @@
 	Max float64 `json:"max"`
 }
 
-// Refusal counts refusals of one reason.
+// Refusal counts the refusals with the same reason and state of execution.
 type Refusal struct {
 	Reason fault.Reason `json:"reason"`
 	Ran    fault.Ran    `json:"ran"`
@@ -107,16 +109,16 @@
 	Count   int           `json:"count"`
 }
 
-// ZoneOut says when an availability zone that operators took out got its last
-// new work, counted from the moment they did.
-type ZoneOut struct {
+// EvacuatedZone is an availability zone that operators took out of use. LastNewWorkMs is the
+// time from then to the start of the last new work in the zone.
+type EvacuatedZone struct {
 	Zone          string `json:"zone"`
 	LastNewWorkMs int64  `json:"lastNewWorkMs"`
 }
 
-// Requests fills in what the records show. Those before and after
-// the measurement do not count.
-func (r *Result) Requests(records []drive.Record, seconds int) {
+// AddRequests sets the results that follow from the records. It ignores records before and
+// after the measurement.
+func (r *Result) AddRequests(records []drive.Record, seconds int) {
 	r.Seconds = make([]Second, seconds)
 	for i := range r.Seconds {
 		r.Seconds[i].Second = i
@@ -124,16 +126,16 @@
 	latency, first := histogram(), histogram()
 	for i := range records {
 		record := &records[i]
-		if !record.Counts {
+		if !record.Measured {
 			continue
 		}
 		r.add(record.Outcome)
 		r.Seconds[min(int(record.At/time.Second), seconds-1)].add(record.Outcome)
 		if record.Outcome == drive.InTime || record.Outcome == drive.Late {
-			note(latency, record.Took)
+			recordDuration(latency, record.Took)
 		}
 		if record.First > 0 {
-			note(first, record.First)
+			recordDuration(first, record.First)
 		}
 	}
 	r.Attainment = r.Attained()
@@ -147,15 +149,17 @@
 
 // Bounds of the histograms in microseconds.
 const (
-	leastMicros = 1
-	mostMicros  = 120_000_000
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 3
 )
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
+func histogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
-func note(h *hdrhistogram.Histogram, span time.Duration) {
-	if err := h.RecordValue(min(span.Microseconds(), mostMicros)); err != nil {
+func recordDuration(h *hdrhistogram.Histogram, span time.Duration) {
+	if err := h.RecordValue(min(span.Microseconds(), maxMicros)); err != nil {
 		panic(err) // the value is within the histogram's bounds
 	}
 }
@@ -170,7 +174,7 @@
 func refusals(records []drive.Record) []Refusal {
 	counts := make(map[Refusal]int)
 	for i := range records {
-		if record := &records[i]; record.Counts && record.Reason != "" {
+		if record := &records[i]; record.Measured && record.Reason != "" {
 			counts[Refusal{Reason: record.Reason, Ran: record.Ran}]++
 		}
 	}
@@ -189,7 +193,7 @@
 	counts := make(map[Detail]int)
 	for i := range records {
 		record := &records[i]
-		if record.Counts && (record.Outcome == drive.Cut || record.Outcome == drive.Wrong) {
+		if record.Measured && (record.Outcome == drive.Cut || record.Outcome == drive.Wrong) {
 			counts[Detail{Outcome: record.Outcome, Detail: string(record.Reason) + " " + record.Detail}]++
 		}
 	}
--- a/internal/bench/tally/tally_test.go
+++ b/internal/bench/tally/tally_test.go
@@ -12,12 +12,12 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-func TestOnlyTheMeasurementCounts(t *testing.T) {
+func TestRequestsOutsideMeasurementAreIgnored(t *testing.T) {
 	var r tally.Result
-	r.Requests([]drive.Record{
+	r.AddRequests([]drive.Record{
 		{At: -time.Second, Outcome: drive.Late},
-		{Counts: true, Outcome: drive.InTime, Took: 10 * time.Millisecond},
-		{Counts: true, At: 1500 * time.Millisecond, Outcome: drive.Refused, Reason: fault.Overloaded, Ran: fault.NotRun},
+		{Measured: true, Outcome: drive.InTime, Took: 10 * time.Millisecond},
+		{Measured: true, At: 1500 * time.Millisecond, Outcome: drive.Refused, Reason: fault.Overloaded, Ran: fault.NotRun},
 	}, 2)
 	assert.Equal(t, r.Counts, tally.Counts{Sent: 2, InTime: 1, Refused: 1})
 	assert.Equal(t, r.Attainment, 0.5)
@@ -26,17 +26,17 @@
 	assert.DeepEqual(t, r.Refusals, []tally.Refusal{{Reason: fault.Overloaded, Ran: fault.NotRun, Count: 1}})
 }
 
-// A hedge runs beside the first try and one of the two is not needed; a request
-// ends late; a run breaks off. The engines worked for nobody.
+// The engine time of an unneeded hedge, of a late request and of an incomplete run is
+// wasted.
 func TestUnusedEngineTimeIsWasted(t *testing.T) {
 	records := []drive.Record{
-		{Counts: true, RequestID: "good", Outcome: drive.InTime},
-		{Counts: true, RequestID: "late", Outcome: drive.Late},
+		{Measured: true, RequestID: "good", Outcome: drive.InTime},
+		{Measured: true, RequestID: "late", Outcome: drive.Late},
 		{RequestID: "early", Outcome: drive.Late},
 	}
 	ms := time.Millisecond
 	var r tally.Result
-	r.Cost(records, []tally.Pool{{Name: "p", Usage: []slots.Usage{
+	r.AddCosts(records, []tally.Pool{{Name: "p", Usage: []slots.Usage{
 		{ID: "good/0/0", Spent: 4 * ms, Whole: true},
 		{ID: "good/0/1", Spent: 3 * ms, Whole: true},
 		{ID: "good/1/0", Spent: 2 * ms, Whole: true},
@@ -50,10 +50,10 @@
 	assert.Equal(t, r.WastedShare, 5.0/11)
 }
 
-func TestRepeatedAndWronglyDeniedCallsShow(t *testing.T) {
+func TestRepeatedCallsAndFalseRefusalsAreCounted(t *testing.T) {
 	runs := map[string]int{"once-a": 2, "once-b": 1, "c": 5}
 	var r tally.Result
-	r.Once([]drive.Record{
+	r.CheckAtMostOnce([]drive.Record{
 		{Mark: "once-a", Outcome: drive.InTime},
 		{Mark: "once-b", Outcome: drive.Refused, Ran: fault.NotRun},
 		{Mark: "c", Outcome: drive.InTime},
--- a/internal/bench/trial/system.go
+++ b/internal/bench/trial/system.go
@@ -12,10 +12,11 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// Product is the system as it is.
+// Product returns the unmodified system.
 func Product() System { return System{Name: "jujubescale"} }
 
-// Baseline is round robin with plain retries and without limits at the agents.
+// Baseline returns a system with round-robin routing, simple retries and no limits at the
+// agents.
 func Baseline() System {
 	return System{Name: "baseline", Options: []whole.Option{
 		whole.WithEntryOptions(entry.WithRuns(runs.WithBaseline())),
@@ -23,16 +24,16 @@
 	}}
 }
 
-// Remote puts the load of an experiment on running entries. Cost by stage and
-// runs are seen by the endpoints alone and stay empty; faults are not caused.
+// Remote sends the load of an experiment to running entries. It injects no faults. Costs by
+// stage and counts of runs stay empty, because only the endpoints can measure them.
 func Remote(ctx context.Context, e *plan.Experiment, urls []string, progress func(drive.Progress)) (*tally.Result, error) {
 	driver := drive.New(func() []string { return urls }, drive.WithProgress(progress))
-	if err := driver.Probe(ctx, e); err != nil {
+	if err := driver.AwaitReady(ctx, e); err != nil {
 		return nil, err
 	}
 	records := driver.Run(ctx, e, func() {})
-	result := &tally.Result{Experiment: e.Name, System: "running", RatePerSecond: e.Rate(), Allowed: e.Allows()}
+	result := &tally.Result{Experiment: e.Name, System: "running", RatePerSecond: e.Rate(), Allowed: e.AttainableShare()}
 	const second = 1000
-	result.Requests(records, (e.DurationMs+second-1)/second)
+	result.AddRequests(records, (e.DurationMs+second-1)/second)
 	return result, nil
 }
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -14,14 +14,14 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-// System is what is measured: the product, or the baseline.
+// System is a measured system: the product or the baseline.
 type System struct {
 	Name    string
 	Options []whole.Option
 }
 
-// Run starts the deployment of an experiment, puts its load on it, causes its
-// faults at their time and returns what that showed.
+// Run starts the deployment of an experiment, sends its load, injects its faults and returns
+// the result.
 func Run(ctx context.Context, e *plan.Experiment, system System, progress func(drive.Progress)) (*tally.Result, error) {
 	opts := append([]whole.Option{
 		whole.WithManifest(e.Deployment),
@@ -39,7 +39,7 @@
 	return t.run(ctx, system.Name, progress)
 }
 
-// logSink drops the daemons' logs: thousands of lines would drown the table.
+// logSink discards the logs of the daemons, which would hide the table of results.
 type logSink struct{}
 
 // Write implements io.Writer.
@@ -51,59 +51,59 @@
 	experiment *plan.Experiment
 	system     *whole.Whole
 
-	mu     sync.Mutex
-	zones  []zoneOut
-	causes sync.WaitGroup
-	failed error
+	mu            sync.Mutex
+	zones         []evacuatedZone
+	faultsPending sync.WaitGroup
+	err           error
 }
 
-type zoneOut struct {
-	zone string
-	at   time.Time
-	last time.Time
+type evacuatedZone struct {
+	zone        string
+	at          time.Time
+	lastNewWork time.Time
 }
 
-// callersZone is where callers stand: in no availability zone.
+// callersZone is the location of callers, which belong to no availability zone.
 const callersZone = "callers"
 
 func (t *trial) run(ctx context.Context, name string, progress func(drive.Progress)) (*tally.Result, error) {
 	e := t.experiment
 	driver := drive.New(t.system.InRotation,
 		drive.WithDial(t.system.Clients.Dial(callersZone)), drive.WithProgress(progress))
-	if err := driver.Probe(ctx, e); err != nil {
+	if err := driver.AwaitReady(ctx, e); err != nil {
 		return nil, err
 	}
-	records := driver.Run(ctx, e, func() { t.begin(ctx) })
-	t.causes.Wait()
-	t.settle(ctx)
-	if t.failed != nil {
-		return nil, t.failed
+	records := driver.Run(ctx, e, func() { t.beginMeasurement(ctx) })
+	t.faultsPending.Wait()
+	t.awaitIdle(ctx)
+	if t.err != nil {
+		return nil, t.err
 	}
 	result := &tally.Result{
-		Experiment: e.Name, System: name, RatePerSecond: e.Rate(), Allowed: e.Allows(),
+		Experiment: e.Name, System: name, RatePerSecond: e.Rate(), Allowed: e.AttainableShare(),
 		Faults: e.Faults, Platform: t.system.Platform.Calls(),
 	}
 	const second = 1000
-	result.Requests(records, (e.DurationMs+second-1)/second)
-	result.Cost(records, t.usage())
-	result.Once(records, t.system.Ledger.Runs)
+	result.AddRequests(records, (e.DurationMs+second-1)/second)
+	result.AddCosts(records, t.takeUsage())
+	result.CheckAtMostOnce(records, t.system.Ledger.Runs)
 	for _, place := range t.system.Places {
 		result.Falls += place.Slots().State().Falls
 	}
-	for _, out := range t.zones {
-		lag := max(out.last.Sub(out.at), 0)
-		result.Zones = append(result.Zones, tally.ZoneOut{Zone: out.zone, LastNewWorkMs: lag.Milliseconds()})
+	for _, zone := range t.zones {
+		delay := max(zone.lastNewWork.Sub(zone.at), 0)
+		result.Zones = append(result.Zones, tally.EvacuatedZone{Zone: zone.zone, LastNewWorkMs: delay.Milliseconds()})
 	}
 	return result, nil
 }
 
-// begin forgets the engine time of the warm-up and schedules the faults.
-func (t *trial) begin(ctx context.Context) {
-	t.usage()
+// beginMeasurement discards the engine time of the warm-up and schedules the faults.
+func (t *trial) beginMeasurement(ctx context.Context) {
+	t.takeUsage()
 	start := time.Now()
-	t.causes.Add(1)
+	t.faultsPending.Add(1)
 	go func() {
-		defer t.causes.Done()
+		defer t.faultsPending.Done()
 		for _, fault := range t.experiment.Faults {
 			timer := time.NewTimer(time.Until(start.Add(time.Duration(fault.AtMs) * time.Millisecond)))
 			select {
@@ -112,56 +112,56 @@
 				timer.Stop()
 				return
 			}
-			t.cause(fault.Fault)
+			t.inject(fault.Fault)
 		}
 	}()
 }
 
-func (t *trial) cause(fault whole.Fault) {
+func (t *trial) inject(fault whole.Fault) {
 	if fault.Name == whole.ZoneReturn {
-		t.endZone(fault.Target)
+		t.recordLastStart(fault.Target)
 	}
 	at := time.Now()
 	err := t.system.Cause(fault)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if err != nil && t.failed == nil {
-		t.failed = err
+	if err != nil && t.err == nil {
+		t.err = err
 	}
 	if fault.Name == whole.ZoneLeave {
-		t.zones = append(t.zones, zoneOut{zone: fault.Target, at: at})
+		t.zones = append(t.zones, evacuatedZone{zone: fault.Target, at: at})
 	}
 }
 
-// endZone notes when a zone that returns got its last new work before that.
-func (t *trial) endZone(zone string) {
+// recordLastStart records when a returning zone got its last new work before its return.
+func (t *trial) recordLastStart(zone string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.zones {
-		if t.zones[i].zone == zone && t.zones[i].last.IsZero() {
-			t.zones[i].last = t.system.LastStart(zone)
+		if t.zones[i].zone == zone && t.zones[i].lastNewWork.IsZero() {
+			t.zones[i].lastNewWork = t.system.LastStart(zone)
 		}
 	}
 }
 
-// settle waits until the endpoints have ended what they still run, so that
-// work nobody waits for any more is counted too.
-func (t *trial) settle(ctx context.Context) {
-	const most, step = 5 * time.Second, 50 * time.Millisecond
-	for waited := time.Duration(0); waited < most && t.system.Running() > 0 && ctx.Err() == nil; waited += step {
+// awaitIdle waits up to 5 s until the endpoints are idle, so that abandoned work is counted
+// too, and records the last new work of the zones that have not returned.
+func (t *trial) awaitIdle(ctx context.Context) {
+	const limit, step = 5 * time.Second, 50 * time.Millisecond
+	for waited := time.Duration(0); waited < limit && t.system.Running() > 0 && ctx.Err() == nil; waited += step {
 		time.Sleep(step)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.zones {
-		if t.zones[i].last.IsZero() {
-			t.zones[i].last = t.system.LastStart(t.zones[i].zone)
+		if t.zones[i].lastNewWork.IsZero() {
+			t.zones[i].lastNewWork = t.system.LastStart(t.zones[i].zone)
 		}
 	}
 }
 
-// usage takes the engine time spent since the last call, by pool.
-func (t *trial) usage() []tally.Pool {
+// takeUsage returns the engine time by pool since the last call.
+func (t *trial) takeUsage() []tally.Pool {
 	var pools []tally.Pool
 	for i := range t.experiment.Deployment.Pools {
 		pool := tally.Pool{Name: t.experiment.Deployment.Pools[i].Name}
