--- a/internal/bench/drive/send.go
+++ b/internal/bench/drive/send.go
@@ -95,7 +95,8 @@
 	if err != nil {
 		panic(err) // method and URL come from a checked experiment
 	}
-	// Prevents retries by the transport, which could make a call run twice.
+	// Prevents retries by the transport: a call that runs twice must be a fault of the
+	// system and not of this tool.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+a.from.Token)
 	return request
--- a/internal/bench/soak/order.go
+++ b/internal/bench/soak/order.go
@@ -20,8 +20,8 @@
 	// between two orders.
 	orderDuration = 6 * time.Second
 	orderPause    = 500 * time.Millisecond
-	// decisionTolerance is the time after its deadline by which an order must be decided;
-	// failures of processes and of the store delay decisions.
+	// decisionTolerance is the longest time from the deadline of an order to its decision.
+	// Failures of processes and of the store delay decisions.
 	decisionTolerance = 6 * time.Second
 	// unorderedVersion is a version that the operator never orders.
 	unorderedVersion = "stray"
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -36,7 +36,7 @@
 	// startLimit is the timeout for all processes to become ready; it allows for a
 	// busy machine.
 	startLimit = 30 * time.Second
-	// deadlineTolerance is the time after its deadline by which a request must end.
+	// deadlineTolerance is the longest time from the deadline of a request to its end.
 	deadlineTolerance = 2500 * time.Millisecond
 )
 
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -39,7 +39,8 @@
 	return t.run(ctx, system.Name, progress)
 }
 
-// logSink discards the logs of the daemons, which would hide the table of results.
+// logSink discards the logs of the daemons, whose thousands of lines would hide the table of
+// results.
 type logSink struct{}
 
 // Write implements io.Writer.
