--- a/internal/bench/tally/cost.go
+++ b/internal/bench/tally/cost.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		spent := float64(usage.Spent) / float64(time.Millisecond)
-		if record == nil || record.Outcome != drive.InTime || !usage.Whole || used[work] {
+		if record == nil || record.Outcome != drive.InTime || !usage.Finished || used[work] {
 			stage.WastedMs += spent
 			continue
 		}
--- a/internal/bench/tally/tally_test.go
+++ b/internal/bench/tally/tally_test.go
@@ -37,11 +37,11 @@
 	ms := time.Millisecond
 	var r tally.Result
 	r.Cost(records, []tally.Pool{{Name: "p", Usage: []slots.Usage{
-		{ID: "good/0/0", Spent: 4 * ms, Whole: true},
-		{ID: "good/0/1", Spent: 3 * ms, Whole: true},
-		{ID: "good/1/0", Spent: 2 * ms, Whole: true},
-		{ID: "late/0/0", Spent: ms, Whole: true},
-		{ID: "early/0/0", Spent: 100 * ms, Whole: true},
+		{ID: "good/0/0", Spent: 4 * ms, Finished: true},
+		{ID: "good/0/1", Spent: 3 * ms, Finished: true},
+		{ID: "good/1/0", Spent: 2 * ms, Finished: true},
+		{ID: "late/0/0", Spent: ms, Finished: true},
+		{ID: "early/0/0", Spent: 100 * ms, Finished: true},
 		{ID: "nobody/0/0", Spent: ms},
 	}}})
 	assert.Equal(t, r.Stages[0].UsefulMs, 6.0)
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -88,7 +88,7 @@
 	result.Cost(records, t.usage())
 	result.Once(records, t.system.Ledger.Runs)
 	for _, place := range t.system.Places {
-		result.Falls += place.Slots().State().Falls
+		result.Falls += place.Slots().State().ColdCrashes
 	}
 	for _, out := range t.zones {
 		lag := max(out.last.Sub(out.at), 0)
@@ -122,7 +122,7 @@
 		t.endZone(fault.Target)
 	}
 	at := time.Now()
-	err := t.system.Cause(fault)
+	err := t.system.Inject(fault)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil && t.failed == nil {
--- a/internal/cli/devel/stand.go
+++ b/internal/cli/devel/stand.go
@@ -106,7 +106,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := system.Cause(fault); err != nil {
+		if err := system.Inject(fault); err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 		}
 	})
--- a/internal/e2e/agent_test.go
+++ b/internal/e2e/agent_test.go
@@ -39,7 +39,7 @@
 		}
 		return poll.Continue("engines-0 has no work yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, place := range engines {
 			if state := place.Slots().State(); state.Cold {
@@ -51,7 +51,7 @@
 	c.stop()
 	for _, place := range engines {
 		state := place.Slots().State()
-		assert.Equal(t, state.Falls, 0, place.Endpoint)
+		assert.Equal(t, state.ColdCrashes, 0, place.Endpoint)
 		assert.Assert(t, state.ColdPeak <= 2, place.Endpoint)
 	}
 }
@@ -63,7 +63,7 @@
 	c := startCrowd(t, 8, basesOf(system), kindSheet, kindBooking)
 	waitFor(t, c, 40)
 	for _, place := range system.Places {
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: place.Endpoint}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentRestart, Target: place.Endpoint}))
 		awaitAgent(t, place, len(system.Fronts))
 	}
 	waitFor(t, c, c.count()+40)
@@ -90,7 +90,7 @@
 // out, and callers are answered by the others within their deadlines.
 func TestSilentEngineIsWorkedAround(t *testing.T) {
 	system := started(t)
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointSilent, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointSilent, Target: "engines-0"}))
 	for range 12 {
 		got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 		assert.Equal(t, got.status, http.StatusOK, got.body)
@@ -101,5 +101,5 @@
 		}
 		return poll.Continue("the agent still takes work")
 	}, poll.WithTimeout(30*time.Second))
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointAlive, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointAlive, Target: "engines-0"}))
 }
--- a/internal/e2e/cold_test.go
+++ b/internal/e2e/cold_test.go
@@ -20,7 +20,7 @@
 func falls(system *whole.Whole) int {
 	total := 0
 	for _, place := range system.Places {
-		total += place.Slots().State().Falls
+		total += place.Slots().State().ColdCrashes
 	}
 	return total
 }
@@ -39,7 +39,7 @@
 	t.Parallel()
 	system := coldSystem(t)
 	for range 3 {
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
 		c := startCrowd(t, coldCallers, system.InRotation, kindSheet)
 		waitFor(t, c, 120)
@@ -58,7 +58,7 @@
 	waitFor(t, c, 100)
 	for range 3 {
 		before := falls(system)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
 		checkNoMoreFalls(t, system, c, before)
 	}
@@ -75,11 +75,11 @@
 	waitFor(t, c, 100)
 	for range 3 {
 		before := falls(system)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
 		checkNoMoreFalls(t, system, c, before)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentRestart, Target: "engines-0"}))
 		checkNoMoreFalls(t, system, c, falls(system))
 	}
 	assert.NilError(t, firstBad(c.stop()))
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -157,9 +157,9 @@
 	release := applyVariant(t, system, 5)
 	assert.NilError(t, system.WaitInForce(release))
 	system.Platform.SetFaults(plat.Faults{Down: true})
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EntryKill, Target: "entry-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EntryKill, Target: "entry-0"}))
 	for _, place := range system.Places {
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 	}
 	assert.NilError(t, system.WaitInForce(release))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/e2e/lost_test.go
+++ b/internal/e2e/lost_test.go
@@ -31,7 +31,7 @@
 			for _, front := range system.Fronts {
 				began[front.Name] = front.Entry.Now()
 			}
-			assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
+			assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
 			lost := time.Now()
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if time.Since(lost) < 2*lostGrace.Duration() {
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -105,7 +105,7 @@
 			done := b.bookSoon(0)
 			b.awaitRun()
 			b.eachOrder(func(p *whole.Place) {
-				assert.Check(b.t, b.system.Cause(whole.Fault{Name: whole.AgentKill, Target: p.Endpoint}))
+				assert.Check(b.t, b.system.Inject(whole.Fault{Name: whole.AgentKill, Target: p.Endpoint}))
 			})
 			return <-done
 		}, fault.MayHaveRun, 1},
@@ -155,7 +155,7 @@
 	b.slow()
 	done := b.bookSoon(0)
 	b.awaitRun()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EntryKill, Target: system.Fronts[0].Name}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EntryKill, Target: system.Fronts[0].Name}))
 	first := <-done
 	second := b.book(1)
 	assert.Assert(t, !second.answered())
--- a/internal/e2e/order_test.go
+++ b/internal/e2e/order_test.go
@@ -61,7 +61,7 @@
 		lastOrders(t, system, map[string]string{"2": "1", "3": "2"}[version])
 		for _, place := range system.Places {
 			if place.Engine != nil && version == "2" {
-				assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
+				assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		assert.Equal(t, orders[0].Fence, uint64(1))
 		assert.Assert(t, orders[len(orders)-1].Fence > 1, "the new agent has a number of its own")
 	}
-	assert.Assert(t, system.Weights.MostAtOnce() <= agent.DefaultWeightSlots, "%d loads at once", system.Weights.MostAtOnce())
+	assert.Assert(t, system.Weights.MaxConcurrent() <= agent.DefaultWeightSlots, "%d loads at once", system.Weights.MaxConcurrent())
 }
 
 // Operators change the role of a pool's engines, for instance to split prefill
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -113,7 +113,7 @@
 	t.Parallel()
 	system, c := zonedLoad(t)
 	c.stop()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
 	accepted := leaveZone(t, system, "zb")
 	inside := "http://" + system.Front("entry-1").Address
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -145,7 +145,7 @@
 	// take nothing on before that.
 	before := lastStarts(system, "zb")
 	within := startCrowd(t, 4, func() []string { return []string{inside} }, kindSheet)
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneHeal, Target: "zb"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneHeal, Target: "zb"}))
 	assert.NilError(t, system.WaitInForce(2))
 	within.stop()
 	assert.DeepEqual(t, lastStarts(system, "zb"), before)
@@ -174,8 +174,8 @@
 	accepted := leaveZone(t, system, "zb")
 	for _, place := range system.Places {
 		if place.Zone == "zb" {
-			assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: place.Endpoint}))
-			assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
+			assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: place.Endpoint}))
+			assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 		}
 	}
 	checkQuiet(t, system, c, "zb", accepted)
@@ -209,7 +209,7 @@
 	accepted := leaveZone(t, system, "zb")
 	checkQuiet(t, system, c, "zb", accepted)
 	c.stop()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zc"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneCut, Target: "zc"}))
 	inside := []string{system.URL()}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		got := call(t, http.MethodPost, inside[0]+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
--- a/internal/serve/agent/coldbench_test.go
+++ b/internal/serve/agent/coldbench_test.go
@@ -40,7 +40,7 @@
 				} else {
 					answered += sendWithoutAgent(server.URL, callers, span)
 				}
-				falls += endpoint.Slots.State().Falls
+				falls += endpoint.Slots.State().ColdCrashes
 				_ = server.Config.Close()
 			}
 			b.ReportMetric(float64(falls)/float64(b.N), "falls")
--- a/internal/serve/agent/load_test.go
+++ b/internal/serve/agent/load_test.go
@@ -79,7 +79,7 @@
 			if tc.disturb != nil {
 				tc.disturb(endpoint)
 				waitFor(t, "agent applies the cold limit", func() bool {
-					fallsWhenSeen = endpoint.Slots.State().Falls
+					fallsWhenSeen = endpoint.Slots.State().ColdCrashes
 					status := a.Status().Endpoint
 					return status.Cold && status.Running <= 2
 				})
@@ -87,7 +87,7 @@
 			before := answered()
 			waitFor(t, "endpoint is warm again", func() bool { return answered() > before+400 && !endpoint.Slots.State().Cold })
 			stop()
-			falls := endpoint.Slots.State().Falls
+			falls := endpoint.Slots.State().ColdCrashes
 			assert.Equal(t, falls, fallsWhenSeen, "crashes after the agent applied the cold limit")
 			assert.Assert(t, falls <= tc.maxFalls, "%d crashes", falls)
 		})
@@ -114,7 +114,7 @@
 	answered, stop := sendContinuously(t, address, 2, 4)
 	waitFor(t, "answers of the new agent", func() bool { return answered() >= 2 })
 	stop()
-	assert.Equal(t, e.Slots.State().Falls, 0)
+	assert.Equal(t, e.Slots.State().ColdCrashes, 0)
 	assert.Equal(t, e.Slots.State().ColdPeak, 2)
 }
 
@@ -177,14 +177,14 @@
 	endpoint := pool.New("encode", pool.WithWork(time.Millisecond))
 	_, address := startAgent(t, manif.KindEncode, startServer(t, endpoint.Handler()))
 	p := dial(t, address).awaitReady()
-	endpoint.Door.SetSilent(true)
+	endpoint.Frontend.SetHang(true)
 	id := p.send(wire.Call{Idempotent: true})
 	refuse := p.refusal(id)
 	assert.Equal(t, refuse.Reason, fault.EndpointFailed)
 	assert.Equal(t, refuse.Ran, fault.MayHaveRun)
 	refuse = p.refusal(p.send(wire.Call{Idempotent: true}))
 	assert.Equal(t, refuse.Ran, fault.NotRun)
-	endpoint.Door.SetSilent(false)
+	endpoint.Frontend.SetHang(false)
 	waitFor(t, "work is accepted again", func() bool {
 		end, _ := p.result(p.send(wire.Call{Idempotent: true}))
 		return end != nil
--- a/internal/stand/engine/engine.go
+++ b/internal/stand/engine/engine.go
@@ -17,7 +17,7 @@
 type Engine struct {
 	settings settings
 	Slots    *slots.Slots
-	Door     *slots.Door
+	Frontend *slots.Frontend
 	cache    *cache
 
 	start   sync.Mutex
@@ -97,7 +97,7 @@
 	}
 	capacity := slots.New(s.capacity)
 	e := &Engine{
-		settings: s, Slots: capacity, Door: slots.NewDoor(capacity, s.lag), cache: newCache(s),
+		settings: s, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.lag), cache: newCache(s),
 	}
 	capacity.OnReset(e.lose)
 	e.lose()
@@ -114,7 +114,7 @@
 	router.Post("/v1/orders", e.serveOrder)
 	router.Get("/v1/kv/*", e.serveExport)
 	router.Put("/v1/kv/*", e.serveImport)
-	return e.Door.Guard(router)
+	return e.Frontend.Guard(router)
 }
 
 // lose forgets what an engine's process keeps in memory: the cache, the
@@ -137,15 +137,15 @@
 	return append([]Order(nil), e.orders...)
 }
 
-// Known returns how many streams the engine remembers.
-func (e *Engine) Known() int {
+// StreamCount returns how many streams the engine remembers.
+func (e *Engine) StreamCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.runs)
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	load := e.Door.Report()
+	load := e.Frontend.Report()
 	e.mu.Lock()
 	for model := range e.models {
 		load.Models = append(load.Models, model)
--- a/internal/stand/engine/engine_test.go
+++ b/internal/stand/engine/engine_test.go
@@ -85,7 +85,7 @@
 	_, err = http.Post(url, "application/json", strings.NewReader(`{"id":"b/0/0"}`))
 	assert.Assert(t, err != nil)
 	state := e.Slots.State()
-	assert.Equal(t, state.Falls, 1)
+	assert.Equal(t, state.ColdCrashes, 1)
 	assert.Equal(t, state.StartID, uint64(3))
 	assert.Equal(t, state.Running, 0)
 }
--- a/internal/stand/engine/generate.go
+++ b/internal/stand/engine/generate.go
@@ -108,7 +108,7 @@
 		slots.Refuse(w, err)
 		return
 	}
-	s.copyTo(w, r, request.From, e.Door.Cut())
+	s.copyTo(w, r, request.From, e.Frontend.ShouldTruncate())
 }
 
 // findOrStart returns the known stream of that id, or starts one. A resumed
--- a/internal/stand/engine/weights.go
+++ b/internal/stand/engine/weights.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// MostAtOnce returns the most loads that ran at once.
-func (w *Weights) MostAtOnce() int {
+// MaxConcurrent returns the most loads that ran at once.
+func (w *Weights) MaxConcurrent() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.most
--- a/internal/stand/netw/netw.go
+++ b/internal/stand/netw/netw.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Place says in which zone an address (host:port) stands.
-func (n *Net) Place(address, zone string) {
+// SetZone says in which zone an address (host:port) stands.
+func (n *Net) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
--- a/internal/stand/netw/netw_test.go
+++ b/internal/stand/netw/netw_test.go
@@ -43,7 +43,7 @@
 func TestBytesCrossZonesInOrderAndLate(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(5 * time.Millisecond)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	conn := dial(t, n, address)
 	begin := time.Now()
 	for _, line := range []string{"one\n", "two\n", "three\n"} {
@@ -65,7 +65,7 @@
 func TestSilencedConnectionStaysSilentWhileNewOnesWork(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	old := dial(t, n, address)
 	n.SilenceZone("b")
 	_, err := old.Write([]byte("lost\n"))
@@ -86,7 +86,7 @@
 func TestCutZoneTakesNoConnections(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	n.CutZone("b")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
--- a/internal/stand/plain/plain.go
+++ b/internal/stand/plain/plain.go
@@ -58,10 +58,10 @@
 
 // Plain is one endpoint of a plain service.
 type Plain struct {
-	work   time.Duration
-	ledger *Ledger
-	Slots  *slots.Slots
-	Door   *slots.Door
+	work     time.Duration
+	ledger   *Ledger
+	Slots    *slots.Slots
+	Frontend *slots.Frontend
 
 	mu    sync.Mutex
 	close CloseAt
@@ -112,16 +112,16 @@
 		opt(&s)
 	}
 	capacity := slots.New(s.capacity)
-	return &Plain{work: s.work, ledger: s.ledger, Slots: capacity, Door: slots.NewDoor(capacity, s.lag)}
+	return &Plain{work: s.work, ledger: s.ledger, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.lag)}
 }
 
 // Handler returns the endpoint's HTTP interface: GET /v1/load, and any other
 // method and path as a call.
 func (p *Plain) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Get("/v1/load", p.Door.ServeLoad)
+	router.Get("/v1/load", p.Frontend.ServeLoad)
 	router.HandleFunc("/*", p.serveCall)
-	return p.Door.Guard(router)
+	return p.Frontend.Guard(router)
 }
 
 // SetClose makes the endpoint close the connection of each call without an
@@ -170,7 +170,7 @@
 	}
 	err = run.Work(r.Context(), p.work)
 	run.End(err == nil)
-	if err != nil || closeAt == CloseAfter || p.Door.Cut() {
+	if err != nil || closeAt == CloseAfter || p.Frontend.ShouldTruncate() {
 		panic(http.ErrAbortHandler)
 	}
 	slots.WriteJSON(w, http.StatusOK, answer{Path: r.URL.Path, Echo: echo})
--- a/internal/stand/pool/pool.go
+++ b/internal/stand/pool/pool.go
@@ -13,10 +13,10 @@
 
 // Pool is one endpoint that answers POST /v1/run.
 type Pool struct {
-	kind  string
-	work  time.Duration
-	Slots *slots.Slots
-	Door  *slots.Door
+	kind     string
+	work     time.Duration
+	Slots    *slots.Slots
+	Frontend *slots.Frontend
 }
 
 // Option changes a Pool while it is built.
@@ -47,15 +47,15 @@
 		opt(&s)
 	}
 	capacity := slots.New(s.capacity)
-	return &Pool{kind: kind, work: s.work, Slots: capacity, Door: slots.NewDoor(capacity, s.lag)}
+	return &Pool{kind: kind, work: s.work, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.lag)}
 }
 
 // Handler returns the endpoint's HTTP interface.
 func (p *Pool) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/v1/run", p.serveRun)
-	router.Get("/v1/load", p.Door.ServeLoad)
-	return p.Door.Guard(router)
+	router.Get("/v1/load", p.Frontend.ServeLoad)
+	return p.Frontend.Guard(router)
 }
 
 type runRequest struct {
@@ -89,7 +89,7 @@
 	}
 	err = run.Work(r.Context(), p.work)
 	run.End(err == nil)
-	if err != nil || p.Door.Cut() {
+	if err != nil || p.Frontend.ShouldTruncate() {
 		panic(http.ErrAbortHandler)
 	}
 	slots.WriteJSON(w, http.StatusOK, runAnswer{Output: output{Kind: p.kind, Echo: slots.EchoOf(request.Input)}})
--- a/internal/stand/pool/pool_test.go
+++ b/internal/stand/pool/pool_test.go
@@ -22,5 +22,5 @@
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "{\"output\":{\"kind\":\"encode\",\"echo\":\"x\"}}\n")
-	assert.Assert(t, p.Slots.TakeUsage()[0].Whole)
+	assert.Assert(t, p.Slots.TakeUsage()[0].Finished)
 }
--- a/internal/stand/slots/door.go
+++ b/internal/stand/slots/door.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Door is what stands before an endpoint's calls: its load report, which lags,
+// Frontend is what stands before an endpoint's calls: its load report, which lags,
 // and the faults of its connections.
-type Door struct {
+type Frontend struct {
 	slots *Slots
 	lag   time.Duration
 
@@ -39,13 +39,13 @@
 	AsOfMs  int64    `json:"asOfMs"`
 }
 
-// NewDoor returns the door of an endpoint whose load report is lag old.
-func NewDoor(slots *Slots, lag time.Duration) *Door {
-	return &Door{slots: slots, lag: lag, random: rand.New(rand.NewPCG(1, 1))}
+// NewFrontend returns the door of an endpoint whose load report is lag old.
+func NewFrontend(slots *Slots, lag time.Duration) *Frontend {
+	return &Frontend{slots: slots, lag: lag, random: rand.New(rand.NewPCG(1, 1))}
 }
 
 // SetDead makes the endpoint close every connection without an answer.
-func (d *Door) SetDead(dead bool) {
+func (d *Frontend) SetDead(dead bool) {
 	d.mu.Lock()
 	d.dead = dead
 	d.mu.Unlock()
@@ -54,30 +54,30 @@
 	}
 }
 
-// SetSilent makes the endpoint accept calls and never answer them.
-func (d *Door) SetSilent(silent bool) {
+// SetHang makes the endpoint accept calls and never answer them.
+func (d *Frontend) SetHang(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = silent
 }
 
-// SetCut makes the endpoint close a share of its calls in the middle of their
+// SetTruncate makes the endpoint close a share of its calls in the middle of their
 // answer, drawn from a fixed seed. The work itself goes on or is done.
-func (d *Door) SetCut(share float64) {
+func (d *Frontend) SetTruncate(share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cut = share
 }
 
-// Cut draws whether this call's answer is cut.
-func (d *Door) Cut() bool {
+// ShouldTruncate draws whether this call's answer is cut.
+func (d *Frontend) ShouldTruncate() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cut > 0 && d.random.Float64() < d.cut
 }
 
 // Guard puts the faults before a handler.
-func (d *Door) Guard(next http.Handler) http.Handler {
+func (d *Frontend) Guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		dead, silent := d.dead, d.silent
@@ -95,7 +95,7 @@
 
 // Report returns the lagging load report. A restart shows at once: the
 // process that answers is the new one.
-func (d *Door) Report() Load {
+func (d *Frontend) Report() Load {
 	now := time.Now()
 	current := d.slots.State()
 	d.mu.Lock()
@@ -117,7 +117,7 @@
 }
 
 // ServeLoad answers GET /v1/load.
-func (d *Door) ServeLoad(w http.ResponseWriter, _ *http.Request) {
+func (d *Frontend) ServeLoad(w http.ResponseWriter, _ *http.Request) {
 	WriteJSON(w, http.StatusOK, d.Report())
 }
 
--- a/internal/stand/slots/slots.go
+++ b/internal/stand/slots/slots.go
@@ -27,16 +27,16 @@
 	ColdLimit int
 	// ColdWork is the engine time of finished work after which it is warm.
 	ColdWork time.Duration
-	// MaxHeld bounds what it holds at once; 0 is 64 times Limit.
-	MaxHeld int
+	// MaxRunning bounds what it holds at once; 0 is 64 times Limit.
+	MaxRunning int
 }
 
 // Usage is engine time spent on one attempt.
 type Usage struct {
 	ID    string
 	Spent time.Duration
-	// Whole tells that the endpoint finished the work.
-	Whole bool
+	// Finished tells that the endpoint finished the work.
+	Finished bool
 }
 
 // State is what the model shows at one instant.
@@ -45,8 +45,8 @@
 	Running int
 	Limit   int
 	Cold    bool
-	// Falls counts how often the endpoint fell over under load while cold.
-	Falls int
+	// ColdCrashes counts how often the endpoint fell over under load while cold.
+	ColdCrashes int
 	// ColdPeak is the most work that ran at once while cold.
 	ColdPeak int
 	// LastStart is when the newest work began.
@@ -73,8 +73,8 @@
 
 // New returns a warm endpoint.
 func New(config Config) *Slots {
-	if config.MaxHeld == 0 {
-		config.MaxHeld = 64 * config.Limit
+	if config.MaxRunning == 0 {
+		config.MaxRunning = 64 * config.Limit
 	}
 	return &Slots{config: config, startID: 1, warmed: config.ColdWork, slow: 1, reset: make(chan struct{}), onReset: func() {}}
 }
@@ -94,7 +94,7 @@
 func (s *Slots) Begin(id string, priority int) (*Run, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running >= s.config.MaxHeld {
+	if s.running >= s.config.MaxRunning {
 		return nil, ErrFull
 	}
 	if s.cold() && s.running+1 > s.config.ColdLimit {
@@ -154,7 +154,7 @@
 	s := r.slots
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.usage = append(s.usage, Usage{ID: r.id, Spent: r.spent, Whole: whole})
+	s.usage = append(s.usage, Usage{ID: r.id, Spent: r.spent, Finished: whole})
 	if r.reset != s.reset {
 		return
 	}
@@ -226,7 +226,7 @@
 	}
 	return State{
 		StartID: s.startID, Running: s.running, Limit: limit, Cold: s.cold(),
-		Falls: s.falls, ColdPeak: s.coldPeak, LastStart: s.lastStart,
+		ColdCrashes: s.falls, ColdPeak: s.coldPeak, LastStart: s.lastStart,
 	}
 }
 
--- a/internal/stand/slots/slots_test.go
+++ b/internal/stand/slots/slots_test.go
@@ -19,7 +19,7 @@
 	usage := s.TakeUsage()
 	assert.Equal(t, len(usage), 1)
 	assert.Equal(t, usage[0].ID, "r/0/0")
-	assert.Assert(t, usage[0].Whole && usage[0].Spent >= 5*time.Millisecond)
+	assert.Assert(t, usage[0].Finished && usage[0].Spent >= 5*time.Millisecond)
 	assert.Equal(t, len(s.TakeUsage()), 0)
 }
 
@@ -32,7 +32,7 @@
 	assert.NilError(t, run.Work(context.Background(), time.Millisecond))
 	run.End(true)
 	assert.Equal(t, s.State().Limit, 4)
-	assert.Equal(t, s.State().Falls, 0)
+	assert.Equal(t, s.State().ColdCrashes, 0)
 }
 
 func TestRestartCutsWork(t *testing.T) {
--- a/internal/stand/whole/fault.go
+++ b/internal/stand/whole/fault.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Cause makes a fault happen.
-func (w *Whole) Cause(fault Fault) error {
+// Inject makes a fault happen.
+func (w *Whole) Inject(fault Fault) error {
 	switch fault.Name {
 	case PlatformDown:
 		w.Platform.SetFaults(plat.Faults{Down: true})
@@ -107,20 +107,20 @@
 	case EndpointSlow:
 		place.Slots().SetSlow(fault.Factor)
 	case EndpointDead:
-		place.Door().SetDead(true)
+		place.Frontend().SetDead(true)
 	case EndpointSilent:
-		place.Door().SetSilent(true)
+		place.Frontend().SetHang(true)
 	case EndpointCold:
 		place.Slots().TurnCold()
 	case EndpointRestart:
 		place.Slots().Restart()
 	case EndpointCut:
-		place.Door().SetCut(fault.Share)
+		place.Frontend().SetTruncate(fault.Share)
 	case EndpointNormal, EndpointAlive:
 		place.Slots().SetSlow(1)
-		place.Door().SetDead(false)
-		place.Door().SetSilent(false)
-		place.Door().SetCut(0)
+		place.Frontend().SetDead(false)
+		place.Frontend().SetHang(false)
+		place.Frontend().SetTruncate(0)
 	default:
 		return &UnknownTargetError{Fault: fault.Name, Target: fault.Target}
 	}
--- a/internal/stand/whole/front.go
+++ b/internal/stand/whole/front.go
@@ -65,7 +65,7 @@
 	if front.Address == "" {
 		front.Address = front.process.Address()
 	}
-	w.Clients.Place(front.Address, front.Zone)
+	w.Clients.SetZone(front.Address, front.Zone)
 	return nil
 }
 
--- a/internal/stand/whole/place.go
+++ b/internal/stand/whole/place.go
@@ -50,15 +50,15 @@
 	}
 }
 
-// Door returns the faults of the endpoint's connections.
-func (p *Place) Door() *slots.Door {
+// Frontend returns the faults of the endpoint's connections.
+func (p *Place) Frontend() *slots.Frontend {
 	switch {
 	case p.Engine != nil:
-		return p.Engine.Door
+		return p.Engine.Frontend
 	case p.Plain != nil:
-		return p.Plain.Door
+		return p.Plain.Frontend
 	default:
-		return p.Stage.Door
+		return p.Stage.Frontend
 	}
 }
 
@@ -206,6 +206,6 @@
 	if place.Address == "" {
 		place.Address = place.process.Address()
 	}
-	w.Net.Place(place.Address, place.Zone)
+	w.Net.SetZone(place.Address, place.Zone)
 	return nil
 }
--- a/internal/stand/whole/share.go
+++ b/internal/stand/whole/share.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	front.Sessions = front.sessions.server.Address()
-	w.Net.Place(front.Sessions, front.Zone)
+	w.Net.SetZone(front.Sessions, front.Zone)
 	return nil
 }
 
--- a/internal/stand/whole/whole.go
+++ b/internal/stand/whole/whole.go
@@ -162,7 +162,7 @@
 		return err
 	}
 	w.PlatformURL = w.platform.URL()
-	w.Net.Place(w.platform.Address(), platformZone)
+	w.Net.SetZone(w.platform.Address(), platformZone)
 	if err := w.publish(); err != nil {
 		return err
 	}
--- a/internal/stand/whole/whole_test.go
+++ b/internal/stand/whole/whole_test.go
@@ -25,7 +25,7 @@
 		if !special {
 			target = whole.EndpointName("engines", 0)
 		}
-		assert.NilError(t, system.Cause(whole.Fault{Name: name, Target: target, Factor: 1}), string(name))
+		assert.NilError(t, system.Inject(whole.Fault{Name: name, Target: target, Factor: 1}), string(name))
 	}
 }
 
@@ -35,6 +35,6 @@
 	defer system.Close()
 	for _, name := range []whole.FaultName{whole.EndpointCold, whole.AgentKill, whole.EntryKill, "quake"} {
 		var unknown *whole.UnknownTargetError
-		assert.Assert(t, errors.As(system.Cause(whole.Fault{Name: name, Target: "nothing"}), &unknown), string(name))
+		assert.Assert(t, errors.As(system.Inject(whole.Fault{Name: name, Target: "nothing"}), &unknown), string(name))
 	}
 }
