--- a/internal/stand/engine/cache.go
+++ b/internal/stand/engine/cache.go
@@ -24,29 +24,30 @@
 	Events []event `json:"events"`
 }
 
-// maxEvents bounds how many events are kept; a reader that is further behind
-// sees a gap.
+// maxEvents is the number of latest events that are kept. A reader that is
+// further behind misses the older ones.
 const maxEvents = 1024
 
-// cache holds prefixes, the least recently used first.
+// cache is an LRU cache of prompt prefixes, the least recently used first.
 type cache struct {
-	mu     sync.Mutex
-	size   int
-	delay  time.Duration
-	gap    int
-	order  []string
-	seq    uint64
-	events []event
-	hits   int
-	misses int
+	mu        sync.Mutex
+	size      int
+	delay     time.Duration
+	dropEvery int
+	prefixes  []string
+	seq       uint64
+	events    []event
+	hits      int
+	misses    int
 }
 
 func newCache(s settings) *cache {
-	return &cache{size: s.cacheSize, delay: s.eventDelay, gap: s.eventGaps}
+	return &cache{size: s.cacheSize, delay: s.eventDelay, dropEvery: s.dropEventEvery}
 }
 
-// use reports whether the prefix is cached and makes it the newest.
-func (c *cache) use(prefix string) bool {
+// lookupOrAdd reports whether the prefix is cached, and adds it if not. The prefix
+// becomes the most recently used.
+func (c *cache) lookupOrAdd(prefix string) bool {
 	if prefix == "" {
 		return false
 	}
@@ -61,28 +62,34 @@
 	return false
 }
 
+// touch reports whether the prefix is cached, and makes it the most recently
+// used.
 func (c *cache) touch(prefix string) bool {
-	for i, held := range c.order {
-		if held == prefix {
-			c.order = append(append(c.order[:i:i], c.order[i+1:]...), prefix)
+	for i, cached := range c.prefixes {
+		if cached == prefix {
+			c.prefixes = append(append(c.prefixes[:i:i], c.prefixes[i+1:]...), prefix)
 			return true
 		}
 	}
 	return false
 }
 
+// add caches a prefix and evicts the least recently used one if the cache is
+// over its size.
 func (c *cache) add(prefix string) {
-	c.order = append(c.order, prefix)
+	c.prefixes = append(c.prefixes, prefix)
 	c.publish(prefix, "add")
-	if len(c.order) > c.size {
-		c.publish(c.order[0], "drop")
-		c.order = c.order[1:]
+	if len(c.prefixes) > c.size {
+		c.publish(c.prefixes[0], "drop")
+		c.prefixes = c.prefixes[1:]
 	}
 }
 
+// publish records an event, or skips its sequence number if this event is one
+// to drop.
 func (c *cache) publish(prefix, op string) {
 	c.seq++
-	if c.gap > 0 && c.seq%uint64(c.gap) == 0 {
+	if c.dropEvery > 0 && c.seq%uint64(c.dropEvery) == 0 {
 		return
 	}
 	c.events = append(c.events, event{Seq: c.seq, Prefix: prefix, Op: op, at: time.Now()})
@@ -94,10 +101,11 @@
 func (c *cache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order, c.events = nil, nil
+	c.prefixes, c.events = nil, nil
 }
 
-// Hits returns how many prompts found their prefix cached, and how many did not.
+// Hits returns how many prompts had their prefix in the cache, and how many had
+// not.
 func (e *Engine) Hits() (hits, misses int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
@@ -111,9 +119,9 @@
 	}
 	list := eventList{Events: []event{}}
 	e.cache.mu.Lock()
-	for _, one := range e.cache.events {
-		if one.Seq > after && time.Since(one.at) >= e.cache.delay {
-			list.Events = append(list.Events, one)
+	for _, event := range e.cache.events {
+		if event.Seq > after && time.Since(event.at) >= e.cache.delay {
+			list.Events = append(list.Events, event)
 		}
 	}
 	e.cache.mu.Unlock()
@@ -123,14 +131,14 @@
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	prefix := chi.URLParam(r, "*")
 	e.cache.mu.Lock()
-	held := e.cache.touch(prefix)
+	cached := e.cache.touch(prefix)
 	e.cache.mu.Unlock()
-	if !held {
+	if !cached {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	if _, err := io.WriteString(w, "kv:"+prefix); err != nil {
-		return // the reader has gone
+		return // the client disconnected
 	}
 }
 
--- a/internal/stand/engine/engine.go
+++ b/internal/stand/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the stand-in for a model engine: continuous batching,
-// streams of tokens that resume and cancel, a prefix cache in limited memory,
-// orders with fencing numbers, and KV export and import.
+// Package engine is the stand-in for a model engine. It has continuous
+// batching, token streams that can be resumed and cancelled, a prefix cache of
+// limited size, orders with fencing numbers, and KV cache export and import.
 package engine
 
 import (
@@ -13,82 +13,84 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-// Engine is one model engine.
+// Engine is one simulated model engine.
 type Engine struct {
 	settings settings
 	Slots    *slots.Slots
 	Frontend *slots.Frontend
 	cache    *cache
 
-	start   sync.Mutex
-	mu      sync.Mutex
-	runs    map[string]*stream
-	models  map[string]bool
-	role    string
-	highest uint64
-	orders  []Order
+	start        sync.Mutex
+	mu           sync.Mutex
+	streams      map[string]*stream
+	models       map[string]bool
+	role         string
+	highestFence uint64
+	orders       []Order
 }
 
-// Option changes an Engine while it is built.
+// Option configures an Engine.
 type Option func(*settings)
 
 type settings struct {
-	capacity    slots.Config
-	prefill     time.Duration
-	cached      time.Duration
-	perToken    time.Duration
-	tokens      int
-	lag         time.Duration
-	cacheSize   int
-	models      []string
-	checksFence bool
-	load        func(done <-chan struct{}) bool
-	resumeFor   time.Duration
-	eventDelay  time.Duration
-	eventGaps   int
+	capacity       slots.Config
+	prefill        time.Duration
+	cachedPrefill  time.Duration
+	perToken       time.Duration
+	tokens         int
+	loadLag        time.Duration
+	cacheSize      int
+	models         []string
+	checksFence    bool
+	load           func(done <-chan struct{}) bool
+	resumeFor      time.Duration
+	eventDelay     time.Duration
+	dropEventEvery int
 }
 
-// WithEventFaults makes cache events late, and leaves out one in every gap of
-// them (0: none).
-func WithEventFaults(delay time.Duration, gap int) Option {
-	return func(s *settings) { s.eventDelay, s.eventGaps = delay, gap }
+// WithEventFaults delays cache events, and drops every event whose sequence
+// number is a multiple of dropEvery (0 drops none).
+func WithEventFaults(delay time.Duration, dropEvery int) Option {
+	return func(s *settings) { s.eventDelay, s.dropEventEvery = delay, dropEvery }
 }
 
-// WithCapacity sets what the engine bears.
+// WithCapacity sets the capacity of the engine.
 func WithCapacity(capacity slots.Config) Option { return func(s *settings) { s.capacity = capacity } }
 
 // WithTimes sets the engine time of a prompt, of a prompt whose prefix is
-// cached, and of one token.
+// cached, and of one generated token.
 func WithTimes(prefill, cached, perToken time.Duration) Option {
-	return func(s *settings) { s.prefill, s.cached, s.perToken = prefill, cached, perToken }
+	return func(s *settings) { s.prefill, s.cachedPrefill, s.perToken = prefill, cached, perToken }
 }
 
-// WithTokens sets how many tokens an answer has when nobody asks for a number.
+// WithTokens sets the number of tokens of an answer if the request names none.
 func WithTokens(tokens int) Option { return func(s *settings) { s.tokens = tokens } }
 
-// WithLoadLag sets how old the load report is.
-func WithLoadLag(lag time.Duration) Option { return func(s *settings) { s.lag = lag } }
+// WithLoadLag sets the age of the load report.
+func WithLoadLag(lag time.Duration) Option { return func(s *settings) { s.loadLag = lag } }
 
-// WithCacheSize sets how many prefixes the cache holds.
+// WithCacheSize sets the capacity of the prefix cache, in prefixes.
 func WithCacheSize(prefixes int) Option { return func(s *settings) { s.cacheSize = prefixes } }
 
-// WithModels sets the models, as name@version, that the engine has at its start.
+// WithModels sets the models, as name@version, that the engine has loaded after
+// a start.
 func WithModels(models ...string) Option { return func(s *settings) { s.models = models } }
 
-// WithFenceCheck makes the engine refuse orders with an old fencing number.
+// WithFenceCheck makes the engine reject orders whose fencing number is lower
+// than the highest one received.
 func WithFenceCheck() Option { return func(s *settings) { s.checksFence = true } }
 
-// WithLoader replaces how a model's weights are loaded; it reports whether
-// they came before done closed.
+// WithLoader sets the function that loads a model's weights. The function
+// reports whether the load finished before done was closed.
 func WithLoader(load func(done <-chan struct{}) bool) Option {
 	return func(s *settings) { s.load = load }
 }
 
-// New returns a warm engine.
+// New returns an engine that is warm, with its start models loaded.
 func New(opts ...Option) *Engine {
 	s := settings{
 		capacity: slots.Config{Limit: 8, ColdLimit: 2, ColdWork: time.Second},
-		prefill:  30 * time.Millisecond, cached: 5 * time.Millisecond, perToken: 5 * time.Millisecond,
+		prefill:  30 * time.Millisecond, cachedPrefill: 5 * time.Millisecond, perToken: 5 * time.Millisecond,
 		tokens: 16, cacheSize: 64, resumeFor: 30 * time.Second,
 		load: func(<-chan struct{}) bool { return true },
 	}
@@ -97,14 +99,15 @@
 	}
 	capacity := slots.New(s.capacity)
 	e := &Engine{
-		settings: s, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.lag), cache: newCache(s),
+		settings: s, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.loadLag), cache: newCache(s),
 	}
-	capacity.OnReset(e.lose)
-	e.lose()
+	capacity.OnReset(e.dropState)
+	e.dropState()
 	return e
 }
 
-// Handler returns the engine's HTTP interface as docs/INTERFACES.md has it.
+// Handler returns the engine's HTTP interface, as specified in
+// docs/INTERFACES.md.
 func (e *Engine) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/v1/generate", e.serveGenerate)
@@ -117,31 +120,31 @@
 	return e.Frontend.Guard(router)
 }
 
-// lose forgets what an engine's process keeps in memory: the cache, the
-// streams, and all models but those it starts with.
-func (e *Engine) lose() {
+// dropState drops what a restart of the engine's process loses: the prefix cache,
+// the streams, and all models except the start models.
+func (e *Engine) dropState() {
 	e.cache.clear()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.runs = make(map[string]*stream)
+	e.streams = make(map[string]*stream)
 	e.models = make(map[string]bool)
 	for _, model := range e.settings.models {
 		e.models[model] = true
 	}
 }
 
-// Orders returns the orders that took effect, in that sequence.
+// Orders returns the orders that took effect, oldest first.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// StreamCount returns how many streams the engine remembers.
+// StreamCount returns the number of streams that can be resumed or cancelled.
 func (e *Engine) StreamCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.runs)
+	return len(e.streams)
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
--- a/internal/stand/engine/engine_test.go
+++ b/internal/stand/engine/engine_test.go
@@ -34,12 +34,12 @@
 	return response.StatusCode, lines
 }
 
-func fast(opts ...engine.Option) *engine.Engine {
+func newFastEngine(opts ...engine.Option) *engine.Engine {
 	return engine.New(append([]engine.Option{engine.WithTimes(0, 0, time.Millisecond)}, opts...)...)
 }
 
 func TestStreamResumesWithoutRunningAgain(t *testing.T) {
-	e := fast()
+	e := newFastEngine()
 	url := serve(t, e) + "/v1/generate"
 	status, lines := post(t, url, `{"id":"r/0/0","input":{"echo":"x","tokens":4}}`)
 	assert.Equal(t, status, http.StatusOK)
@@ -71,9 +71,9 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// An engine that has just started gets a full load. Callers see their
-// connections reset, and the engine starts again, cold.
-func TestColdEngineFallsOverBeyondItsColdLimit(t *testing.T) {
+// A cold engine that gets more work than its cold limit crashes: it aborts the
+// connections of its callers and restarts cold.
+func TestColdEngineCrashesAboveColdLimit(t *testing.T) {
 	e := engine.New(
 		engine.WithTimes(0, 0, time.Minute),
 		engine.WithCapacity(slots.Config{Limit: 8, ColdLimit: 1, ColdWork: time.Second}))
@@ -91,7 +91,7 @@
 }
 
 func TestOldFenceIsRefusedWhereChecked(t *testing.T) {
-	e := fast(engine.WithFenceCheck())
+	e := newFastEngine(engine.WithFenceCheck())
 	url := serve(t, e) + "/v1/orders"
 	status, _ := post(t, url, `{"op":"load","model":"m","version":"2","fence":7}`)
 	assert.Equal(t, status, http.StatusOK)
@@ -102,7 +102,7 @@
 }
 
 func TestPrefixCacheIsLimited(t *testing.T) {
-	e := fast(engine.WithCacheSize(1))
+	e := newFastEngine(engine.WithCacheSize(1))
 	url := serve(t, e) + "/v1/generate"
 	for id, prefix := range map[string]string{"a/0/0": "p", "b/0/0": "q"} {
 		post(t, url, `{"id":"`+id+`","input":{"tokens":1,"prefix":"`+prefix+`"}}`)
--- a/internal/stand/engine/generate.go
+++ b/internal/stand/engine/generate.go
@@ -33,7 +33,7 @@
 	Token string `json:"token"`
 }
 
-// doneLine ends an answer; without it the answer is not whole.
+// doneLine is the last line of an answer. An answer without it is incomplete.
 type doneLine struct {
 	Done         bool  `json:"done"`
 	Tokens       int   `json:"tokens"`
@@ -41,8 +41,8 @@
 	CachedTokens int   `json:"cachedTokens"`
 }
 
-// stream is one run of the engine. It goes on when its reader is gone, until
-// it is cancelled, so that a reader can resume it.
+// stream is the output of one generate request. It continues after its reader
+// disconnects, so that a reader can resume it, until it ends or is cancelled.
 type stream struct {
 	cancel context.CancelFunc
 
@@ -53,17 +53,18 @@
 	done    doneLine
 }
 
-// errNotKnown says that the engine has no such stream to resume, or not the
-// model.
-var errNotKnown = errors.New("no such stream or model")
+// errNotFound means that the engine has no such stream to resume, or that the
+// requested model is not loaded.
+var errNotFound = errors.New("no such stream or model")
 
-// errWhole marks a stream that ended as it should.
-var errWhole = errors.New("whole")
+// errComplete marks a stream that generated all of its tokens.
+var errComplete = errors.New("whole")
 
 func newStream(cancel context.CancelFunc) *stream {
 	return &stream{cancel: cancel, changed: make(chan struct{})}
 }
 
+// update applies a change and notifies the readers.
 func (s *stream) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,24 +73,25 @@
 	s.changed = make(chan struct{})
 }
 
-// progress is what a reader sees of a stream at one instant.
-type progress struct {
+// snapshot is the state of a stream at one instant, as a reader needs it.
+type snapshot struct {
 	tokens  []string
 	ended   error
 	changed <-chan struct{}
 }
 
-func (s *stream) progress(from int) progress {
+// snapshotFrom returns the state of the stream, with the tokens from an index on.
+func (s *stream) snapshotFrom(from int) snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := progress{ended: s.ended, changed: s.changed}
+	state := snapshot{ended: s.ended, changed: s.changed}
 	if from < len(s.tokens) {
-		seen.tokens = s.tokens[from:]
+		state.tokens = s.tokens[from:]
 	}
-	return seen
+	return state
 }
 
-// maxBody bounds a request body.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 4 << 20
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +102,7 @@
 		return
 	}
 	s, err := e.findOrStart(&request)
-	if errors.Is(err, errNotKnown) {
+	if errors.Is(err, errNotFound) {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
@@ -111,17 +113,17 @@
 	s.copyTo(w, r, request.From, e.Frontend.ShouldTruncate())
 }
 
-// findOrStart returns the known stream of that id, or starts one. A resumed
-// stream that the engine no longer knows is 404: running it again from the
-// middle would double work.
+// findOrStart returns the stream with the requested id, or starts it. If the
+// stream to resume no longer exists, the result is errNotKnown (404), because
+// starting it again would repeat work.
 func (e *Engine) findOrStart(request *generateRequest) (*stream, error) {
 	e.start.Lock()
 	defer e.start.Unlock()
-	if s := e.known(request.ID); s != nil {
+	if s := e.find(request.ID); s != nil {
 		return s, nil
 	}
 	if request.From > 0 || !e.hasModel(request.Model) {
-		return nil, errNotKnown
+		return nil, errNotFound
 	}
 	run, err := e.Slots.Begin(request.ID, request.Priority)
 	if err != nil {
@@ -130,20 +132,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := newStream(cancel)
 	e.mu.Lock()
-	e.runs[request.ID] = s
+	e.streams[request.ID] = s
 	e.mu.Unlock()
 	go e.generate(ctx, s, run, request)
 	return s, nil
 }
 
-func (e *Engine) known(id string) *stream {
+func (e *Engine) find(id string) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.runs[id]
+	return e.streams[id]
 }
 
-// hasModel takes a model by name, or as name@version. An engine without a
-// list of models takes any.
+// hasModel reports whether a model, given as name or name@version, is loaded.
+// An engine without a list of models serves every model.
 func (e *Engine) hasModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,16 +163,17 @@
 	return false
 }
 
-// generate produces the tokens; its end shows in the stream.
+// generate produces the tokens of a stream, and stores the result in the
+// stream.
 func (e *Engine) generate(ctx context.Context, s *stream, run *slots.Run, request *generateRequest) {
 	defer s.cancel()
 	input := slots.ParseInput(request.Input)
 	count := firstPositive(request.MaxTokens, input.Tokens, scale(e.settings.tokens, input.Size))
-	prompt, cachedTokens := e.settings.prefill, 0
-	if e.cache.use(input.Prefix) {
-		prompt, cachedTokens = e.settings.cached, len(input.Prefix)
+	prefill, cachedTokens := e.settings.prefill, 0
+	if e.cache.lookupOrAdd(input.Prefix) {
+		prefill, cachedTokens = e.settings.cachedPrefill, len(input.Prefix)
 	}
-	err := run.Work(ctx, prompt)
+	err := run.Work(ctx, prefill)
 	for i := 0; i < count && err == nil; i++ {
 		if err = run.Work(ctx, e.settings.perToken); err == nil {
 			s.update(func() { s.tokens = append(s.tokens, tokenText(i, count, input.Echo)) })
@@ -179,7 +182,7 @@
 	spent := run.Spent()
 	run.End(err == nil)
 	if err == nil {
-		err = errWhole
+		err = errComplete
 	}
 	s.update(func() {
 		s.ended = err
@@ -191,8 +194,8 @@
 func (e *Engine) forget(id string, s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.runs[id] == s {
-		delete(e.runs, id)
+	if e.streams[id] == s {
+		delete(e.streams, id)
 	}
 }
 
@@ -212,8 +215,9 @@
 	return 1
 }
 
-// tokenText makes the first token name the caller's echo mark and the last one
-// the count, so that crossed and cut answers show.
+// tokenText returns the text of a token. The first token contains the caller's
+// echo mark and the last one the count, which makes mixed-up and truncated
+// answers detectable.
 func tokenText(index, count int, echo string) string {
 	text := "w" + strconv.Itoa(index) + " "
 	if index == 0 {
@@ -225,54 +229,57 @@
 	return text
 }
 
-// copyTo writes the stream from a token on, until its end or the reader's. A
-// cut one breaks off after its first tokens.
-func (s *stream) copyTo(w http.ResponseWriter, r *http.Request, from int, cut bool) {
+// copyTo writes the tokens from an index on, until the stream ends or the
+// reader disconnects. If truncate is true, it aborts the connection after the first
+// tokens.
+func (s *stream) copyTo(w http.ResponseWriter, r *http.Request, from int, truncate bool) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	flush := http.NewResponseController(w)
 	encoder := json.NewEncoder(w)
 	next := from
 	for {
-		seen := s.progress(next)
-		for _, token := range seen.tokens {
+		state := s.snapshotFrom(next)
+		for _, token := range state.tokens {
 			if encoder.Encode(tokenLine{Index: next, Token: token}) != nil {
 				return
 			}
 			next++
 		}
-		if seen.ended != nil {
-			s.finish(encoder, seen.ended)
+		if state.ended != nil {
+			s.finish(encoder, state.ended)
 			return
 		}
 		if flush.Flush() != nil {
 			return
 		}
-		if cut && next > from {
+		if truncate && next > from {
 			panic(http.ErrAbortHandler)
 		}
 		select {
-		case <-seen.changed:
+		case <-state.changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
+// finish writes the last line of a complete stream, or aborts the connection
+// if the stream ended early.
 func (s *stream) finish(encoder *json.Encoder, ended error) {
-	if !errors.Is(ended, errWhole) {
+	if !errors.Is(ended, errComplete) {
 		panic(http.ErrAbortHandler)
 	}
 	s.mu.Lock()
 	done := s.done
 	s.mu.Unlock()
 	if encoder.Encode(done) != nil {
-		return // the reader has gone; it can resume
+		return // the client disconnected and can resume
 	}
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "*")
-	s := e.known(id)
+	s := e.find(id)
 	if s == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/stand/engine/order.go
+++ b/internal/stand/engine/order.go
@@ -34,32 +34,35 @@
 		http.Error(w, "body is not an order", http.StatusBadRequest)
 		return
 	}
-	if highest, fenced := e.fence(order.Fence); fenced {
+	if highest, fenced := e.checkFence(order.Fence); fenced {
 		slots.WriteJSON(w, http.StatusConflict, fencedAnswer{Highest: highest})
 		return
 	}
 	if order.Op == OpLoad && !e.settings.load(r.Context().Done()) {
 		panic(http.ErrAbortHandler)
 	}
-	if !e.take(order) {
+	if !e.apply(order) {
 		http.Error(w, "unknown order", http.StatusBadRequest)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// fence reports whether the number is old, on engines that check it.
-func (e *Engine) fence(number uint64) (uint64, bool) {
+// checkFence returns the highest fencing number received. It reports true if the
+// engine checks fencing numbers and this one is lower; otherwise it records
+// the number.
+func (e *Engine) checkFence(number uint64) (uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.settings.checksFence && number < e.highest {
-		return e.highest, true
+	if e.settings.checksFence && number < e.highestFence {
+		return e.highestFence, true
 	}
-	e.highest = max(e.highest, number)
-	return e.highest, false
+	e.highestFence = max(e.highestFence, number)
+	return e.highestFence, false
 }
 
-func (e *Engine) take(order Order) bool {
+// apply applies and records an order. It reports whether the operation exists.
+func (e *Engine) apply(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	name := order.Model + "@" + order.Version
--- a/internal/stand/engine/weights.go
+++ b/internal/stand/engine/weights.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Weights is the rate-limited weight store: loads that run at once slow each
-// other down.
+// Weights simulates a weight store of limited bandwidth, which concurrent
+// loads share.
 type Weights struct {
-	span time.Duration
+	loadTime time.Duration
 
-	mu     sync.Mutex
-	active int
-	most   int
+	mu        sync.Mutex
+	active    int
+	maxActive int
 }
 
-// NewWeights returns a store from which one load alone takes that span.
-func NewWeights(span time.Duration) *Weights { return &Weights{span: span} }
+// NewWeights returns a store from which a load takes loadTime if no other load
+// runs.
+func NewWeights(loadTime time.Duration) *Weights { return &Weights{loadTime: loadTime} }
 
-// Load waits until the weights have come, and reports false when done closed
-// before that.
+// Load waits for the duration of a load. It reports false if done was closed
+// before the end.
 func (w *Weights) Load(done <-chan struct{}) bool {
 	const quantum = 10 * time.Millisecond
-	w.change(1)
-	defer w.change(-1)
-	for progress := time.Duration(0); progress < w.span; progress += quantum / time.Duration(w.change(0)) {
+	w.addActive(1)
+	defer w.addActive(-1)
+	for progress := time.Duration(0); progress < w.loadTime; progress += quantum / time.Duration(w.addActive(0)) {
 		timer := time.NewTimer(quantum)
 		select {
 		case <-timer.C:
@@ -36,17 +37,18 @@
 	return true
 }
 
-// MaxConcurrent returns the most loads that ran at once.
+// MaxConcurrent returns the maximum number of concurrent loads so far.
 func (w *Weights) MaxConcurrent() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.most
+	return w.maxActive
 }
 
-func (w *Weights) change(by int) int {
+// addActive adds to the number of running loads and returns it, at least 1.
+func (w *Weights) addActive(by int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.active += by
-	w.most = max(w.most, w.active)
+	w.maxActive = max(w.maxActive, w.active)
 	return max(w.active, 1)
 }
