--- a/internal/stand/plat/faults.go
+++ b/internal/stand/plat/faults.go
@@ -11,49 +11,50 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Faults is what goes wrong at the platform. Shares are between 0 and 1 and
-// drawn from a fixed seed.
+// Faults are the faults that the platform simulates. Shares lie between 0 and 1
+// and are drawn from a fixed seed.
 type Faults struct {
-	// Down refuses every call without effect.
+	// Down rejects every call without effect.
 	Down bool
-	// Hang takes calls and never answers them, without effect.
+	// Hang accepts calls, never answers them and has no effect.
 	Hang bool
-	// Delay is added to each call; a real platform answers in milliseconds.
+	// Delay is added to each call. A real platform answers within
+	// milliseconds.
 	Delay time.Duration
-	// LoseAnswer is the share of writes that take effect while the connection
-	// breaks instead of an answer.
+	// LoseAnswer is the share of writes that take effect, but whose connection
+	// is aborted instead of answered.
 	LoseAnswer float64
-	// Stale is the share of reads and watches that show the version before.
+	// Stale is the share of reads and watches that return the previous version.
 	Stale float64
-	// WatchLate is how long after the change a watch answers.
+	// WatchLate is the delay between a change and the answer of a watch.
 	WatchLate time.Duration
-	// WatchLost is the share of changes that do not wake a watch.
+	// WatchLost is the share of changes that a watch does not report.
 	WatchLost float64
-	// WatchDoubled is the share of watches that answer at once with the
-	// version that the caller has already seen.
+	// WatchDoubled is the share of watches that answer at once, although the
+	// caller already has the current version.
 	WatchDoubled float64
-	// HostLag is how long a change of the list of hosts stays unseen.
+	// HostLag is the delay until a change of the list of hosts is visible.
 	HostLag time.Duration
 }
 
 // Snapshot is the state of all objects at one instant.
 type Snapshot struct {
-	objects map[string]entry
+	objects map[string]record
 }
 
 // Snapshot returns the state of all objects.
 func (p *Plat) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	taken := Snapshot{objects: make(map[string]entry, len(p.objects))}
+	snapshot := Snapshot{objects: make(map[string]record, len(p.objects))}
 	for name, e := range p.objects {
-		taken.objects[name] = *e
+		snapshot.objects[name] = *e
 	}
-	return taken
+	return snapshot
 }
 
-// Restore puts the platform back to an older state, versions included, as a
-// restore from a backup does.
+// Restore resets all objects and their versions to a snapshot, like a restore
+// from a backup.
 func (p *Plat) Restore(snapshot Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// SetFaults replaces the faults from now on.
+// SetFaults replaces the current faults.
 func (p *Plat) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,13 +75,15 @@
 	p.faultsChanged = make(chan struct{})
 }
 
+// currentFaults returns the faults and a channel that is closed when they
+// change.
 func (p *Plat) currentFaults() (Faults, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults, p.faultsChanged
 }
 
-// chance draws once from the seeded source.
+// chance reports true with a probability of share, from the seeded source.
 func (p *Plat) chance(share float64) bool {
 	if share <= 0 {
 		return false
@@ -92,11 +95,11 @@
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// retryAfter is what refused callers are told, in milliseconds.
-const retryAfter = 100
+// retryAfterMs is the retry delay that refused callers get, in milliseconds.
+const retryAfterMs = 100
 
-// guard counts a call, holds it to the platform's rate and puts the faults of
-// the whole platform before it.
+// guard wraps a handler: it counts the call, applies the faults that affect
+// every call, and enforces the rate limit.
 func (p *Plat) guard(limiter *rate.Limiter, which func(*Calls) *int, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.count(which)
@@ -122,25 +125,26 @@
 
 func (p *Plat) refuse(w http.ResponseWriter, status int) {
 	p.count(func(c *Calls) *int { return &c.Refused })
-	w.Header().Set("Retry-After-Ms", strconv.Itoa(retryAfter))
+	w.Header().Set("Retry-After-Ms", strconv.Itoa(retryAfterMs))
 	w.WriteHeader(status)
 }
 
-// shown returns the object as a read sees it: now and then the version before.
-func (p *Plat) shown(name string) store.Object {
+// visibleObject returns the object as a read sees it: the current version, or the
+// previous one for the share Faults.Stale of reads.
+func (p *Plat) visibleObject(name string) store.Object {
 	faults, _ := p.currentFaults()
 	stale := p.chance(faults.Stale)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.entry(name)
+	e := p.record(name)
 	if stale {
-		return e.before
+		return e.previous
 	}
 	return e.object(name)
 }
 
-// hostsSeen returns the list of hosts as old as the lag has it.
-func (p *Plat) hostsSeen() []store.Host {
+// visibleHosts returns the list of hosts as it was HostLag ago.
+func (p *Plat) visibleHosts() []store.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cutoff := time.Now().Add(-p.faults.HostLag)
--- a/internal/stand/plat/faults_test.go
+++ b/internal/stand/plat/faults_test.go
@@ -20,11 +20,11 @@
 		want   reply
 	}{
 		{"none", plat.Faults{}, "", reply{200, "2", "new"}},
-		{"down refuses", plat.Faults{Down: true}, "", reply{503, "", ""}},
-		{"stale read shows the version before", plat.Faults{Stale: 1}, "", reply{200, "1", "old"}},
-		{"doubled watch answers at once", plat.Faults{WatchDoubled: 1}, "?watch=2&waitMs=60000", reply{200, "2", "new"}},
-		{"lost watch event waits to the end", plat.Faults{WatchLost: 1}, "?watch=1&waitMs=1", reply{200, "2", "new"}},
-		{"out of order watch", plat.Faults{Stale: 1}, "?watch=3&waitMs=60000", reply{200, "1", "old"}},
+		{"down refuses reads", plat.Faults{Down: true}, "", reply{503, "", ""}},
+		{"stale read returns the previous version", plat.Faults{Stale: 1}, "", reply{200, "1", "old"}},
+		{"doubled watch event answers at once", plat.Faults{WatchDoubled: 1}, "?watch=2&waitMs=60000", reply{200, "2", "new"}},
+		{"lost watch event answers at the end of the wait", plat.Faults{WatchLost: 1}, "?watch=1&waitMs=1", reply{200, "2", "new"}},
+		{"stale watch returns an older version", plat.Faults{Stale: 1}, "?watch=3&waitMs=60000", reply{200, "1", "old"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// The platform stores a write and its answer is lost on the way. The writer
-// sees a broken connection and can't tell whether the write stands.
+// The platform stores a write, but its answer is lost. The writer gets a
+// connection error and cannot tell whether the write took effect.
 func TestWriteTakesEffectWhileItsAnswerIsLost(t *testing.T) {
 	p := plat.New()
 	p.SetFaults(plat.Faults{LoseAnswer: 1})
@@ -57,7 +57,7 @@
 	assert.Equal(t, p.Get("a").Version, uint64(1))
 }
 
-func TestRestoreBringsOldVersionsBack(t *testing.T) {
+func TestRestoreResetsVersions(t *testing.T) {
 	p := plat.New()
 	p.Put("a", 0, []byte("old"))
 	backup := p.Snapshot()
--- a/internal/stand/plat/plat.go
+++ b/internal/stand/plat/plat.go
@@ -1,5 +1,5 @@
-// Package plat is the stand-in for the platform: an object API with versions,
-// conditional updates and watches, and a lagging list of hosts.
+// Package plat is the stand-in for the platform. It has an object API with
+// versions, conditional updates and watches, and a list of hosts that may lag.
 package plat
 
 import (
@@ -14,15 +14,16 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Calls counts the calls that reached the platform.
+// Calls counts the HTTP calls that reached the platform, by kind. Refused calls
+// are also counted under their kind.
 type Calls struct {
 	Reads, Writes, Watches, Lists, Hosts, Refused int
 }
 
-// Plat holds the objects and hosts in memory.
+// Plat is a simulated platform that keeps its objects and hosts in memory.
 type Plat struct {
 	mu      sync.Mutex
-	objects map[string]*entry
+	objects map[string]*record
 	calls   Calls
 	random  *rand.Rand
 	reads   *rate.Limiter
@@ -38,19 +39,20 @@
 	hosts []store.Host
 }
 
-type entry struct {
-	// before is the object as it stood before the last write, for stale reads.
-	before  store.Object
-	version uint64
-	present bool
-	value   []byte
-	changed chan struct{}
+type record struct {
+	// previous is the object previous the last write, for stale reads.
+	previous store.Object
+	version  uint64
+	present  bool
+	value    []byte
+	changed  chan struct{}
 }
 
-// Option changes a Plat while it is built.
+// Option configures a Plat.
 type Option func(*Plat)
 
-// WithRates bounds reads (watches too) and writes a second.
+// WithRates limits the reads (including watches and lists) and the writes, per
+// second.
 func WithRates(reads, writes int) Option {
 	return func(p *Plat) {
 		p.reads = rate.NewLimiter(rate.Limit(reads), reads)
@@ -58,86 +60,90 @@
 	}
 }
 
-// WithSeed sets the seed that faults are drawn from.
+// WithSeed sets the seed of the draws for faults.
 func WithSeed(seed uint64) Option { return func(p *Plat) { p.random = newRandom(seed) } }
 
-// What the platform takes a second unless told otherwise.
+// Default rate limits, in calls per second.
 const (
-	defaultReads  = 2000
-	defaultWrites = 400
+	defaultReadsPerSecond  = 2000
+	defaultWritesPerSecond = 400
 )
 
 // New returns an empty platform.
 func New(opts ...Option) *Plat {
-	p := &Plat{objects: make(map[string]*entry), random: newRandom(1), faultsChanged: make(chan struct{})}
-	WithRates(defaultReads, defaultWrites)(p)
+	p := &Plat{objects: make(map[string]*record), random: newRandom(1), faultsChanged: make(chan struct{})}
+	WithRates(defaultReadsPerSecond, defaultWritesPerSecond)(p)
 	for _, opt := range opts {
 		opt(p)
 	}
 	return p
 }
 
-func (p *Plat) entry(name string) *entry {
+// record returns the state of an object, and creates it if there is none.
+func (p *Plat) record(name string) *record {
 	e := p.objects[name]
 	if e == nil {
-		e = &entry{changed: make(chan struct{}), before: store.Object{Name: name}}
+		e = &record{changed: make(chan struct{}), previous: store.Object{Name: name}}
 		p.objects[name] = e
 	}
 	return e
 }
 
-func (e *entry) object(name string) store.Object {
+func (e *record) object(name string) store.Object {
 	if !e.present {
 		return store.Object{Name: name}
 	}
 	return store.Object{Name: name, Version: e.version, Value: e.value}
 }
 
-func (e *entry) touch() {
+// bumpVersion raises the version and wakes the watches.
+func (e *record) bumpVersion() {
 	e.version++
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// Get returns an object as it stands, past all faults.
+// Get returns the current state of an object, regardless of faults.
 func (p *Plat) Get(name string) store.Object {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.entry(name).object(name)
+	return p.record(name).object(name)
 }
 
-// Put writes if the object is at version want and reports whether it did; the
-// object as it then stands comes back.
+// Put writes the object if its version is want. It returns the current object
+// and whether it was written.
 func (p *Plat) Put(name string, want uint64, value []byte) (store.Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.entry(name)
+	e := p.record(name)
 	if current := e.object(name); current.Version != want {
 		return current, false
 	}
-	e.before = e.object(name)
+	e.previous = e.object(name)
 	e.present = true
 	e.value = append([]byte(nil), value...)
-	e.touch()
+	e.bumpVersion()
 	return e.object(name), true
 }
 
-// Delete removes the object if it is at version want and reports whether it did.
+// Delete removes the object if its version is want and not 0. It returns the
+// current object and whether it was removed.
 func (p *Plat) Delete(name string, want uint64) (store.Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.entry(name)
+	e := p.record(name)
 	if current := e.object(name); current.Version != want || want == 0 {
 		return current, false
 	}
-	e.before = e.object(name)
+	e.previous = e.object(name)
 	e.present = false
 	e.value = nil
-	e.touch()
+	e.bumpVersion()
 	return e.object(name), true
 }
 
-// List returns the objects below a prefix without values, ordered by name.
+// List returns the objects whose names begin with prefix, without values,
+// sorted by name.
 func (p *Plat) List(prefix string) []store.Object {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,10 +166,10 @@
 	p.hostLists = append(p.hostLists, hostList{at: time.Now(), hosts: sorted})
 }
 
-// Hosts returns one page of the list.
+// Hosts returns one page of the list of hosts that match the query.
 func (p *Plat) Hosts(query store.HostQuery) store.HostPage {
 	var page store.HostPage
-	for _, host := range p.hostsSeen() {
+	for _, host := range p.visibleHosts() {
 		if host.Name <= query.After && query.After != "" {
 			continue
 		}
@@ -179,7 +185,7 @@
 	return page
 }
 
-// Calls returns how many calls came in over the network so far.
+// Calls returns the number of HTTP calls so far.
 func (p *Plat) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/stand/plat/plat_test.go
+++ b/internal/stand/plat/plat_test.go
@@ -62,7 +62,7 @@
 	assert.DeepEqual(t, <-got, reply{200, "2", "y"}, sameReply)
 }
 
-func TestHostsComeInPages(t *testing.T) {
+func TestHostsArePaged(t *testing.T) {
 	p := plat.New()
 	p.SetHosts([]store.Host{{Name: "c", Role: "agent"}, {Name: "a", Role: "agent"}, {Name: "b", Role: "entry"}})
 	page := p.Hosts(store.HostQuery{Role: "agent", Limit: 1})
--- a/internal/stand/plat/serve.go
+++ b/internal/stand/plat/serve.go
@@ -12,7 +12,8 @@
 	"github.com/jujubescale/jujubescale/internal/plat/store"
 )
 
-// Handler returns the platform's HTTP interface as docs/INTERFACES.md has it.
+// Handler returns the platform's HTTP interface, as specified in
+// docs/INTERFACES.md.
 func (p *Plat) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/v1/objects", p.guard(p.reads, func(c *Calls) *int { return &c.Lists }, p.serveList))
@@ -38,11 +39,11 @@
 }
 
 func (p *Plat) serveRead(w http.ResponseWriter, r *http.Request) {
-	writeObject(w, p.shown(chi.URLParam(r, "*")))
+	writeObject(w, p.visibleObject(chi.URLParam(r, "*")))
 }
 
 func (p *Plat) serveWatch(w http.ResponseWriter, r *http.Request) {
-	seen, err := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
+	knownVersion, err := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	waitMs, errWait := strconv.Atoi(r.URL.Query().Get("waitMs"))
 	if err != nil || errWait != nil {
 		http.Error(w, "watch and waitMs must be numbers", http.StatusBadRequest)
@@ -50,35 +51,37 @@
 	}
 	faults, _ := p.currentFaults()
 	if p.chance(faults.WatchDoubled) {
-		writeObject(w, p.shown(chi.URLParam(r, "*")))
+		writeObject(w, p.visibleObject(chi.URLParam(r, "*")))
 		return
 	}
 	timer := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
 	defer timer.Stop()
-	p.awaitChange(w, r, seen, timer.C)
+	p.awaitChange(w, r, knownVersion, timer.C)
 }
 
-func (p *Plat) awaitChange(w http.ResponseWriter, r *http.Request, seen uint64, end <-chan time.Time) {
+// awaitChange answers a watch when the version differs from knownVersion or
+// the wait ends, and aborts the connection when the platform becomes unavailable.
+func (p *Plat) awaitChange(w http.ResponseWriter, r *http.Request, knownVersion uint64, end <-chan time.Time) {
 	name := chi.URLParam(r, "*")
 	for {
 		p.mu.Lock()
-		e := p.entry(name)
+		e := p.record(name)
 		object, changed := e.object(name), e.changed
 		p.mu.Unlock()
 		faults, newFaults := p.currentFaults()
 		if faults.Down || faults.Hang {
 			panic(http.ErrAbortHandler)
 		}
-		if object.Version != seen && !p.chance(faults.WatchLost) {
+		if object.Version != knownVersion && !p.chance(faults.WatchLost) {
 			time.Sleep(faults.WatchLate)
-			writeObject(w, p.shown(name))
+			writeObject(w, p.visibleObject(name))
 			return
 		}
 		select {
 		case <-changed:
 		case <-newFaults:
 		case <-end:
-			writeObject(w, p.shown(name))
+			writeObject(w, p.visibleObject(name))
 			return
 		case <-r.Context().Done():
 			return
@@ -111,6 +114,8 @@
 	p.answerWrite(w, object, done)
 }
 
+// answerWrite answers a write: 200 if it was done, otherwise 412 with the
+// current value. It may abort the connection instead (Faults.LoseAnswer).
 func (p *Plat) answerWrite(w http.ResponseWriter, object store.Object, done bool) {
 	faults, _ := p.currentFaults()
 	if p.chance(faults.LoseAnswer) {
@@ -137,21 +142,21 @@
 
 func writeBytes(w http.ResponseWriter, body []byte) {
 	if _, err := w.Write(body); err != nil {
-		return // the caller has gone: nobody is left to tell
+		return // the client disconnected
 	}
 }
 
-type listLine struct {
+type listedObject struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
 func (p *Plat) serveList(w http.ResponseWriter, r *http.Request) {
-	lines := []listLine{}
+	objects := []listedObject{}
 	for _, object := range p.List(r.URL.Query().Get("prefix")) {
-		lines = append(lines, listLine{Name: object.Name, Version: object.Version})
+		objects = append(objects, listedObject{Name: object.Name, Version: object.Version})
 	}
-	writeJSON(w, lines)
+	writeJSON(w, objects)
 }
 
 func (p *Plat) serveHosts(w http.ResponseWriter, r *http.Request) {
@@ -172,6 +177,6 @@
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		return // the caller has gone: nobody is left to tell
+		return // the client disconnected
 	}
 }
--- a/internal/stand/slots/door.go
+++ b/internal/stand/slots/door.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Frontend is what stands before an endpoint's calls: its load report, which lags,
-// and the faults of its connections.
+// Frontend is the HTTP front of an endpoint. It injects faults into the
+// endpoint's connections and serves the load report, which may lag.
 type Frontend struct {
 	slots *Slots
 	lag   time.Duration
 
-	mu     sync.Mutex
-	dead   bool
-	silent bool
-	cut    float64
-	random *rand.Rand
-	past   []report
+	mu            sync.Mutex
+	dead          bool
+	hang          bool
+	truncateShare float64
+	random        *rand.Rand
+	history       []report
 }
 
 type report struct {
@@ -39,12 +39,13 @@
 	AsOfMs  int64    `json:"asOfMs"`
 }
 
-// NewFrontend returns the door of an endpoint whose load report is lag old.
+// NewFrontend returns the front of an endpoint whose load report is lag old.
 func NewFrontend(slots *Slots, lag time.Duration) *Frontend {
 	return &Frontend{slots: slots, lag: lag, random: rand.New(rand.NewPCG(1, 1))}
 }
 
-// SetDead makes the endpoint close every connection without an answer.
+// SetDead makes the endpoint close every connection without an answer, or
+// ends that. An endpoint that becomes dead loses its work and restarts cold.
 func (d *Frontend) SetDead(dead bool) {
 	d.mu.Lock()
 	d.dead = dead
@@ -55,37 +56,38 @@
 }
 
 // SetHang makes the endpoint accept calls and never answer them.
-func (d *Frontend) SetHang(silent bool) {
+func (d *Frontend) SetHang(hang bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = silent
+	d.hang = hang
 }
 
-// SetTruncate makes the endpoint close a share of its calls in the middle of their
-// answer, drawn from a fixed seed. The work itself goes on or is done.
+// SetTruncate makes the endpoint abort the connections of a share of its calls
+// in the middle of the answer, drawn from a fixed seed. The work itself
+// continues or is already done.
 func (d *Frontend) SetTruncate(share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = share
+	d.truncateShare = share
 }
 
-// ShouldTruncate draws whether this call's answer is cut.
+// ShouldTruncate draws whether to truncate the answer of one call.
 func (d *Frontend) ShouldTruncate() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cut > 0 && d.random.Float64() < d.cut
+	return d.truncateShare > 0 && d.random.Float64() < d.truncateShare
 }
 
-// Guard puts the faults before a handler.
+// Guard wraps a handler with the faults of dead and hanging endpoints.
 func (d *Frontend) Guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
-		dead, silent := d.dead, d.silent
+		dead, hang := d.dead, d.hang
 		d.mu.Unlock()
 		if dead {
 			panic(http.ErrAbortHandler)
 		}
-		if silent {
+		if hang {
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
@@ -93,26 +95,26 @@
 	})
 }
 
-// Report returns the lagging load report. A restart shows at once: the
-// process that answers is the new one.
+// Report returns the load report, which lags. After a restart it does not lag,
+// because the new process has no older state.
 func (d *Frontend) Report() Load {
 	now := time.Now()
 	current := d.slots.State()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.past = append(d.past, report{at: now, state: current})
-	for len(d.past) > 1 && now.Sub(d.past[1].at) >= d.lag {
-		d.past = d.past[1:]
+	d.history = append(d.history, report{at: now, state: current})
+	for len(d.history) > 1 && now.Sub(d.history[1].at) >= d.lag {
+		d.history = d.history[1:]
 	}
-	shown := d.past[0]
-	if shown.state.StartID != current.StartID {
-		d.past = []report{{at: now, state: current}}
-		shown = d.past[0]
+	reported := d.history[0]
+	if reported.state.StartID != current.StartID {
+		d.history = []report{{at: now, state: current}}
+		reported = d.history[0]
 	}
-	state := shown.state
+	state := reported.state
 	return Load{
 		StartID: state.StartID, Running: state.Running, Limit: state.Limit, Cold: state.Cold,
-		AsOfMs: now.Sub(shown.at).Milliseconds(),
+		AsOfMs: now.Sub(reported.at).Milliseconds(),
 	}
 }
 
@@ -126,6 +128,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		return // the caller has gone: nobody is left to tell
+		return // the client disconnected
 	}
 }
--- a/internal/stand/slots/input.go
+++ b/internal/stand/slots/input.go
@@ -6,20 +6,22 @@
 	"net/http"
 )
 
-// Input is what the stand-ins understand of a caller's input; all fields may
-// be absent, and any other input is taken too.
+// Input holds the fields of a caller's input that the stand-ins use. All fields
+// are optional, and any other input is accepted.
 type Input struct {
-	// Echo comes back in each stage's output and in the answer.
+	// Echo is repeated in the output of each stage and in the answer.
 	Echo string `json:"echo"`
-	// Tokens to generate.
+	// Tokens is the number of tokens to generate.
 	Tokens int `json:"tokens"`
-	// Size is how large the request is against a typical one; 0 is typical.
+	// Size is the size of the request relative to a typical one; 0 means
+	// typical.
 	Size float64 `json:"size"`
-	// Prefix names the prompt's prefix for the prefix cache.
+	// Prefix is the key of the prompt's prefix in the prefix cache.
 	Prefix string `json:"prefix"`
 }
 
-// ParseInput reads what the stand-ins understand of an input.
+// ParseInput decodes an input. The result is empty if the input has another
+// form.
 func ParseInput(raw json.RawMessage) Input {
 	var input Input
 	if err := json.Unmarshal(raw, &input); err != nil {
@@ -31,8 +33,8 @@
 // EchoOf returns the echo mark of an input.
 func EchoOf(raw json.RawMessage) string { return ParseInput(raw).Echo }
 
-// Refuse answers for an error of Begin: a full endpoint says so, one that fell
-// over closes the connection.
+// Refuse answers a call for which Begin returned an error: 503 from a full
+// endpoint, an aborted connection from one that crashed.
 func Refuse(w http.ResponseWriter, err error) {
 	if errors.Is(err, ErrFull) {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/stand/slots/slots.go
+++ b/internal/stand/slots/slots.go
@@ -1,6 +1,6 @@
-// Package slots is the capacity model that the stand-in endpoints share: work
-// slows as more of it runs at once, a cold endpoint falls over beyond what it
-// bears, and all engine time is accounted. It sleeps on the real clock.
+// Package slots is the capacity model of the stand-in endpoints. Work slows
+// down as more of it runs concurrently, a cold endpoint crashes above its cold
+// limit, and all engine time is recorded. It sleeps on the real clock.
 package slots
 
 import (
@@ -13,73 +13,75 @@
 
 // Errors of the model.
 var (
-	// ErrReset says that the endpoint fell over or was restarted.
+	// ErrReset means that the endpoint crashed or was restarted.
 	ErrReset = errors.New("endpoint was reset")
-	// ErrFull says that the endpoint holds as much as it can.
+	// ErrFull means that Config.MaxRunning is reached.
 	ErrFull = errors.New("endpoint is full")
 )
 
 // Config describes one endpoint's capacity.
 type Config struct {
-	// Limit is the work it bears at once at full speed.
+	// Limit is the number of concurrent runs at full throughput.
 	Limit int
-	// ColdLimit is what it bears while cold; beyond it the endpoint falls over.
+	// ColdLimit is the number of concurrent runs while cold. With more, the
+	// endpoint crashes.
 	ColdLimit int
-	// ColdWork is the engine time of finished work after which it is warm.
+	// ColdWork is the engine time of finished work after which a cold endpoint
+	// is warm.
 	ColdWork time.Duration
-	// MaxRunning bounds what it holds at once; 0 is 64 times Limit.
+	// MaxRunning is the maximum number of concurrent runs; 0 means 64 times
+	// Limit.
 	MaxRunning int
 }
 
-// Usage is engine time spent on one attempt.
+// Usage is the engine time of one attempt.
 type Usage struct {
 	ID    string
 	Spent time.Duration
-	// Finished tells that the endpoint finished the work.
+	// Finished is true if the endpoint finished the work.
 	Finished bool
 }
 
-// State is what the model shows at one instant.
+// State is the state of an endpoint at one instant.
 type State struct {
 	StartID uint64
 	Running int
 	Limit   int
 	Cold    bool
-	// ColdCrashes counts how often the endpoint fell over under load while cold.
+	// ColdCrashes counts the crashes because of too much work while cold.
 	ColdCrashes int
-	// ColdPeak is the most work that ran at once while cold.
+	// ColdPeak is the maximum number of concurrent runs while cold.
 	ColdPeak int
-	// LastStart is when the newest work began.
+	// LastStart is the time at which the newest run began.
 	LastStart time.Time
 }
 
-// Slots is one endpoint's capacity. All methods may be called at once from
-// several goroutines.
+// Slots is the capacity of one endpoint. It is safe for concurrent use.
 type Slots struct {
-	mu        sync.Mutex
-	config    Config
-	startID   uint64
-	warmed    time.Duration
-	running   int
-	weight    float64
-	slow      float64
-	falls     int
-	coldPeak  int
-	reset     chan struct{}
-	usage     []Usage
-	lastStart time.Time
-	onReset   func()
-}
-
-// New returns a warm endpoint.
+	mu           sync.Mutex
+	config       Config
+	startID      uint64
+	coldWorkDone time.Duration
+	running      int
+	totalWeight  float64
+	slowdown     float64
+	coldCrashes  int
+	coldPeak     int
+	reset        chan struct{}
+	usage        []Usage
+	lastStart    time.Time
+	onReset      func()
+}
+
+// New returns the capacity of a warm endpoint.
 func New(config Config) *Slots {
 	if config.MaxRunning == 0 {
 		config.MaxRunning = 64 * config.Limit
 	}
-	return &Slots{config: config, startID: 1, warmed: config.ColdWork, slow: 1, reset: make(chan struct{}), onReset: func() {}}
+	return &Slots{config: config, startID: 1, coldWorkDone: config.ColdWork, slowdown: 1, reset: make(chan struct{}), onReset: func() {}}
 }
 
-// Run is one piece of work in progress.
+// Run is one unit of work in progress.
 type Run struct {
 	slots  *Slots
 	id     string
@@ -89,8 +91,9 @@
 	spent  time.Duration
 }
 
-// Begin takes in work at once, as continuous batching does. Beyond the limit
-// all of it slows down; a cold endpoint falls over instead.
+// Begin starts work at once, without a queue, as in continuous batching. Above
+// the limit, all work slows down. A cold endpoint above its cold limit crashes
+// instead, and Begin returns ErrReset. It returns ErrFull at MaxRunning.
 func (s *Slots) Begin(id string, priority int) (*Run, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,13 +101,13 @@
 		return nil, ErrFull
 	}
 	if s.cold() && s.running+1 > s.config.ColdLimit {
-		s.falls++
+		s.coldCrashes++
 		s.restart()
 		return nil, ErrReset
 	}
 	run := &Run{slots: s, id: id, weight: 1 + float64(max(priority, 0)), reset: s.reset}
 	s.running++
-	s.weight += run.weight
+	s.totalWeight += run.weight
 	s.lastStart = time.Now()
 	if s.cold() {
 		s.coldPeak = max(s.coldPeak, s.running)
@@ -112,8 +115,9 @@
 	return run, nil
 }
 
-// Work spends engine time on the run, at the speed that the endpoint's load
-// allows. It ends early with the context or when the endpoint is reset.
+// Work spends an amount of engine time on the run, at a speed that depends on
+// the endpoint's load. It returns early with the error of the context, or with
+// ErrReset if the endpoint is reset.
 func (r *Run) Work(ctx context.Context, amount time.Duration) error {
 	const quantum = 10 * time.Millisecond
 	for r.credit < amount {
@@ -123,9 +127,9 @@
 		timer := time.NewTimer(wait)
 		err := r.wait(ctx, timer)
 		took := time.Since(begin)
-		done := time.Duration(float64(took) * speed)
-		r.credit += done
-		r.spent += done
+		worked := time.Duration(float64(took) * speed)
+		r.credit += worked
+		r.spent += worked
 		if err != nil {
 			return err
 		}
@@ -149,74 +153,77 @@
 // Spent returns the engine time used so far.
 func (r *Run) Spent() time.Duration { return r.spent }
 
-// End gives the slot back and accounts the engine time.
-func (r *Run) End(whole bool) {
+// End releases the slot and records the engine time.
+func (r *Run) End(finished bool) {
 	s := r.slots
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.usage = append(s.usage, Usage{ID: r.id, Spent: r.spent, Finished: whole})
+	s.usage = append(s.usage, Usage{ID: r.id, Spent: r.spent, Finished: finished})
 	if r.reset != s.reset {
 		return
 	}
 	s.running--
-	s.weight -= r.weight
-	if whole && s.cold() {
-		s.warmed += r.spent
+	s.totalWeight -= r.weight
+	if finished && s.cold() {
+		s.coldWorkDone += r.spent
 	}
 }
 
-// singleSpeed is how much faster one run alone is than a full batch.
+// singleSpeed is the speed of a single run relative to a run in a full batch.
 const singleSpeed = 1.6
 
-// overloadLoss says how total throughput falls beyond the limit: at twice the
-// limit about four fifths of it are left.
-const overloadLoss = 0.3
+// overloadExponent is the exponent by which total throughput falls above the limit.
+// At twice the limit, about four fifths of it remain.
+const overloadExponent = 0.3
 
+// speed returns the engine time that a run of that weight gets per unit of real
+// time.
 func (s *Slots) speed(weight float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit, running := float64(s.config.Limit), float64(max(s.running, 1))
 	single := 1 / (1/singleSpeed + (1-1/singleSpeed)*min(running/limit, 1))
 	if running <= limit {
-		return single / s.slow
+		return single / s.slowdown
 	}
-	total := limit * math.Pow(limit/running, overloadLoss)
-	return min(total*weight/s.weight, singleSpeed) / s.slow
+	total := limit * math.Pow(limit/running, overloadExponent)
+	return min(total*weight/s.totalWeight, singleSpeed) / s.slowdown
 }
 
-func (s *Slots) cold() bool { return s.warmed < s.config.ColdWork }
+func (s *Slots) cold() bool { return s.coldWorkDone < s.config.ColdWork }
 
 func (s *Slots) restart() {
 	close(s.reset)
 	s.reset = make(chan struct{})
 	s.startID++
-	s.running, s.weight, s.warmed = 0, 0, 0
+	s.running, s.totalWeight, s.coldWorkDone = 0, 0, 0
 	s.onReset()
 }
 
-// Restart starts the endpoint anew: cold, with another start id, and all that
-// ran in it is lost.
+// Restart restarts the endpoint: it is cold, has a new start id and loses all
+// running work.
 func (s *Slots) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restart()
 }
 
-// TurnCold makes a warm endpoint cold without a restart or a word about it.
+// TurnCold makes the endpoint cold without a restart, so the start id does not
+// change.
 func (s *Slots) TurnCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.warmed = 0
+	s.coldWorkDone = 0
 }
 
-// SetSlow makes all work take factor times as long; 1 is normal.
+// SetSlow multiplies the duration of all work by factor; 1 is normal.
 func (s *Slots) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// State returns what the endpoint is doing.
+// State returns the current state.
 func (s *Slots) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,11 +233,12 @@
 	}
 	return State{
 		StartID: s.startID, Running: s.running, Limit: limit, Cold: s.cold(),
-		ColdCrashes: s.falls, ColdPeak: s.coldPeak, LastStart: s.lastStart,
+		ColdCrashes: s.coldCrashes, ColdPeak: s.coldPeak, LastStart: s.lastStart,
 	}
 }
 
-// TakeUsage returns the engine time of work that ended since the last call.
+// TakeUsage returns the engine time of the work that has ended since the last
+// call.
 func (s *Slots) TakeUsage() []Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,8 +247,8 @@
 	return taken
 }
 
-// OnReset sets what is called when the endpoint falls over or is restarted. It
-// must not call back into the model.
+// OnReset sets a function that is called when the endpoint crashes or is
+// restarted. The function must not call methods of Slots.
 func (s *Slots) OnReset(call func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/stand/slots/slots_test.go
+++ b/internal/stand/slots/slots_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, s.State().ColdCrashes, 0)
 }
 
-func TestRestartCutsWork(t *testing.T) {
+func TestRestartAbortsWork(t *testing.T) {
 	s := slots.New(slots.Config{Limit: 4})
 	run, err := s.Begin("r/0/0", 0)
 	assert.NilError(t, err)
