--- a/internal/stand/whole/fault.go
+++ b/internal/stand/whole/fault.go
@@ -7,10 +7,10 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plat"
 )
 
-// FaultName is what goes wrong, or what operators do.
+// FaultName is the kind of a fault, or of an action of operators.
 type FaultName string
 
-// Faults by name. Those of an endpoint or zone need a target.
+// Kinds of faults. Faults of endpoints, agents, entries and zones need a target.
 const (
 	EndpointSlow    FaultName = "endpointSlow"
 	EndpointNormal  FaultName = "endpointNormal"
@@ -35,21 +35,22 @@
 	ZoneSilence     FaultName = "zoneSilence"
 )
 
-// Fault is one thing that goes wrong, or one action of operators.
+// Fault is one fault, or one action of operators.
 type Fault struct {
 	Name FaultName `json:"fault"`
-	// Target is an endpoint, entry or availability zone by name; empty where
-	// the fault needs none.
+	// Target is the name of an endpoint (also for faults of its agent), entry or
+	// availability zone. It is empty if the fault needs none.
 	Target string `json:"target,omitempty"`
-	// Factor is how many times as long work takes at a slow endpoint.
+	// Factor multiplies the duration of work at a slow endpoint.
 	Factor float64 `json:"factor,omitempty"`
-	// Share of answers that are cut.
+	// Share is the share of answers that are truncated.
 	Share float64 `json:"share,omitempty"`
-	// DelayMs is added to each call of a slow platform.
+	// DelayMs is added to each call of a slow platform, in milliseconds.
 	DelayMs int `json:"delayMs,omitempty"`
 }
 
-// UnknownTargetError says that a fault names nothing that exists.
+// UnknownTargetError means that the target or the kind of a fault does not
+// exist.
 type UnknownTargetError struct {
 	Fault  FaultName
 	Target string
@@ -60,7 +61,7 @@
 	return fmt.Sprintf("fault %q: there is no %q", e.Fault, e.Target)
 }
 
-// FaultNames returns every fault.
+// FaultNames returns all kinds of faults.
 func FaultNames() []FaultName {
 	return []FaultName{
 		EndpointSlow, EndpointNormal, EndpointDead, EndpointAlive, EndpointSilent, EndpointCold, EndpointRestart,
@@ -69,7 +70,8 @@
 	}
 }
 
-// Inject makes a fault happen.
+// Inject injects a fault. It returns an UnknownTargetError if the target or the
+// kind does not exist.
 func (w *Whole) Inject(fault Fault) error {
 	switch fault.Name {
 	case PlatformDown:
@@ -85,20 +87,20 @@
 	case ZoneSilence:
 		w.Net.SilenceZone(fault.Target)
 	case ZoneLeave, ZoneReturn:
-		return w.setZone(fault)
+		return w.evacuateOrReturnZone(fault)
 	case RollingRestart:
 		return w.rollingRestart()
 	case EntryKill, EntryRestart:
-		return w.causeAtEntry(fault)
+		return w.injectAtEntry(fault)
 	case AgentKill, AgentRestart:
-		return w.causeAtAgent(fault)
+		return w.injectAtAgent(fault)
 	default:
-		return w.causeAtEndpoint(fault)
+		return w.injectAtEndpoint(fault)
 	}
 	return nil
 }
 
-func (w *Whole) causeAtEndpoint(fault Fault) error {
+func (w *Whole) injectAtEndpoint(fault Fault) error {
 	place := w.Place(fault.Target)
 	if place == nil {
 		return &UnknownTargetError{Fault: fault.Name, Target: fault.Target}
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// Place returns the endpoint of that name, or nil.
+// Place returns the place of the endpoint with that name, or nil.
 func (w *Whole) Place(endpoint string) *Place {
 	for _, place := range w.Places {
 		if place.Endpoint == endpoint {
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// Front returns the entry of that name, or nil.
+// Front returns the entry with that name, or nil.
 func (w *Whole) Front(name string) *Front {
 	for _, front := range w.Fronts {
 		if front.Name == name {
@@ -147,7 +149,7 @@
 	return nil
 }
 
-func (w *Whole) causeAtAgent(fault Fault) error {
+func (w *Whole) injectAtAgent(fault Fault) error {
 	place := w.Place(fault.Target)
 	if place == nil {
 		return &UnknownTargetError{Fault: fault.Name, Target: fault.Target}
@@ -158,7 +160,7 @@
 	return w.restartAgent(place)
 }
 
-func (w *Whole) causeAtEntry(fault Fault) error {
+func (w *Whole) injectAtEntry(fault Fault) error {
 	front := w.Front(fault.Target)
 	if front == nil {
 		return &UnknownTargetError{Fault: fault.Name, Target: fault.Target}
@@ -170,7 +172,8 @@
 	return w.restartEntry(front)
 }
 
-// killAgent ends an agent without a word and starts another in its place.
+// killAgent stops an agent without a graceful shutdown and starts another at the
+// same address.
 func (w *Whole) killAgent(place *Place) error {
 	place.Agent.Close()
 	place.process.Close()
--- a/internal/stand/whole/front.go
+++ b/internal/stand/whole/front.go
@@ -10,21 +10,21 @@
 	"github.com/jujubescale/jujubescale/internal/share/spread"
 )
 
-// Front is one entry.
+// Front is one entry process.
 type Front struct {
 	Name    string
 	Zone    string
 	Address string
 	Entry   *entry.Entry
 	Holder  *spread.Holder
-	// Sessions is the address where other entries open sessions.
+	// Sessions is the address at which other entries open sessions.
 	Sessions string
 	sessions *sessionPort
 	process  *Server
-	// operators is nil unless OpenOperators was called.
+	// operators is the operators' port; nil unless OpenOperators was called.
 	operators *Server
-	// out tells that the balancer has taken the entry out of rotation.
-	out atomic.Bool
+	// outOfRotation is true if the load balancer has taken the entry outOfRotation of rotation.
+	outOfRotation atomic.Bool
 }
 
 func (w *Whole) addEntry(i int) error {
@@ -41,7 +41,7 @@
 }
 
 func (w *Whole) startEntry(front *Front, listen string) error {
-	return as(roleEntry, func() error { return w.newEntry(front, listen) })
+	return withRole(roleEntry, func() error { return w.newEntry(front, listen) })
 }
 
 func (w *Whole) newEntry(front *Front, listen string) error {
@@ -51,7 +51,7 @@
 	}
 	opts := append([]entry.Option{
 		entry.WithHolder(front.Holder), entry.WithLog(w.options.log), entry.WithDial(w.Net.Dial(front.Zone)),
-	}, append(w.sharing(front.Zone), w.options.entryOptions...)...)
+	}, append(w.sharingOptions(front.Zone), w.options.entryOptions...)...)
 	front.Entry = entry.New(entry.Settings{
 		Process: front.Name, Host: "host-" + front.Name, AvailabilityZone: front.Zone, Address: front.Sessions,
 		BalancerLag: clock.FromDuration(2 * balancerLag),
@@ -69,5 +69,6 @@
 	return nil
 }
 
-// Shutdown stops accepting callers and waits until their requests are answered.
+// Shutdown stops accepting callers and waits until their requests are answered
+// or the context ends.
 func (f *Front) Shutdown(ctx context.Context) error { return f.process.Shutdown(ctx) }
--- a/internal/stand/whole/label.go
+++ b/internal/stand/whole/label.go
@@ -5,8 +5,8 @@
 	"runtime/pprof"
 )
 
-// Roles that processor time is told apart by, in a profile of this process:
-// goroutines keep the label of the one that started them.
+// Roles by which a CPU profile of this process is split. Goroutines inherit the
+// label of the goroutine that started them.
 const (
 	labelRole    = "role"
 	roleEntry    = "entry"
@@ -15,9 +15,9 @@
 	rolePlatform = "platform"
 )
 
-// as runs a start under a role, so that all goroutines that come of it are
-// counted for that role.
-func as(role string, start func() error) error {
+// withRole runs start with the label of a role, so that all goroutines started by it
+// are counted for that role.
+func withRole(role string, start func() error) error {
 	var err error
 	pprof.Do(context.Background(), pprof.Labels(labelRole, role), func(context.Context) { err = start() })
 	return err
--- a/internal/stand/whole/operators.go
+++ b/internal/stand/whole/operators.go
@@ -4,8 +4,8 @@
 	"github.com/jujubescale/jujubescale/internal/ops/admin"
 )
 
-// OpenOperators opens an operators' port for each process and puts it on the
-// platform's list, so that jujubectl can be tried on this system.
+// OpenOperators opens an operators' port for each process and publishes it in
+// the platform's list of hosts, so that jujubectl can be used with this system.
 func (w *Whole) OpenOperators() error {
 	for _, front := range w.Fronts {
 		port, err := Serve(anyPort, admin.New(
@@ -27,10 +27,11 @@
 		}
 		place.operators = port
 	}
-	w.announce()
+	w.publishHosts()
 	return nil
 }
 
+// addressOf returns the address of a port, or the empty string for nil.
 func addressOf(port *Server) string {
 	if port == nil {
 		return ""
--- a/internal/stand/whole/place.go
+++ b/internal/stand/whole/place.go
@@ -16,26 +16,28 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-// Place is one endpoint with the agent beside it.
+// Place is one endpoint and its agent.
 type Place struct {
 	Pool     string
 	Endpoint string
 	Zone     string
 	Kind     manif.StageKind
-	// URL of the endpoint and address (host:port) of its agent.
+	// URL is the base URL of the endpoint, Address the host:port of its agent.
 	URL     string
 	Address string
-	Engine  *engine.Engine
-	Stage   *pool.Pool
-	Plain   *plain.Plain
-	Agent   *agent.Agent
-	Holder  *spread.Holder
+	// One of Engine, Stage and Plain is set, depending on Kind.
+	Engine *engine.Engine
+	Stage  *pool.Pool
+	Plain  *plain.Plain
+	Agent  *agent.Agent
+	Holder *spread.Holder
 
 	endpoint *Server
 	process  *Server
-	// operators is nil unless OpenOperators was called.
+	// operators is the agent's operators' port; nil unless OpenOperators was
+	// called.
 	operators *Server
-	gone      bool
+	removed   bool
 }
 
 // Slots returns the endpoint's capacity model.
@@ -50,7 +52,7 @@
 	}
 }
 
-// Frontend returns the faults of the endpoint's connections.
+// Frontend returns the HTTP front of the endpoint, which injects faults.
 func (p *Place) Frontend() *slots.Frontend {
 	switch {
 	case p.Engine != nil:
@@ -62,6 +64,7 @@
 	}
 }
 
+// shape returns the configured shape of a pool, or the default shape.
 func (w *Whole) shape(p *manif.Pool) Shape {
 	shape := Shape{Pool: p.Name, Endpoints: w.options.endpoints}
 	for _, one := range w.options.shapes {
@@ -72,7 +75,7 @@
 	return shape
 }
 
-// EndpointName returns the name of a pool's n-th endpoint, from 0.
+// EndpointName returns the name of a pool's n-th endpoint, counted from 0.
 func EndpointName(pool string, n int) string { return fmt.Sprintf("%s-%d", pool, n) }
 
 func (w *Whole) startPool(p *manif.Pool) error {
@@ -80,10 +83,10 @@
 	for i := range shape.Endpoints {
 		place := &Place{Pool: p.Name, Endpoint: EndpointName(p.Name, i), Zone: w.zone(i), Kind: p.Kind}
 		w.Places = append(w.Places, place)
-		if err := as(roleStandIn, func() error { return w.startEndpoint(place, p, shape) }); err != nil {
+		if err := withRole(roleStandIn, func() error { return w.startEndpoint(place, p, shape) }); err != nil {
 			return err
 		}
-		if w.options.outside {
+		if w.options.outsideDaemons {
 			port := w.options.firstPort + len(w.Places) - 1
 			place.Address = net.JoinHostPort(w.options.agentHost, strconv.Itoa(port))
 			continue
@@ -95,6 +98,7 @@
 	return nil
 }
 
+// Defaults for zero fields of manif.Pool and Shape.
 const (
 	defaultLimit      = 16
 	defaultColdLimit  = 4
@@ -107,23 +111,23 @@
 	defaultCacheSize  = 64
 )
 
-func millis(ms, otherwise float64) time.Duration {
+func millis(ms, fallback float64) time.Duration {
 	if ms == 0 {
-		ms = otherwise
+		ms = fallback
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func either(value, otherwise int) int {
+func orDefault(value, fallback int) int {
 	if value == 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
 func (w *Whole) startEndpoint(place *Place, p *manif.Pool, shape Shape) error {
 	capacity := slots.Config{
-		Limit: either(p.Limit, defaultLimit), ColdLimit: either(p.ColdLimit, defaultColdLimit),
+		Limit: orDefault(p.Limit, defaultLimit), ColdLimit: orDefault(p.ColdLimit, defaultColdLimit),
 		ColdWork: millis(shape.ColdWorkMs, defaultColdWorkMs),
 	}
 	lag := millis(shape.LoadLagMs, 0)
@@ -155,8 +159,8 @@
 		engine.WithCapacity(capacity),
 		engine.WithTimes(millis(shape.PrefillMs, defaultPrefillMs), millis(shape.CachedMs, defaultCachedMs),
 			millis(shape.TokenMs, defaultTokenMs)),
-		engine.WithTokens(either(shape.Tokens, defaultTokens)),
-		engine.WithCacheSize(either(shape.CacheSize, defaultCacheSize)),
+		engine.WithTokens(orDefault(shape.Tokens, defaultTokens)),
+		engine.WithCacheSize(orDefault(shape.CacheSize, defaultCacheSize)),
 		engine.WithLoadLag(millis(shape.LoadLagMs, 0)),
 		engine.WithLoader(w.Weights.Load),
 	}
@@ -181,14 +185,14 @@
 }
 
 func (w *Whole) startAgent(place *Place, listen string) error {
-	return as(roleAgent, func() error { return w.newAgent(place, listen) })
+	return withRole(roleAgent, func() error { return w.newAgent(place, listen) })
 }
 
 func (w *Whole) newAgent(place *Place, listen string) error {
 	place.Holder = &spread.Holder{}
 	opts := append([]agent.Option{
 		agent.WithHolder(place.Holder), agent.WithLog(w.options.log),
-		agent.WithOrders(w.caller(place.Zone), agent.DefaultWeightSlots),
+		agent.WithOrders(w.newCaller(place.Zone), agent.DefaultWeightSlots),
 	}, w.options.agentOptions...)
 	place.Agent = agent.New(agent.Settings{
 		Process:          "agent-" + place.Endpoint,
--- a/internal/stand/whole/plan.go
+++ b/internal/stand/whole/plan.go
@@ -9,9 +9,10 @@
 	"github.com/jujubescale/jujubescale/internal/share/apply"
 )
 
-// restartAgent stops an agent as planned and starts it again at its address.
+// restartAgent stops an agent gracefully and starts it again at the same
+// address.
 func (w *Whole) restartAgent(place *Place) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	stopped := place.Agent.Shutdown(ctx)
 	place.process.Close()
@@ -22,20 +23,21 @@
 	return w.startAgent(place, place.Address)
 }
 
-// Times of a planned stop.
+// Durations of a planned stop.
 const (
-	// balancerLag is how long the balancer goes on sending to an entry that
-	// has said it leaves.
+	// balancerLag is the time for which the load balancer still sends requests
+	// to an entry that has announced its stop.
 	balancerLag = 300 * time.Millisecond
-	stopLimit   = 10 * time.Second
+	stopTimeout = 10 * time.Second
 )
 
-// restartEntry stops an entry as planned and starts it again at its address.
-// The balancer takes it out of rotation late, and back in once it is ready.
+// restartEntry stops an entry gracefully and starts it again at the same
+// address. The load balancer takes it out of rotation after balancerLag, and
+// back in once it is ready.
 func (w *Whole) restartEntry(front *Front) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	timer := time.AfterFunc(balancerLag, func() { front.out.Store(true) })
+	timer := time.AfterFunc(balancerLag, func() { front.outOfRotation.Store(true) })
 	defer timer.Stop()
 	cut := front.Entry.Stop(ctx, front.process.Shutdown)
 	w.stopEntry(front)
@@ -45,11 +47,12 @@
 	if err := w.startEntry(front, front.Address); err != nil {
 		return err
 	}
-	return w.awaitEntry(ctx, front)
+	return w.awaitSessions(ctx, front)
 }
 
-// awaitEntry puts an entry back into rotation once it can reach the endpoints.
-func (w *Whole) awaitEntry(ctx context.Context, front *Front) error {
+// awaitSessions waits until an entry has a session to each agent, and puts it back
+// into rotation.
+func (w *Whole) awaitSessions(ctx context.Context, front *Front) error {
 	const step = 10 * time.Millisecond
 	for len(front.Entry.Sessions()) < len(w.Places) {
 		if err := ctx.Err(); err != nil {
@@ -57,12 +60,12 @@
 		}
 		time.Sleep(step)
 	}
-	front.out.Store(false)
+	front.outOfRotation.Store(false)
 	return nil
 }
 
-// rollingRestart restarts every process as planned: the agents in batches of
-// one endpoint of each pool, then the entries one after another.
+// rollingRestart restarts every process gracefully: the agents in batches of one
+// endpoint of each pool, then the entries one after another.
 func (w *Whole) rollingRestart() error {
 	for number := 0; ; number++ {
 		batch := w.batch(number)
@@ -87,7 +90,8 @@
 	return nil
 }
 
-// batch returns the n-th endpoint of each pool that has so many.
+// batch returns the n-th endpoint, counted from 0, of each pool with more than
+// n endpoints.
 func (w *Whole) batch(n int) []*Place {
 	var batch []*Place
 	for _, place := range w.Places {
@@ -98,8 +102,9 @@
 	return batch
 }
 
-// setZone is what operators do when a zone leaves or returns.
-func (w *Whole) setZone(fault Fault) error {
+// evacuateOrReturnZone evacuates an availability zone or returns it to service, as operators
+// do.
+func (w *Whole) evacuateOrReturnZone(fault Fault) error {
 	change := apply.Change{Who: "fault plan"}
 	var err error
 	if fault.Name == ZoneLeave {
--- a/internal/stand/whole/query.go
+++ b/internal/stand/whole/query.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// InRotation returns the base URLs of the entries that the balancer sends
-// callers to just now.
+// InRotation returns the base URLs of the entries to which the load balancer
+// currently sends callers.
 func (w *Whole) InRotation() []string {
 	urls := make([]string, 0, len(w.Fronts))
 	for _, front := range w.Fronts {
-		if !front.out.Load() {
+		if !front.outOfRotation.Load() {
 			urls = append(urls, "http://"+front.Address)
 		}
 	}
 	return urls
 }
 
-// Running returns how much work runs at all endpoints together.
+// Running returns the total number of runs at all endpoints.
 func (w *Whole) Running() int {
 	running := 0
 	for _, place := range w.Places {
@@ -23,7 +23,8 @@
 	return running
 }
 
-// LastStart returns when the newest work began at any endpoint of a zone.
+// LastStart returns the time at which the newest run began at any endpoint of a
+// zone.
 func (w *Whole) LastStart(zone string) time.Time {
 	var last time.Time
 	for _, place := range w.Places {
--- a/internal/stand/whole/sample.go
+++ b/internal/stand/whole/sample.go
@@ -10,8 +10,8 @@
 // SampleToken is the bearer token of the sample's organisation.
 const SampleToken = "demo-token"
 
-// Sample returns a small manifest: a pipeline of four stages bound to one
-// business service, and one plain service with a call that may not be repeated.
+// Sample returns a small manifest: a pipeline of four stages that one business
+// service uses, and one plain service with a call that must not be repeated.
 func Sample() *manif.Manifest {
 	hash := sha256.Sum256([]byte(SampleToken))
 	return &manif.Manifest{
--- a/internal/stand/whole/server.go
+++ b/internal/stand/whole/server.go
@@ -31,21 +31,22 @@
 	return &Server{listener: listener, http: conns.Serve(server, listener)}, nil
 }
 
-// Ports that the stand-ins draw from. They lie below those that the kernel
-// gives to outgoing connections (32768 and up), and above those that tests of
-// separate processes use: a server that is restarted at
-// its address would otherwise find it taken now and then by a connection that
-// was opened meanwhile, and the test that restarted it would fail.
+// Range of the ports of the stand-ins. It lies below the ports that the kernel
+// assigns to outgoing connections (32768 and up), and above the ports that tests
+// of separate processes use. Otherwise, an outgoing connection could take the
+// port of a server while it restarts, and the test that restarts it would fail.
 const (
 	firstPort = 30_000
 	lastPort  = 32_700
 	portTries = 100
 )
 
+// listen listens on an address. For anyPort it tries random ports of the range,
+// portTries times at most.
 func listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	if address != anyPort {
-		return listenAgain(address)
+		return listenWithRetry(address)
 	}
 	var err error
 	for range portTries {
@@ -59,33 +60,36 @@
 	return nil, err
 }
 
-// Spans of waiting for a port that is in use: between stop and start another
-// system on this machine may have drawn it.
+// While a server is stopped, another system on this machine may take its port.
+// A restart retries for portInUseTimeout, with pauses of portRetryInterval.
 const (
-	portWait  = 60 * time.Second
-	portPause = 20 * time.Millisecond
+	portInUseTimeout  = 60 * time.Second
+	portRetryInterval = 20 * time.Millisecond
 )
 
-func listenAgain(address string) (net.Listener, error) {
+// listenWithRetry listens on an address, and retries while the port is in use.
+func listenWithRetry(address string) (net.Listener, error) {
 	var config net.ListenConfig
-	for end := time.Now().Add(portWait); ; time.Sleep(portPause) {
+	for deadline := time.Now().Add(portInUseTimeout); ; time.Sleep(portRetryInterval) {
 		listener, err := config.Listen(context.Background(), "tcp", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 	}
 }
 
-// Address returns where the server listens (IP:port).
+// Address returns the server's address (IP:port).
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // URL returns the base URL.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Shutdown stops accepting and waits for open requests until the context ends.
+// Shutdown stops accepting connections and waits until open requests are
+// answered or the context ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Close ends the server and its connections at once. A second call does nothing.
+// Close closes the server and its connections immediately. A second call has no
+// effect.
 func (s *Server) Close() {
 	if s == nil || s.http == nil {
 		return
--- a/internal/stand/whole/share.go
+++ b/internal/stand/whole/share.go
@@ -16,17 +16,20 @@
 	"github.com/jujubescale/jujubescale/internal/share/node"
 )
 
-// platformZone is where the platform stands on the network: in a zone of its
-// own, so that a cut zone loses it too.
+// platformZone is the network zone of the platform. It differs from all other
+// zones, so that a zone that is cut off loses the platform too.
 const platformZone = "platform"
 
+// Limits for a release to be in force in all daemons: of the whole wait, and
+// for the operators' client.
 const (
-	inForceLimit  = 20 * time.Second
-	inForceMillis = 20 * clock.Second
+	inForceTimeout   = 20 * time.Second
+	inForceTimeoutMs = 20 * clock.Second
 )
 
-// sessionPort is the port for other entries. Its handler comes after the
-// address, which the entry must know when it is built.
+// sessionPort is the port to which other entries connect. Its handler is set
+// after it is open, because the entry needs the address of the port when it is
+// created.
 type sessionPort struct {
 	server  *Server
 	handler atomic.Pointer[http.Handler]
@@ -60,54 +63,54 @@
 	f.sessions.handler.Store(&handler)
 }
 
-// stopEntry ends an entry at once.
+// stopEntry stops an entry immediately.
 func (w *Whole) stopEntry(front *Front) {
 	front.Entry.Close()
 	front.process.Close()
 	front.sessions.server.Close()
 }
 
-// sharing connects an entry to the platform and, as seeds, to the entries
-// that were there before it.
-func (w *Whole) sharing(zone string) []entry.Option {
+// sharingOptions returns the options that connect an entry to the platform and, as
+// seeds, to the entries started before it.
+func (w *Whole) sharingOptions(zone string) []entry.Option {
 	var seeds []string
 	for _, front := range w.Fronts {
 		seeds = append(seeds, front.Sessions)
 	}
-	caller := w.caller(zone)
+	caller := w.newCaller(zone)
 	return []entry.Option{
 		entry.WithStore(caller.Store(call.Claim), claim.WithPlatformCalls(caller.Rate)),
 		entry.WithSharing(caller, node.WithSeeds(seeds), node.WithCheck(check.Fill)),
 	}
 }
 
-// caller is the way to the platform of a process in a zone.
-func (w *Whole) caller(zone string) *call.Caller {
+// newCaller returns the platform client of a process in a zone.
+func (w *Whole) newCaller(zone string) *call.Caller {
 	transport := &http.Transport{DialContext: w.Net.Dial(zone)}
 	platform := client.New(w.PlatformURL, client.WithHTTP(&http.Client{Transport: transport}))
 	return call.New(platform.Store())
 }
 
-// Operator returns the operators' way to the platform. It stands outside of
-// all zones.
+// Operator returns the operators' client of the platform. It is outside of all
+// zones, so zone faults do not affect it.
 func (w *Whole) Operator() *apply.Operator {
 	return apply.New(client.New(w.PlatformURL).Store(), apply.WithCheck(check.Fill))
 }
 
-// publish applies the manifest that the system starts with.
-func (w *Whole) publish() error {
+// applyManifest applies the start manifest of the system.
+func (w *Whole) applyManifest() error {
 	_, err := w.Operator().Apply(context.Background(), w.options.manifest, apply.Change{Who: "start"})
 	return err
 }
 
-// InForce returns what each daemon has in force.
+// InForce returns the release that is in force in each daemon.
 func (w *Whole) InForce() []apply.ProcessRelease {
 	var all []apply.ProcessRelease
 	for _, front := range w.Fronts {
 		all = append(all, apply.ProcessRelease{Process: front.Name, Release: front.Holder.Number()})
 	}
 	for _, place := range w.Places {
-		if place.gone {
+		if place.removed {
 			continue
 		}
 		all = append(all, apply.ProcessRelease{Process: place.Endpoint, Release: place.Holder.Number()})
@@ -115,10 +118,11 @@
 	return all
 }
 
-// WaitInForce waits until a release is in force in all daemons.
+// WaitInForce waits until a release is in force in all daemons. It returns an
+// error after inForceTimeout.
 func (w *Whole) WaitInForce(release uint64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), inForceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), inForceTimeout)
 	defer cancel()
-	ask := func(context.Context) []apply.ProcessRelease { return w.InForce() }
-	return w.Operator().WaitInForce(ctx, release, inForceMillis, ask)
+	releases := func(context.Context) []apply.ProcessRelease { return w.InForce() }
+	return w.Operator().WaitInForce(ctx, release, inForceTimeoutMs, releases)
 }
--- a/internal/stand/whole/whole.go
+++ b/internal/stand/whole/whole.go
@@ -1,6 +1,6 @@
-// Package whole runs the whole system in one process on loopback: the
-// stand-ins of platform and endpoints, an agent beside each endpoint, the
-// entries, and the network between availability zones.
+// Package whole runs the whole system in one process on loopback: stand-ins for
+// the platform and the endpoints, an agent for each endpoint, the entries, and a
+// simulated network between availability zones.
 package whole
 
 import (
@@ -26,7 +26,8 @@
 	Fronts      []*Front
 	Ledger      *plain.Ledger
 	Weights     *engine.Weights
-	// Net is the network between zones, Clients that between callers and entries.
+	// Net is the network between zones, Clients the one between callers and
+	// entries.
 	Net     *netw.Net
 	Clients *netw.Net
 
@@ -34,30 +35,30 @@
 	platform *Server
 }
 
-// Shape says how many endpoints a pool has and how they behave; a zero takes
-// the stand-in's default.
+// Shape is the number of endpoints of a pool and their behaviour. Zero selects
+// the stand-in's default, except for Endpoints.
 type Shape struct {
-	// Pool of the manifest.
+	// Pool is the name of a pool of the manifest.
 	Pool string `json:"pool"`
-	// Endpoints it has, spread over the zones in turn.
+	// Endpoints is the number of endpoints, assigned to the zones in turn.
 	Endpoints int `json:"endpoints"`
 	// WorkMs is the engine time of one run of an encoder, retriever, reranker
 	// or plain service at full load, in milliseconds.
 	WorkMs float64 `json:"workMs,omitempty"`
 	// PrefillMs and CachedMs are the engine time of a prompt without and with a
-	// cached prefix.
+	// cached prefix, in milliseconds.
 	PrefillMs float64 `json:"prefillMs,omitempty"`
 	CachedMs  float64 `json:"cachedMs,omitempty"`
-	// TokenMs is the engine time of one token.
+	// TokenMs is the engine time of one token, in milliseconds.
 	TokenMs float64 `json:"tokenMs,omitempty"`
-	// Tokens an answer has.
+	// Tokens is the number of tokens of an answer.
 	Tokens int `json:"tokens,omitempty"`
-	// CacheSize is how many prefixes one engine holds.
+	// CacheSize is the capacity of the prefix cache of an engine, in prefixes.
 	CacheSize int `json:"cacheSize,omitempty"`
-	// ColdWorkMs is the engine time of finished work after which a started
-	// endpoint is warm.
+	// ColdWorkMs is the engine time of finished work after which a cold endpoint
+	// is warm, in milliseconds.
 	ColdWorkMs float64 `json:"coldWorkMs,omitempty"`
-	// LoadLagMs is how old the load report is.
+	// LoadLagMs is the age of the load report, in milliseconds.
 	LoadLagMs float64 `json:"loadLagMs,omitempty"`
 }
 
@@ -68,41 +69,43 @@
 	entries        int
 	listen         string
 	platform       string
-	outside        bool
+	outsideDaemons bool
 	agentHost      string
 	firstPort      int
 	log            *log.Logger
-	between        time.Duration
-	clientDistance time.Duration
-	loadWeights    time.Duration
+	zoneDelay      time.Duration
+	clientDelay    time.Duration
+	weightLoadTime time.Duration
 	entryOptions   []entry.Option
 	agentOptions   []agent.Option
 }
 
-// Option changes a Whole while it is built.
+// Option configures a Whole.
 type Option func(*settings)
 
-// WithManifest sets the manifest; Sample is the default.
+// WithManifest sets the manifest. The default is Sample.
 func WithManifest(m *manif.Manifest) Option { return func(s *settings) { s.manifest = m } }
 
-// WithShapes sets size and behaviour of pools.
+// WithShapes sets the size and behaviour of pools.
 func WithShapes(shapes ...Shape) Option { return func(s *settings) { s.shapes = shapes } }
 
-// WithEndpoints sets how many endpoints a pool without a shape has.
+// WithEndpoints sets the number of endpoints of a pool without a shape.
 func WithEndpoints(count int) Option { return func(s *settings) { s.endpoints = count } }
 
-// WithEntries sets how many entries there are, spread over the zones in turn.
+// WithEntries sets the number of entries, which are assigned to the zones in
+// turn.
 func WithEntries(count int) Option { return func(s *settings) { s.entries = count } }
 
-// WithListen sets the address of the first entry.
+// WithListen sets the listen address of the first entry.
 func WithListen(address string) Option { return func(s *settings) { s.listen = address } }
 
-// WithOutsideDaemons starts the stand-ins alone: entries and agents are
-// processes of their own. The agent of the n-th endpoint listens on
-// agentHost:(firstPort+n), and the platform on the given address.
+// WithOutsideDaemons starts only the stand-ins. Entries and agents are separate
+// processes that the caller starts. The agent of the n-th endpoint, counted from
+// 0, must listen on agentHost:(firstPort+n). The platform listens on the given
+// address.
 func WithOutsideDaemons(platform, agentHost string, firstPort int) Option {
 	return func(s *settings) {
-		s.outside = true
+		s.outsideDaemons = true
 		s.platform = platform
 		s.agentHost = agentHost
 		s.firstPort = firstPort
@@ -115,11 +118,12 @@
 // WithDistances sets the one-way delay between zones, and between callers and
 // entries.
 func WithDistances(between, clients time.Duration) Option {
-	return func(s *settings) { s.between, s.clientDistance = between, clients }
+	return func(s *settings) { s.zoneDelay, s.clientDelay = between, clients }
 }
 
-// WithWeightLoad sets how long one model's weights take to load alone.
-func WithWeightLoad(span time.Duration) Option { return func(s *settings) { s.loadWeights = span } }
+// WithWeightLoad sets the load time of one model's weights while no other load
+// runs.
+func WithWeightLoad(span time.Duration) Option { return func(s *settings) { s.weightLoadTime = span } }
 
 // WithEntryOptions adds options to each entry.
 func WithEntryOptions(opts ...entry.Option) Option {
@@ -133,7 +137,8 @@
 
 const anyPort = "127.0.0.1:0"
 
-// New starts a system. Close ends it.
+// New starts a system and waits until its manifest is in force. Call Close to
+// stop it.
 func New(opts ...Option) (*Whole, error) {
 	o := settings{
 		manifest: Sample(), endpoints: 3, entries: 1, listen: anyPort, platform: anyPort, log: log.Default(),
@@ -142,8 +147,8 @@
 		opt(&o)
 	}
 	w := &Whole{
-		Platform: plat.New(), Ledger: plain.NewLedger(), Weights: engine.NewWeights(o.loadWeights),
-		Net: netw.New(o.between), Clients: netw.New(o.clientDistance), options: o,
+		Platform: plat.New(), Ledger: plain.NewLedger(), Weights: engine.NewWeights(o.weightLoadTime),
+		Net: netw.New(o.zoneDelay), Clients: netw.New(o.clientDelay), options: o,
 	}
 	if err := w.start(); err != nil {
 		w.Close()
@@ -154,7 +159,7 @@
 
 func (w *Whole) start() error {
 	var err error
-	err = as(rolePlatform, func() error {
+	err = withRole(rolePlatform, func() error {
 		w.platform, err = Serve(w.options.platform, w.Platform.Handler())
 		return err
 	})
@@ -163,7 +168,7 @@
 	}
 	w.PlatformURL = w.platform.URL()
 	w.Net.SetZone(w.platform.Address(), platformZone)
-	if err := w.publish(); err != nil {
+	if err := w.applyManifest(); err != nil {
 		return err
 	}
 	for i := range w.options.manifest.Pools {
@@ -171,8 +176,8 @@
 			return err
 		}
 	}
-	w.announce()
-	if w.options.outside {
+	w.publishHosts()
+	if w.options.outsideDaemons {
 		return nil
 	}
 	for i := range w.options.entries {
@@ -180,7 +185,7 @@
 			return err
 		}
 	}
-	w.announce()
+	w.publishHosts()
 	return w.WaitInForce(1)
 }
 
@@ -189,11 +194,11 @@
 	return zones[i%len(zones)]
 }
 
-// announce puts the endpoints' hosts on the platform's list.
-func (w *Whole) announce() {
+// publishHosts publishes the hosts of endpoints and entries in the platform's list.
+func (w *Whole) publishHosts() {
 	var hosts []store.Host
 	for _, place := range w.Places {
-		if place.gone {
+		if place.removed {
 			continue
 		}
 		hosts = append(hosts, store.Host{
@@ -214,7 +219,7 @@
 // URL returns the base URL of the first entry.
 func (w *Whole) URL() string { return "http://" + w.Fronts[0].Address }
 
-// Close ends everything at once.
+// Close stops all processes and stand-ins immediately.
 func (w *Whole) Close() {
 	for _, front := range w.Fronts {
 		w.stopEntry(front)
--- a/internal/stand/whole/whole_test.go
+++ b/internal/stand/whole/whole_test.go
@@ -9,7 +9,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-func TestEveryFaultCanBeCaused(t *testing.T) {
+func TestEveryFaultCanBeInjected(t *testing.T) {
 	system, err := whole.New(whole.WithEndpoints(1), whole.WithEntries(1))
 	assert.NilError(t, err)
 	defer system.Close()
@@ -19,17 +19,17 @@
 	}
 	for _, name := range whole.FaultNames() {
 		if name == whole.PlatformDown {
-			continue // the operators' actions that follow need it
+			continue // the operators' actions that follow need the platform
 		}
-		target, special := targets[name]
-		if !special {
+		target, found := targets[name]
+		if !found {
 			target = whole.EndpointName("engines", 0)
 		}
 		assert.NilError(t, system.Inject(whole.Fault{Name: name, Target: target, Factor: 1}), string(name))
 	}
 }
 
-func TestFaultOfNothingIsAnError(t *testing.T) {
+func TestUnknownFaultOrTargetIsAnError(t *testing.T) {
 	system, err := whole.New(whole.WithEndpoints(1), whole.WithEntries(1))
 	assert.NilError(t, err)
 	defer system.Close()
