--- a/internal/stand/model/model.go
+++ b/internal/stand/model/model.go
@@ -1,6 +1,7 @@
-// Package model runs a few actors of real code through every interleaving of
-// their steps, up to a depth. Actors run one at a time and give way at their
-// steps; what is chosen there, and by the environment, is gone through in full.
+// Package model is a model checker for real code. It runs a few actors through
+// every interleaving of their steps, up to a depth. Actors run one at a time and
+// yield at each step. All choices of the scheduler, of the actors and of the
+// environment are explored.
 package model
 
 import (
@@ -11,7 +12,7 @@
 	"testing"
 )
 
-// World is one run: a sequence of choices.
+// World is one run, which is determined by a sequence of choices.
 type World struct {
 	choices  []choice
 	position int
@@ -20,20 +21,22 @@
 	visited  map[uint64]bool
 	state    func() string
 	depth    int
-	// Pruned says that the run ended in a state that was gone through before.
+	// Pruned is true if the run ended early in a state that an earlier run
+	// explored.
 	Pruned bool
 }
 
-type choice struct{ taken, of int }
+// choice is the alternative taken at one point, and the number of alternatives.
+type choice struct{ taken, count int }
 
-// event is something the environment may do.
+// event is an action that the environment can take while it is enabled.
 type event struct {
 	name    string
 	enabled func() bool
 	run     func()
 }
 
-// Actor is one process of real code.
+// Actor is one simulated process, which runs real code in its own goroutine.
 type Actor struct {
 	world   *World
 	name    string
@@ -44,15 +47,17 @@
 	done    bool
 }
 
-// Result says how much was gone through.
+// Result is the size of an exploration: its runs, its distinct states and the
+// choices made in all runs.
 type Result struct {
 	Runs   int
 	States int
 	Steps  int
 }
 
-// Explore calls run with a new World again and again, until every sequence of
-// choices up to depth scheduling decisions has been taken.
+// Explore calls run with a new World for every sequence of choices with at most
+// depth scheduling decisions. It stops at the first run that fails the test, and
+// logs its choices.
 func Explore(tb testing.TB, depth int, run func(*World)) Result {
 	tb.Helper()
 	var result Result
@@ -61,7 +66,7 @@
 	for {
 		w := &World{choices: choices, visited: visited, depth: depth, state: func() string { return "" }}
 		run(w)
-		w.kill()
+		w.stopActors()
 		result.Runs++
 		result.Steps += w.position
 		if tb.Failed() {
@@ -69,7 +74,7 @@
 			return result
 		}
 		choices = w.choices[:w.position]
-		for len(choices) > 0 && choices[len(choices)-1].taken+1 == choices[len(choices)-1].of {
+		for len(choices) > 0 && choices[len(choices)-1].taken+1 == choices[len(choices)-1].count {
 			choices = choices[:len(choices)-1]
 		}
 		if len(choices) == 0 {
@@ -80,30 +85,31 @@
 	}
 }
 
-// Choose returns a number below n; all of them are gone through.
+// Choose returns a number from 0 to n-1. Explore tries all of them.
 func (w *World) Choose(n int) int {
 	if n == 1 {
 		return 0
 	}
 	if w.position == len(w.choices) {
-		w.choices = append(w.choices, choice{of: n})
+		w.choices = append(w.choices, choice{count: n})
 	}
 	taken := w.choices[w.position].taken
 	w.position++
 	return taken
 }
 
-// State sets what describes the world besides the actors' histories; it must
-// tell everything that events change. Runs that come to the same state and
-// histories are gone through once.
+// State sets the function that describes the state of the world, apart from the
+// actors' histories. It must cover everything that events change. Explore
+// continues only once from each combination of state and histories.
 func (w *World) State(state func() string) { w.state = state }
 
-// Event lets the environment do something whenever it is enabled.
+// Event adds an action that the environment can take whenever enabled returns
+// true.
 func (w *World) Event(name string, enabled func() bool, run func()) {
 	w.events = append(w.events, event{name: name, enabled: enabled, run: run})
 }
 
-// Go adds an actor.
+// Go adds an actor. It starts when Run first schedules it.
 func (w *World) Go(name string, run func(*Actor)) {
 	a := &Actor{world: w, name: name, resume: make(chan bool), yielded: make(chan struct{}), ready: func() bool { return true }}
 	w.actors = append(w.actors, a)
@@ -119,10 +125,11 @@
 	}()
 }
 
-// Step gives way to the others, and notes what the actor is about to do.
+// Step yields to the other actors, and adds the next action of the actor to its
+// history.
 func (a *Actor) Step(what string) { a.Wait(what, func() bool { return true }) }
 
-// Wait gives way until a condition holds.
+// Wait is like Step, but the actor continues only when ready returns true.
 func (a *Actor) Wait(what string, ready func() bool) {
 	a.history = append(a.history, what)
 	a.ready = ready
@@ -132,42 +139,42 @@
 	}
 }
 
-// Note adds what the actor learned to its history.
+// Note adds an observation of the actor to its history.
 func (a *Actor) Note(what string) { a.history = append(a.history, what) }
 
-// Choose lets the actor's surroundings choose; the choice is part of its history.
+// Choose returns World.Choose(n) and adds the choice to the actor's history.
 func (a *Actor) Choose(n int) int {
 	taken := a.world.Choose(n)
 	a.Note(strconv.Itoa(taken))
 	return taken
 }
 
-// Run schedules until nothing can go on, the depth is reached, or a state
-// comes again.
+// Run schedules actors and events until none can run, the depth is reached, or
+// the state was explored before.
 func (w *World) Run() {
 	for range w.depth {
-		var can []func()
+		var runnable []func()
 		for _, a := range w.actors {
 			if !a.done && a.ready() {
-				can = append(can, a.run)
+				runnable = append(runnable, a.run)
 			}
 		}
 		for _, e := range w.events {
 			if e.enabled() {
-				can = append(can, e.run)
+				runnable = append(runnable, e.run)
 			}
 		}
-		if len(can) == 0 {
+		if len(runnable) == 0 {
 			return
 		}
-		// Only a fresh choice may end a run early: the ones before it are on
-		// the way to it.
-		fresh := w.position >= len(w.choices)
-		if fresh && w.seen() {
+		// End a run early only at a new choice. The states before it were
+		// recorded by the earlier runs that this run repeats.
+		atNewChoice := w.position >= len(w.choices)
+		if atNewChoice && w.recordState() {
 			w.Pruned = true
 			return
 		}
-		can[w.Choose(len(can))]()
+		runnable[w.Choose(len(runnable))]()
 	}
 }
 
@@ -176,8 +183,8 @@
 	<-a.yielded
 }
 
-// seen notes the present state and reports whether it was there before.
-func (w *World) seen() bool {
+// recordState records the current state and reports whether it was recorded before.
+func (w *World) recordState() bool {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(w.state()))
 	for _, a := range w.actors {
@@ -191,8 +198,8 @@
 	return false
 }
 
-// kill ends the actors that are still waiting.
-func (w *World) kill() {
+// stopActors ends the goroutines of the actors that have not ended.
+func (w *World) stopActors() {
 	for _, a := range w.actors {
 		if !a.done {
 			a.resume <- false
--- a/internal/stand/model/model_test.go
+++ b/internal/stand/model/model_test.go
@@ -9,10 +9,10 @@
 	"github.com/jujubescale/jujubescale/internal/stand/model"
 )
 
-// Two actors add one to a number by reading and writing it apart. The model
-// must find the interleaving that loses one, and the one that doesn't.
+// Two actors increment a number with a separate read and write. The model must
+// find the interleaving that loses an update and the one that does not.
 func TestFindsTheLostUpdate(t *testing.T) {
-	ends := make(map[int]bool)
+	results := make(map[int]bool)
 	result := model.Explore(t, 100, func(w *model.World) {
 		number := 0
 		w.State(func() string { return strconv.Itoa(number) })
@@ -27,25 +27,25 @@
 		}
 		w.Run()
 		if !w.Pruned {
-			ends[number] = true
+			results[number] = true
 		}
 	})
 	t.Logf("%+v", result)
-	assert.Assert(t, ends[1] && ends[2])
-	assert.Equal(t, len(ends), 2)
+	assert.Assert(t, results[1] && results[2])
+	assert.Equal(t, len(results), 2)
 }
 
 func TestEventsAndChoices(t *testing.T) {
-	seen := make(map[string]bool)
+	outcomes := make(map[string]bool)
 	model.Explore(t, 100, func(w *model.World) {
 		ticks := 0
 		w.State(func() string { return strconv.Itoa(ticks) })
 		w.Event("tick", func() bool { return ticks < 2 }, func() { ticks++ })
 		w.Go("a", func(a *model.Actor) {
 			a.Wait("tick", func() bool { return ticks > 0 })
-			seen[strconv.Itoa(ticks)+strconv.Itoa(a.Choose(2))] = true
+			outcomes[strconv.Itoa(ticks)+strconv.Itoa(a.Choose(2))] = true
 		})
 		w.Run()
 	})
-	assert.Equal(t, len(seen), 4, "%v", seen)
+	assert.Equal(t, len(outcomes), 4, "%v", outcomes)
 }
--- a/internal/stand/netw/conn.go
+++ b/internal/stand/netw/conn.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// laneDepth bounds the chunks on their way in one direction.
-const laneDepth = 4096
+// laneCapacity is the maximum number of chunks in transit in one direction.
+const laneCapacity = 4096
 
-// chunk is what one write sent; an error ends the direction.
+// chunk is the data of one write or read. A chunk with an error is the last one
+// of its direction.
 type chunk struct {
 	due   time.Time
 	bytes []byte
 	err   error
 }
 
-// lane is one direction of a connection: chunks come out in order, each no
-// earlier than the delay after it went in.
+// lane is one direction of a connection. Chunks are delivered in order, each
+// after the delay or later.
 type lane struct {
 	delay  time.Duration
 	chunks chan chunk
@@ -28,10 +29,12 @@
 }
 
 func newLane(delay time.Duration) *lane {
-	return &lane{delay: delay, chunks: make(chan chunk, laneDepth), closed: make(chan struct{})}
+	return &lane{delay: delay, chunks: make(chan chunk, laneCapacity), closed: make(chan struct{})}
 }
 
-func (l *lane) put(bytes []byte, err error) bool {
+// enqueue appends a copy of the data. It waits while the lane is full, and reports
+// false if the lane is closed.
+func (l *lane) enqueue(bytes []byte, err error) bool {
 	next := chunk{due: time.Now().Add(l.delay), bytes: append([]byte(nil), bytes...), err: err}
 	select {
 	case l.chunks <- next:
@@ -41,24 +44,27 @@
 	}
 }
 
-func (l *lane) end() { l.once.Do(func() { close(l.closed) }) }
+// stop makes enqueue return false. It may be called repeatedly.
+func (l *lane) stop() { l.once.Do(func() { close(l.closed) }) }
 
-// conn delays both directions at the dialing side.
+// conn is the dialing side of a connection. It delays both directions.
 type conn struct {
 	net.Conn
 	from, to string
 	out, in  *lane
-	silent   chan struct{}
-	hush     sync.Once
-	forget   func()
-
-	rest     []byte
-	restErr  error
+	// silent is closed when the connection starts to drop all data.
+	silent      chan struct{}
+	silenceOnce sync.Once
+	untrack     func()
+
+	// unread is data that was received and not yet read.
+	unread   []byte
+	readErr  error
 	mu       sync.Mutex
 	deadline time.Time
 }
 
-func (c *conn) goSilent() { c.hush.Do(func() { close(c.silent) }) }
+func (c *conn) silence() { c.silenceOnce.Do(func() { close(c.silent) }) }
 
 func (c *conn) isSilent() bool {
 	select {
@@ -69,19 +75,20 @@
 	}
 }
 
-// Write puts the bytes on their way; it waits only when too many already are.
+// Write queues the data for delivery. It waits only if laneCapacity chunks are in
+// transit.
 func (c *conn) Write(bytes []byte) (int, error) {
-	if !c.out.put(bytes, nil) {
+	if !c.out.enqueue(bytes, nil) {
 		return 0, net.ErrClosed
 	}
 	return len(bytes), nil
 }
 
-// pumpOut passes on what was written, when it is due. What was written before
-// a close still arrives. On a silent connection the peer sees nothing at all,
-// not even the close.
+// pumpOut sends the queued chunks when they are due. Data written before Close is
+// still delivered. On a silent connection, the peer receives neither data nor the
+// close.
 func (c *conn) pumpOut() {
-	defer c.out.end()
+	defer c.out.stop()
 	for next := range c.out.chunks {
 		time.Sleep(time.Until(next.due))
 		if next.err != nil {
@@ -99,7 +106,8 @@
 	}
 }
 
-// pumpIn reads from the peer and stamps what came, until the peer is gone.
+// pumpIn reads from the peer and queues the data with its due time, until the
+// connection ends.
 func (c *conn) pumpIn() {
 	defer func() { _ = c.Conn.Close() }()
 	buffer := make([]byte, 32<<10)
@@ -111,32 +119,33 @@
 			}
 			continue
 		}
-		if got > 0 && !c.in.put(buffer[:got], nil) {
+		if got > 0 && !c.in.enqueue(buffer[:got], nil) {
 			return
 		}
 		if err != nil {
-			c.in.put(nil, err)
+			c.in.enqueue(nil, err)
 			return
 		}
 	}
 }
 
-// Read returns what has arrived.
+// Read returns data that has arrived, and waits for some if there is none.
 func (c *conn) Read(into []byte) (int, error) {
-	if len(c.rest) == 0 && c.restErr == nil {
-		if err := c.next(); err != nil {
+	if len(c.unread) == 0 && c.readErr == nil {
+		if err := c.receive(); err != nil {
 			return 0, err
 		}
 	}
-	if len(c.rest) == 0 {
-		return 0, c.restErr
+	if len(c.unread) == 0 {
+		return 0, c.readErr
 	}
-	copied := copy(into, c.rest)
-	c.rest = c.rest[copied:]
+	copied := copy(into, c.unread)
+	c.unread = c.unread[copied:]
 	return copied, nil
 }
 
-func (c *conn) next() error {
+// receive waits until the receive chunk is due, or for the read deadline or a close.
+func (c *conn) receive() error {
 	c.mu.Lock()
 	deadline := c.deadline
 	c.mu.Unlock()
@@ -149,7 +158,7 @@
 	select {
 	case next := <-c.in.chunks:
 		time.Sleep(time.Until(next.due))
-		c.rest, c.restErr = next.bytes, next.err
+		c.unread, c.readErr = next.bytes, next.err
 		return nil
 	case <-expired:
 		return os.ErrDeadlineExceeded
@@ -158,7 +167,8 @@
 	}
 }
 
-// SetReadDeadline bounds reads that begin after it.
+// SetReadDeadline sets the deadline of reads that start after this call. It
+// does not affect a read in progress.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,17 +176,17 @@
 	return nil
 }
 
-// SetWriteDeadline has no effect: writes do not wait.
+// SetWriteDeadline has no effect, because writes normally do not wait.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline bounds reads that begin after it.
+// SetDeadline sets the deadline of reads that start after this call.
 func (c *conn) SetDeadline(deadline time.Time) error { return c.SetReadDeadline(deadline) }
 
-// Close lets what was written arrive and then closes the connection.
+// Close closes the connection after the written data is delivered.
 func (c *conn) Close() error {
-	c.forget()
-	c.in.end()
-	if !c.out.put(nil, io.EOF) {
+	c.untrack()
+	c.in.stop()
+	if !c.out.enqueue(nil, io.EOF) {
 		return net.ErrClosed
 	}
 	return nil
--- a/internal/stand/netw/netw.go
+++ b/internal/stand/netw/netw.go
@@ -1,6 +1,7 @@
-// Package netw is the network between availability zones for processes that
-// run together on loopback: connections between zones are delayed one way,
-// keep their order, and can go silent for good.
+// Package netw simulates the network between availability zones for processes
+// that run on loopback. Connections between zones are delayed in each direction,
+// keep the order of their data, and can start to drop all data permanently
+// (silent connections).
 package netw
 
 import (
@@ -10,33 +11,34 @@
 	"time"
 )
 
-// Net knows in which zone each address stands.
+// Net is a simulated network. It holds the zone of each address.
 type Net struct {
-	between time.Duration
+	delay time.Duration
 
-	mu     sync.Mutex
-	zones  map[string]string
-	cut    map[string]bool
-	opened map[*conn]struct{}
+	mu    sync.Mutex
+	zones map[string]string
+	cut   map[string]bool
+	conns map[*conn]struct{}
 }
 
-// New returns a network whose zones are that far apart one way.
-func New(between time.Duration) *Net {
+// New returns a network with a one-way delay between zones.
+func New(delay time.Duration) *Net {
 	return &Net{
-		between: between, zones: make(map[string]string), cut: make(map[string]bool),
-		opened: make(map[*conn]struct{}),
+		delay: delay, zones: make(map[string]string), cut: make(map[string]bool),
+		conns: make(map[*conn]struct{}),
 	}
 }
 
-// SetZone says in which zone an address (host:port) stands.
+// SetZone sets the zone of an address (host:port). Connections to addresses
+// without a zone are not delayed.
 func (n *Net) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
 }
 
-// CutZone parts a zone from all others: open connections go silent for good,
-// new ones get no answer.
+// CutZone separates a zone from all others. Open connections become silent
+// permanently, and new ones wait until the context of their dial ends.
 func (n *Net) CutZone(zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,15 +46,15 @@
 	n.silence(zone)
 }
 
-// HealZone ends a cut. Connections that went silent stay silent.
+// HealZone ends a cut. Silent connections stay silent.
 func (n *Net) HealZone(zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, zone)
 }
 
-// SilenceZone makes the open connections between a zone and the others go
-// silent for good, while new ones work.
+// SilenceZone makes the open connections between a zone and the others silent
+// permanently. New connections work.
 func (n *Net) SilenceZone(zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,14 +62,14 @@
 }
 
 func (n *Net) silence(zone string) {
-	for c := range n.opened {
+	for c := range n.conns {
 		if c.from != c.to && (c.from == zone || c.to == zone) {
-			c.goSilent()
+			c.silence()
 		}
 	}
 }
 
-// Dial returns a dialer for a process in a zone.
+// Dial returns the dial function of a process in a zone.
 func (n *Net) Dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -89,16 +91,16 @@
 func (n *Net) open(inner net.Conn, from, to string) net.Conn {
 	c := &conn{
 		Conn: inner, from: from, to: to,
-		out: newLane(n.between), in: newLane(n.between),
+		out: newLane(n.delay), in: newLane(n.delay),
 		silent: make(chan struct{}),
 	}
 	n.mu.Lock()
-	n.opened[c] = struct{}{}
+	n.conns[c] = struct{}{}
 	n.mu.Unlock()
-	c.forget = func() {
+	c.untrack = func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.opened, c)
+		delete(n.conns, c)
 	}
 	go c.pumpOut()
 	go c.pumpIn()
--- a/internal/stand/netw/netw_test.go
+++ b/internal/stand/netw/netw_test.go
@@ -40,7 +40,7 @@
 	return conn
 }
 
-func TestBytesCrossZonesInOrderAndLate(t *testing.T) {
+func TestDataBetweenZonesIsOrderedAndDelayed(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(5 * time.Millisecond)
 	n.SetZone(address, "b")
@@ -60,8 +60,8 @@
 	assert.NilError(t, conn.Close())
 }
 
-// Something between two ends loses track of a connection. Neither end sees it
-// close, what they send is lost, and a new connection works.
+// A device between the two ends drops the state of a connection. Neither end
+// sees a close, all data is lost, and a new connection works.
 func TestSilencedConnectionStaysSilentWhileNewOnesWork(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
@@ -83,7 +83,7 @@
 	assert.NilError(t, fresh.Close())
 }
 
-func TestCutZoneTakesNoConnections(t *testing.T) {
+func TestDialToCutZoneTimesOut(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
 	n.SetZone(address, "b")
