--- a/internal/stand/plain/plain.go
+++ b/internal/stand/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is the stand-in for a plain service, some of whose calls may
-// not be repeated: it counts how often each call ran.
+// Package plain is the stand-in for a plain service. It counts how often each
+// call ran, because some calls must not be repeated.
 package plain
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/slots"
 )
 
-// Ledger counts the runs of each call over all endpoints of a service.
+// Ledger counts the runs of each call, over all endpoints of a service.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -23,15 +23,15 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{runs: make(map[string]int)} }
 
-// Runs returns how often the call with this Idempotency-Key, echo mark or
-// request id ran.
+// Runs returns how often the call with an Idempotency-Key, echo mark or request
+// id ran.
 func (l *Ledger) Runs(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
 }
 
-// Doubled returns the keys that ran more than once.
+// Doubled returns the keys of the calls that ran more than once, in no order.
 func (l *Ledger) Doubled() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,6 +44,7 @@
 	return doubled
 }
 
+// add counts a run once for each distinct key that is not empty.
 func (l *Ledger) add(keys ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,11 +68,12 @@
 	close CloseAt
 }
 
-// CloseAt says when the endpoint closes the connection of a call without an
-// answer.
+// CloseAt is the point of a call at which the endpoint closes the connection
+// without an answer.
 type CloseAt string
 
-// Moments at which a connection is closed.
+// Points of a call: before it runs, after it takes effect but before the work,
+// and after the work.
 const (
 	CloseNever  CloseAt = ""
 	CloseBefore CloseAt = "before"
@@ -79,7 +81,7 @@
 	CloseAfter  CloseAt = "after"
 )
 
-// Option changes a Plain while it is built.
+// Option configures a Plain.
 type Option func(*settings)
 
 type settings struct {
@@ -89,19 +91,19 @@
 	ledger   *Ledger
 }
 
-// WithCapacity sets what the endpoint bears.
+// WithCapacity sets the capacity of the endpoint.
 func WithCapacity(capacity slots.Config) Option { return func(s *settings) { s.capacity = capacity } }
 
 // WithWork sets the engine time of one call.
 func WithWork(work time.Duration) Option { return func(s *settings) { s.work = work } }
 
-// WithLoadLag sets how old the load report is.
+// WithLoadLag sets the age of the load report.
 func WithLoadLag(lag time.Duration) Option { return func(s *settings) { s.lag = lag } }
 
 // WithLedger shares one ledger among the endpoints of a service.
 func WithLedger(ledger *Ledger) Option { return func(s *settings) { s.ledger = ledger } }
 
-// New returns an endpoint.
+// New returns a warm endpoint.
 func New(opts ...Option) *Plain {
 	s := settings{
 		capacity: slots.Config{Limit: 16, ColdLimit: 4, ColdWork: 200 * time.Millisecond},
@@ -125,17 +127,18 @@
 }
 
 // SetClose makes the endpoint close the connection of each call without an
-// answer, at that moment of its run.
+// answer, at a point of the call.
 func (p *Plain) SetClose(at CloseAt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.close = at
 }
 
-// Runs returns how often the call with this key ran at this service.
+// Runs returns how often the call with a key ran, over all endpoints that share
+// the ledger.
 func (p *Plain) Runs(key string) int { return p.ledger.Runs(key) }
 
-// maxBody bounds a request body.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 4 << 20
 
 type answer struct {
@@ -152,7 +155,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		http.Error(w, "body can't be read", http.StatusBadRequest)
+		http.Error(w, "request body cannot be read", http.StatusBadRequest)
 		return
 	}
 	id := r.Header.Get("X-Request-Id")
@@ -162,7 +165,8 @@
 		return
 	}
 	echo := slots.EchoOf(json.RawMessage(body))
-	// The effect happens as the call begins, and it stays when the work is cut.
+	// The call takes effect at its start, and the effect stays if the work is
+	// aborted.
 	p.ledger.add(r.Header.Get("Idempotency-Key"), echo, id)
 	if closeAt == CloseDuring {
 		run.End(false)
--- a/internal/stand/plain/plain_test.go
+++ b/internal/stand/plain/plain_test.go
@@ -11,8 +11,8 @@
 	"github.com/jujubescale/jujubescale/internal/stand/plain"
 )
 
-// The service closes the connection after it booked. The caller sees an error
-// although the booking stands: a second try would book twice.
+// The service closes the connection after the call took effect. The caller gets
+// an error although the booking exists, so a retry would book twice.
 func TestClosedCallStillCountsAsRun(t *testing.T) {
 	for at, runs := range map[plain.CloseAt]int{
 		plain.CloseBefore: 0, plain.CloseDuring: 1, plain.CloseAfter: 1,
--- a/internal/stand/pool/pool.go
+++ b/internal/stand/pool/pool.go
@@ -19,7 +19,7 @@
 	Frontend *slots.Frontend
 }
 
-// Option changes a Pool while it is built.
+// Option configures a Pool.
 type Option func(*settings)
 
 type settings struct {
@@ -28,16 +28,16 @@
 	lag      time.Duration
 }
 
-// WithCapacity sets what the endpoint bears.
+// WithCapacity sets the capacity of the endpoint.
 func WithCapacity(capacity slots.Config) Option { return func(s *settings) { s.capacity = capacity } }
 
 // WithWork sets the engine time of one run.
 func WithWork(work time.Duration) Option { return func(s *settings) { s.work = work } }
 
-// WithLoadLag sets how old the load report is.
+// WithLoadLag sets the age of the load report.
 func WithLoadLag(lag time.Duration) Option { return func(s *settings) { s.lag = lag } }
 
-// New returns an endpoint of a kind: encode, retrieve or rerank.
+// New returns a warm endpoint of a kind: encode, retrieve or rerank.
 func New(kind string, opts ...Option) *Pool {
 	s := settings{
 		capacity: slots.Config{Limit: 16, ColdLimit: 4, ColdWork: 200 * time.Millisecond},
@@ -65,7 +65,8 @@
 
 type output struct {
 	Kind string `json:"kind"`
-	// Echo repeats the caller's echo mark, so that a crossed answer shows.
+	// Echo repeats the caller's echo mark, which makes mixed-up answers
+	// detectable.
 	Echo string `json:"echo,omitempty"`
 }
 
@@ -73,7 +74,7 @@
 	Output output `json:"output"`
 }
 
-// maxBody bounds a request body.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 4 << 20
 
 func (p *Pool) serveRun(w http.ResponseWriter, r *http.Request) {
--- a/internal/stand/testca/testca.go
+++ b/internal/stand/testca/testca.go
@@ -1,5 +1,5 @@
-// Package testca makes certificates for tests: one authority that lives as
-// long as the test, and PEM files signed by it.
+// Package testca creates certificates for tests: a certificate authority, and
+// PEM files signed by it. The files are removed at the end of the test.
 package testca
 
 import (
@@ -19,24 +19,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
-	// File holds the authority's certificate.
+	// File is the path of the authority's certificate (PEM).
 	File string
 
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// Pair is a certificate with its key, as PEM files.
+// Pair is the paths of a certificate and its key, both PEM files.
 type Pair struct {
 	Cert string
 	Key  string
 }
 
+// lifetime is how long certificates are valid after their creation. They are
+// also valid for that long before it.
 const lifetime = time.Hour
 
-// New makes an authority.
+// New creates an authority with a new key.
 func New(t *testing.T) *Authority {
 	t.Helper()
 	key := newKey(t)
@@ -58,7 +60,7 @@
 	return &Authority{File: file, cert: cert, key: key}
 }
 
-// Issue signs a certificate for the names, which may be IP numbers.
+// Issue creates a certificate for names, which are DNS names or IP addresses.
 func (a *Authority) Issue(t *testing.T, names ...string) Pair {
 	t.Helper()
 	folder := t.TempDir()
@@ -67,7 +69,7 @@
 	return pair
 }
 
-// Renew writes a new certificate into the files of a pair.
+// Renew overwrites the files of a pair with a new certificate and key.
 func (a *Authority) Renew(t *testing.T, pair Pair, names ...string) {
 	t.Helper()
 	key := newKey(t)
