--- a/internal/stand/engine/generate.go
+++ b/internal/stand/engine/generate.go
@@ -114,8 +114,8 @@
 }
 
 // findOrStart returns the stream with the requested id, or starts it. If the
-// stream to resume no longer exists, the result is errNotKnown (404), because
-// starting it again would repeat work.
+// stream to resume no longer exists, the result is errNotFound (404), because
+// starting it from the beginning would repeat work.
 func (e *Engine) findOrStart(request *generateRequest) (*stream, error) {
 	e.start.Lock()
 	defer e.start.Unlock()
--- a/internal/stand/netw/conn.go
+++ b/internal/stand/netw/conn.go
@@ -144,7 +144,8 @@
 	return copied, nil
 }
 
-// receive waits until the receive chunk is due, or for the read deadline or a close.
+// receive waits until the next chunk is due. It returns an error at the read deadline
+// or when the connection is closed.
 func (c *conn) receive() error {
 	c.mu.Lock()
 	deadline := c.deadline
--- a/internal/stand/plat/plat.go
+++ b/internal/stand/plat/plat.go
@@ -40,7 +40,7 @@
 }
 
 type record struct {
-	// previous is the object previous the last write, for stale reads.
+	// previous is the object before the last write, for stale reads.
 	previous store.Object
 	version  uint64
 	present  bool
--- a/internal/stand/testca/testca.go
+++ b/internal/stand/testca/testca.go
@@ -28,7 +28,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// Pair is the paths of a certificate and its key, both PEM files.
+// Pair holds the paths of a certificate and its key, both PEM files.
 type Pair struct {
 	Cert string
 	Key  string
--- a/internal/stand/whole/front.go
+++ b/internal/stand/whole/front.go
@@ -23,7 +23,8 @@
 	process  *Server
 	// operators is the operators' port; nil unless OpenOperators was called.
 	operators *Server
-	// outOfRotation is true if the load balancer has taken the entry outOfRotation of rotation.
+	// outOfRotation is true if the load balancer has taken the entry out of
+	// rotation.
 	outOfRotation atomic.Bool
 }
 
--- a/internal/stand/whole/plan.go
+++ b/internal/stand/whole/plan.go
@@ -102,8 +102,8 @@
 	return batch
 }
 
-// evacuateOrReturnZone evacuates an availability zone or returns it to service, as operators
-// do.
+// evacuateOrReturnZone evacuates an availability zone or returns it to service,
+// as operators do.
 func (w *Whole) evacuateOrReturnZone(fault Fault) error {
 	change := apply.Change{Who: "fault plan"}
 	var err error
