--- a/internal/bench/tally/cost.go
+++ b/internal/bench/tally/cost.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		spent := float64(usage.Spent) / float64(time.Millisecond)
-		if record == nil || record.Outcome != drive.InTime || !usage.Whole || counted[run] {
+		if record == nil || record.Outcome != drive.InTime || !usage.Finished || counted[run] {
 			stage.WastedMs += spent
 			continue
 		}
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -89,7 +89,7 @@
 	result.AddCosts(records, t.takeUsage())
 	result.CheckAtMostOnce(records, t.system.Ledger.Runs)
 	for _, place := range t.system.Places {
-		result.Falls += place.Slots().State().Falls
+		result.Falls += place.Slots().State().ColdCrashes
 	}
 	for _, zone := range t.zones {
 		delay := max(zone.lastNewWork.Sub(zone.at), 0)
@@ -123,7 +123,7 @@
 		t.recordLastStart(fault.Target)
 	}
 	at := time.Now()
-	err := t.system.Cause(fault)
+	err := t.system.Inject(fault)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil && t.err == nil {
--- a/internal/e2e/agent_test.go
+++ b/internal/e2e/agent_test.go
@@ -40,7 +40,7 @@
 		}
 		return poll.Continue("engines-0 does not run two calls yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, place := range engines {
 			if state := place.Slots().State(); state.Cold {
@@ -52,7 +52,7 @@
 	load.stop()
 	for _, place := range engines {
 		state := place.Slots().State()
-		assert.Equal(t, state.Falls, 0, place.Endpoint)
+		assert.Equal(t, state.ColdCrashes, 0, place.Endpoint)
 		assert.Assert(t, state.ColdPeak <= 2, place.Endpoint)
 	}
 }
@@ -64,7 +64,7 @@
 	load := startLoad(t, 8, allBaseURLs(system), kindSheet, kindBooking)
 	waitForRequests(t, load, 40)
 	for _, place := range system.Places {
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: place.Endpoint}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentRestart, Target: place.Endpoint}))
 		awaitAgent(t, place, len(system.Fronts))
 	}
 	waitForRequests(t, load, load.count()+40)
@@ -93,7 +93,7 @@
 // answer all requests within their deadlines.
 func TestRequestsAvoidHungEngine(t *testing.T) {
 	system := startSystem(t)
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointSilent, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointSilent, Target: "engines-0"}))
 	for range 12 {
 		got := call(t, http.MethodPost, system.URL()+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
 		assert.Equal(t, got.status, http.StatusOK, got.body)
@@ -104,5 +104,5 @@
 		}
 		return poll.Continue("the agent still accepts work")
 	}, poll.WithTimeout(30*time.Second))
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointAlive, Target: "engines-0"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointAlive, Target: "engines-0"}))
 }
--- a/internal/e2e/cold_test.go
+++ b/internal/e2e/cold_test.go
@@ -20,7 +20,7 @@
 func countOverloads(system *whole.Whole) int {
 	total := 0
 	for _, place := range system.Places {
-		total += place.Slots().State().Falls
+		total += place.Slots().State().ColdCrashes
 	}
 	return total
 }
@@ -40,7 +40,7 @@
 	t.Parallel()
 	system := coldSystem(t)
 	for range 3 {
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
 		load := startLoad(t, coldCallers, system.InRotation, kindSheet)
 		waitForRequests(t, load, 120)
@@ -59,7 +59,7 @@
 	waitForRequests(t, load, 100)
 	for range 3 {
 		before := countOverloads(system)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
 		checkNoMoreOverloads(t, system, load, before)
 	}
@@ -77,11 +77,11 @@
 	waitForRequests(t, load, 100)
 	for range 3 {
 		before := countOverloads(system)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: "engines-0"}))
 		awaitCold(t, system.Place("engines-0"))
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: "engines-0"}))
 		checkNoMoreOverloads(t, system, load, before)
-		assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentRestart, Target: "engines-0"}))
+		assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentRestart, Target: "engines-0"}))
 		checkNoMoreOverloads(t, system, load, countOverloads(system))
 	}
 	assert.NilError(t, firstFailure(load.stop()))
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -106,7 +106,7 @@
 			done := b.bookAsync(0)
 			b.awaitRun()
 			b.forEachOrdersEndpoint(func(p *whole.Place) {
-				assert.Check(b.t, b.system.Cause(whole.Fault{Name: whole.AgentKill, Target: p.Endpoint}))
+				assert.Check(b.t, b.system.Inject(whole.Fault{Name: whole.AgentKill, Target: p.Endpoint}))
 			})
 			return <-done
 		}, fault.MayHaveRun, 1},
@@ -157,7 +157,7 @@
 	b.slowDown()
 	done := b.bookAsync(0)
 	b.awaitRun()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.EntryKill, Target: system.Fronts[0].Name}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.EntryKill, Target: system.Fronts[0].Name}))
 	first := <-done
 	second := b.book(1)
 	assert.Assert(t, !second.answered())
--- a/internal/e2e/order_test.go
+++ b/internal/e2e/order_test.go
@@ -62,7 +62,7 @@
 		awaitUnload(t, system, map[string]string{"2": "1", "3": "2"}[version])
 		for _, place := range system.Places {
 			if place.Engine != nil && version == "2" {
-				assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
+				assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		assert.Equal(t, orders[0].Fence, uint64(1))
 		assert.Assert(t, orders[len(orders)-1].Fence > 1, "the new agent must have a fencing number of its own")
 	}
-	assert.Assert(t, system.Weights.MostAtOnce() <= agent.DefaultWeightSlots, "%d concurrent loads", system.Weights.MostAtOnce())
+	assert.Assert(t, system.Weights.MaxConcurrent() <= agent.DefaultWeightSlots, "%d concurrent loads", system.Weights.MaxConcurrent())
 }
 
 // Guards against engines that miss a change of the role of their pool, for
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -120,7 +120,7 @@
 	t.Parallel()
 	system, load := startSystemUnderLoad(t)
 	load.stop()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneCut, Target: "zb"}))
 	accepted := evacuateZone(t, system, "zb")
 	inside := "http://" + system.Front("entry-1").Address
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -152,7 +152,7 @@
 	// evacuated. They must accept no work before that.
 	before := lastStarts(system, "zb")
 	insideLoad := startLoad(t, 4, func() []string { return []string{inside} }, kindSheet)
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneHeal, Target: "zb"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneHeal, Target: "zb"}))
 	assert.NilError(t, system.WaitInForce(2))
 	insideLoad.stop()
 	assert.DeepEqual(t, lastStarts(system, "zb"), before)
@@ -182,8 +182,8 @@
 	accepted := evacuateZone(t, system, "zb")
 	for _, place := range system.Places {
 		if place.Zone == "zb" {
-			assert.NilError(t, system.Cause(whole.Fault{Name: whole.EndpointRestart, Target: place.Endpoint}))
-			assert.NilError(t, system.Cause(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
+			assert.NilError(t, system.Inject(whole.Fault{Name: whole.EndpointRestart, Target: place.Endpoint}))
+			assert.NilError(t, system.Inject(whole.Fault{Name: whole.AgentKill, Target: place.Endpoint}))
 		}
 	}
 	checkNoNewWorkInZone(t, system, load, "zb", accepted)
@@ -219,7 +219,7 @@
 	accepted := evacuateZone(t, system, "zb")
 	checkNoNewWorkInZone(t, system, load, "zb", accepted)
 	load.stop()
-	assert.NilError(t, system.Cause(whole.Fault{Name: whole.ZoneCut, Target: "zc"}))
+	assert.NilError(t, system.Inject(whole.Fault{Name: whole.ZoneCut, Target: "zc"}))
 	remaining := []string{system.URL()}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		got := call(t, http.MethodPost, remaining[0]+"/v1/services/setup-sheets", http.Header{}, `{"input":"x"}`)
--- a/internal/stand/netw/netw_test.go
+++ b/internal/stand/netw/netw_test.go
@@ -40,10 +40,10 @@
 	return conn
 }
 
-func TestBytesCrossZonesInOrderAndLate(t *testing.T) {
+func TestDataBetweenZonesIsOrderedAndDelayed(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(5 * time.Millisecond)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	conn := dial(t, n, address)
 	begin := time.Now()
 	for _, line := range []string{"one\n", "two\n", "three\n"} {
@@ -60,12 +60,12 @@
 	assert.NilError(t, conn.Close())
 }
 
-// Something between two ends loses track of a connection. Neither end sees it
-// close, what they send is lost, and a new connection works.
+// A device between the two ends drops the state of a connection. Neither end
+// sees a close, all data is lost, and a new connection works.
 func TestSilencedConnectionStaysSilentWhileNewOnesWork(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	old := dial(t, n, address)
 	n.SilenceZone("b")
 	_, err := old.Write([]byte("lost\n"))
@@ -83,10 +83,10 @@
 	assert.NilError(t, fresh.Close())
 }
 
-func TestCutZoneTakesNoConnections(t *testing.T) {
+func TestDialToCutZoneTimesOut(t *testing.T) {
 	address := echoServer(t)
 	n := netw.New(0)
-	n.Place(address, "b")
+	n.SetZone(address, "b")
 	n.CutZone("b")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
--- a/internal/stand/pool/pool.go
+++ b/internal/stand/pool/pool.go
@@ -13,13 +13,13 @@
 
 // Pool is one endpoint that answers POST /v1/run.
 type Pool struct {
-	kind  string
-	work  time.Duration
-	Slots *slots.Slots
-	Door  *slots.Door
+	kind     string
+	work     time.Duration
+	Slots    *slots.Slots
+	Frontend *slots.Frontend
 }
 
-// Option changes a Pool while it is built.
+// Option configures a Pool.
 type Option func(*settings)
 
 type settings struct {
@@ -28,16 +28,16 @@
 	lag      time.Duration
 }
 
-// WithCapacity sets what the endpoint bears.
+// WithCapacity sets the capacity of the endpoint.
 func WithCapacity(capacity slots.Config) Option { return func(s *settings) { s.capacity = capacity } }
 
 // WithWork sets the engine time of one run.
 func WithWork(work time.Duration) Option { return func(s *settings) { s.work = work } }
 
-// WithLoadLag sets how old the load report is.
+// WithLoadLag sets the age of the load report.
 func WithLoadLag(lag time.Duration) Option { return func(s *settings) { s.lag = lag } }
 
-// New returns an endpoint of a kind: encode, retrieve or rerank.
+// New returns a warm endpoint of a kind: encode, retrieve or rerank.
 func New(kind string, opts ...Option) *Pool {
 	s := settings{
 		capacity: slots.Config{Limit: 16, ColdLimit: 4, ColdWork: 200 * time.Millisecond},
@@ -47,15 +47,15 @@
 		opt(&s)
 	}
 	capacity := slots.New(s.capacity)
-	return &Pool{kind: kind, work: s.work, Slots: capacity, Door: slots.NewDoor(capacity, s.lag)}
+	return &Pool{kind: kind, work: s.work, Slots: capacity, Frontend: slots.NewFrontend(capacity, s.lag)}
 }
 
 // Handler returns the endpoint's HTTP interface.
 func (p *Pool) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/v1/run", p.serveRun)
-	router.Get("/v1/load", p.Door.ServeLoad)
-	return p.Door.Guard(router)
+	router.Get("/v1/load", p.Frontend.ServeLoad)
+	return p.Frontend.Guard(router)
 }
 
 type runRequest struct {
@@ -65,7 +65,8 @@
 
 type output struct {
 	Kind string `json:"kind"`
-	// Echo repeats the caller's echo mark, so that a crossed answer shows.
+	// Echo repeats the caller's echo mark, which makes mixed-up answers
+	// detectable.
 	Echo string `json:"echo,omitempty"`
 }
 
@@ -73,7 +74,7 @@
 	Output output `json:"output"`
 }
 
-// maxBody bounds a request body.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 4 << 20
 
 func (p *Pool) serveRun(w http.ResponseWriter, r *http.Request) {
@@ -89,7 +90,7 @@
 	}
 	err = run.Work(r.Context(), p.work)
 	run.End(err == nil)
-	if err != nil || p.Door.Cut() {
+	if err != nil || p.Frontend.ShouldTruncate() {
 		panic(http.ErrAbortHandler)
 	}
 	slots.WriteJSON(w, http.StatusOK, runAnswer{Output: output{Kind: p.kind, Echo: slots.EchoOf(request.Input)}})
--- a/internal/stand/whole/whole_test.go
+++ b/internal/stand/whole/whole_test.go
@@ -9,7 +9,7 @@
 	"github.com/jujubescale/jujubescale/internal/stand/whole"
 )
 
-func TestEveryFaultCanBeCaused(t *testing.T) {
+func TestEveryFaultCanBeInjected(t *testing.T) {
 	system, err := whole.New(whole.WithEndpoints(1), whole.WithEntries(1))
 	assert.NilError(t, err)
 	defer system.Close()
@@ -19,22 +19,22 @@
 	}
 	for _, name := range whole.FaultNames() {
 		if name == whole.PlatformDown {
-			continue // the operators' actions that follow need it
+			continue // the operators' actions that follow need the platform
 		}
-		target, special := targets[name]
-		if !special {
+		target, found := targets[name]
+		if !found {
 			target = whole.EndpointName("engines", 0)
 		}
-		assert.NilError(t, system.Cause(whole.Fault{Name: name, Target: target, Factor: 1}), string(name))
+		assert.NilError(t, system.Inject(whole.Fault{Name: name, Target: target, Factor: 1}), string(name))
 	}
 }
 
-func TestFaultOfNothingIsAnError(t *testing.T) {
+func TestUnknownFaultOrTargetIsAnError(t *testing.T) {
 	system, err := whole.New(whole.WithEndpoints(1), whole.WithEntries(1))
 	assert.NilError(t, err)
 	defer system.Close()
 	for _, name := range []whole.FaultName{whole.EndpointCold, whole.AgentKill, whole.EntryKill, "quake"} {
 		var unknown *whole.UnknownTargetError
-		assert.Assert(t, errors.As(system.Cause(whole.Fault{Name: name, Target: "nothing"}), &unknown), string(name))
+		assert.Assert(t, errors.As(system.Inject(whole.Fault{Name: name, Target: "nothing"}), &unknown), string(name))
 	}
 }
