--- a/internal/flow/batch/batch.go
+++ b/internal/flow/batch/batch.go
@@ -26,8 +26,8 @@
 	Inputs  []string
 	// Count is the number of pieces.
 	Count int
-	// Rank orders groups; the lowest is sent first. It is NeededBy plus a penalty
-	// for requests of lower priority.
+	// Rank orders groups; the lowest is sent first. It is NeededBy plus penalties
+	// for requests of lower priority and for those that were admitted late.
 	Rank clock.Millis
 	// NeededBy is the instant by which the result is needed for the request to
 	// meet its objective. Groups that can't finish by then are sent after the
@@ -227,7 +227,8 @@
 }
 
 // DropTooLate removes and returns the groups that would miss their deadline even
-// if a call with one of their pieces started now.
+// if a call with one of their pieces started now, so that no engine works on
+// results that nobody can use.
 func (q *Queue) DropTooLate(bounds Bounds, now clock.Millis) []*Group {
 	earliestEnd := now + clock.Millis(bounds.Duration(1))
 	var late []*Group
--- a/internal/flow/hedge/hedge_test.go
+++ b/internal/flow/hedge/hedge_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against hedges that double the work of a pool when all its endpoints get
-// slow and a hedge is due for every call.
+// slow and a hedge is due for every call. Hedges must stay under 5% of the calls.
 func TestHedgesStayUnderFivePercent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := hedge.NewBudget()
--- a/internal/flow/sums/sums.go
+++ b/internal/flow/sums/sums.go
@@ -1,7 +1,7 @@
 // Package sums adds up the work at endpoints that processes report. Each process receives
 // the work of all others in one message instead of one message from each process.
 //
-// A Totals belongs to one process. In an aggregator it contains the reports of the group
+// Each process has its own Totals. In an aggregator it contains the reports of the group
 // and the sums of the other groups. It returns the sum of its group for other aggregators
 // and, for each process, the sum of everything except the work of that process. Messages
 // contain the changes since the previous message.
