--- a/internal/guard/fence/fence.go
+++ b/internal/guard/fence/fence.go
@@ -113,7 +113,8 @@
 	return xxhash.Sum64String(id.Request) ^ (uint64(id.Stage%stages)*tries+uint64(id.Try%tries)+1)*mix
 }
 
-// mix spreads small numbers over 64 bits. It is the fraction of the golden ratio.
+// mix spreads small numbers over 64 bits. It is the fractional part of the golden
+// ratio, times 2^64.
 const mix = 0x9e3779b97f4a7c15
 
 type record struct {
