--- a/internal/engine/order/plan.go
+++ b/internal/engine/order/plan.go
@@ -46,9 +46,10 @@
 
 // Plan returns the orders that bring an engine from its current models and role
 // to those of its pool, in the order in which they must be issued: first the
-// change of role, then loads in the order of wanted, each model before its
-// adapters, then unloads, adapters before models. Loads precede unloads so that
-// the old version serves until the new one is loaded.
+// change of role, then loads in the order of wanted, which has the most important
+// model first, each model before its adapters, then unloads, adapters before
+// models. Loads precede unloads so that the old version serves until the new one
+// is loaded.
 func Plan(wanted []manif.ModelVersion, role string, have []string, haveRole string) []Order {
 	target := wantedOrders(wanted)
 	var orders []Order
