--- a/internal/flow/crash/crash.go
+++ b/internal/flow/crash/crash.go
@@ -106,7 +106,7 @@
 // RecordCrash records that an endpoint crashed while it ran a request of this
 // process. It returns the number of crashed endpoints and whether this crash
 // started a quarantine.
-func (t *Tracker) RecordCrash(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+func (t *Tracker) RecordCrash(key Key, endpoint string, now clock.Millis) (crashes int, started bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer t.publishSize()
@@ -143,7 +143,7 @@
 			t.clear(report.Key)
 			continue
 		}
-		if _, begins := t.add(report.Key, report.Endpoint, now); begins {
+		if _, started := t.add(report.Key, report.Endpoint, now); started {
 			began = append(began, report.Key)
 		}
 	}
@@ -276,7 +276,7 @@
 
 // merge adds an entry of the store to the request's record and reports whether that
 // starts a quarantine. The caller holds the lock.
-func (t *Tracker) merge(entry Stored, now clock.Millis) (begins bool) {
+func (t *Tracker) merge(entry Stored, now clock.Millis) (started bool) {
 	r := t.records[entry.Key]
 	if r == nil {
 		t.makeRoom()
@@ -305,7 +305,7 @@
 }
 
 // add counts a crash, unless it is already known. The caller holds the lock.
-func (t *Tracker) add(key Key, endpoint string, now clock.Millis) (crashes int, begins bool) {
+func (t *Tracker) add(key Key, endpoint string, now clock.Millis) (crashes int, started bool) {
 	r := t.records[key]
 	if r == nil || r.cleared {
 		stored := r != nil && r.stored
--- a/internal/flow/crash/crash_test.go
+++ b/internal/flow/crash/crash_test.go
@@ -15,11 +15,11 @@
 }
 
 // crashed records crashes of endpoints e0, e1 and so on.
-func crashed(tracker *crash.Tracker, k crash.Key, endpoints int, now clock.Millis) (begins bool) {
+func crashed(tracker *crash.Tracker, k crash.Key, endpoints int, now clock.Millis) (started bool) {
 	for i := range endpoints {
-		_, begins = tracker.RecordCrash(k, fmt.Sprint("e", i), now)
+		_, started = tracker.RecordCrash(k, fmt.Sprint("e", i), now)
 	}
-	return begins
+	return started
 }
 
 func TestKeyIdentifiesRequest(t *testing.T) {
@@ -48,17 +48,17 @@
 	tracker := crash.New()
 	assert.Assert(t, tracker.Empty())
 	for i := range 2 {
-		crashes, begins := tracker.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
+		crashes, started := tracker.RecordCrash(key("x"), fmt.Sprint("e", i), 10)
 		assert.Equal(t, crashes, i+1)
-		assert.Assert(t, !begins)
+		assert.Assert(t, !started)
 		assert.Equal(t, tracker.QuarantineLeft(key("x"), 10), clock.Millis(0))
 	}
-	_, begins := tracker.RecordCrash(key("x"), "e2", 10)
-	assert.Assert(t, begins)
+	_, started := tracker.RecordCrash(key("x"), "e2", 10)
+	assert.Assert(t, started)
 	assert.Equal(t, tracker.QuarantineLeft(key("x"), 20), crash.QuarantineTime-10)
 	assert.Equal(t, tracker.QuarantineLeft(key("y"), 20), clock.Millis(0))
-	_, begins = tracker.RecordCrash(key("x"), "e3", 30)
-	assert.Assert(t, !begins, "a quarantine starts once")
+	_, started = tracker.RecordCrash(key("x"), "e3", 30)
+	assert.Assert(t, !started, "a quarantine starts once")
 }
 
 // Guards against a request that crashes three endpoints after each quarantine
@@ -182,8 +182,8 @@
 	other := crash.New()
 	began, _ := other.SetStored([]crash.Stored{{Key: key("x"), Age: 100, Endpoints: []string{"e0", "e1"}}}, 50)
 	assert.Equal(t, len(began), 0)
-	_, begins := other.RecordCrash(key("x"), "e7", 60)
-	assert.Assert(t, begins)
+	_, started := other.RecordCrash(key("x"), "e7", 60)
+	assert.Assert(t, started)
 	_, lifted = other.SetStored(nil, 70)
 	assert.DeepEqual(t, lifted, []crash.Key{key("x")})
 	assert.Assert(t, other.Empty())
--- a/internal/flow/sums/query.go
+++ b/internal/flow/sums/query.go
@@ -164,5 +164,5 @@
 	if state == nil {
 		return nil, 0
 	}
-	return state.seen, state.regularAt
+	return state.progress, state.regularAt
 }
--- a/internal/flow/sums/sums.go
+++ b/internal/flow/sums/sums.go
@@ -69,7 +69,7 @@
 	pools     []wire.PoolLoad
 	regularAt clock.Millis
 	inflow    []wire.PendingArrivals
-	seen      []wire.Progress
+	progress  []wire.Progress
 	members   []wire.Presence
 	trials    []wire.Trial
 	// interest is the set of endpoints that a process normally uses, nil for all.
@@ -145,9 +145,9 @@
 			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid load of pool %q", load.Pool)}
 		}
 	}
-	for _, seen := range sums.Progress {
-		if seen.Age < 0 || seen.Changed > seen.Revision {
-			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid revision of %q", seen.Kind)}
+	for _, progress := range sums.Progress {
+		if progress.Age < 0 || progress.Changed > progress.Revision {
+			return &ReportError{Process: from.Process, Cause: fmt.Sprintf("invalid revision of %q", progress.Kind)}
 		}
 	}
 	return checkTrials(from, sums.Trials)
@@ -211,7 +211,7 @@
 		}
 	}
 	if sums.Regular {
-		state.pools, state.regularAt, state.inflow, state.seen = sums.Pools, now, sums.PendingArrivals, sums.Progress
+		state.pools, state.regularAt, state.inflow, state.progress = sums.Pools, now, sums.PendingArrivals, sums.Progress
 	}
 	if sums.HasMembers {
 		state.members = sums.Members
