--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -90,9 +90,9 @@
 	drain    drain.Drain
 	open     map[token.Attempt]*attempt
 	sessions map[*sess.Session]bool
-	// lastHeard is when the last message of each entry with an ended session
+	// lastReceived is when the last message of each entry with an ended session
 	// arrived.
-	lastHeard map[token.Incarnation]clock.Millis
+	lastReceived map[token.Incarnation]clock.Millis
 	// unconfirmed is the set of sessions whose entry has not yet confirmed the
 	// planned stop.
 	unconfirmed map[*sess.Session]bool
@@ -162,7 +162,7 @@
 		keep:         keep.New(),
 		open:         make(map[token.Attempt]*attempt),
 		sessions:     make(map[*sess.Session]bool),
-		lastHeard:    make(map[token.Incarnation]clock.Millis),
+		lastReceived: make(map[token.Incarnation]clock.Millis),
 		unconfirmed:  make(map[*sess.Session]bool),
 		idle:         make(chan struct{}),
 	}
@@ -317,12 +317,12 @@
 	defer a.mu.Unlock()
 	delete(a.sessions, s)
 	now := a.clock.Now()
-	for incarnation, lastHeard := range a.lastHeard {
-		if now-lastHeard > fence.DefaultRetention {
-			delete(a.lastHeard, incarnation)
+	for incarnation, lastReceived := range a.lastReceived {
+		if now-lastReceived > fence.DefaultRetention {
+			delete(a.lastReceived, incarnation)
 		}
 	}
-	a.lastHeard[s.Peer().Incarnation] = max(s.LastReceived(), a.lastHeard[s.Peer().Incarnation])
+	a.lastReceived[s.Peer().Incarnation] = max(s.LastReceived(), a.lastReceived[s.Peer().Incarnation])
 	delete(a.unconfirmed, s)
 }
 
--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -94,11 +94,11 @@
 // a booking that ran.
 func (a *Agent) heardRecently(now clock.Millis, asker *sess.Session) bool {
 	incarnation := asker.Peer().Incarnation
-	lastHeard, known := a.lastHeard[incarnation]
+	lastReceived, known := a.lastReceived[incarnation]
 	for s := range a.sessions {
 		if s != asker && s.Peer().Incarnation == incarnation {
-			lastHeard, known = max(lastHeard, s.LastReceived()), true
+			lastReceived, known = max(lastReceived, s.LastReceived()), true
 		}
 	}
-	return known && now-lastHeard <= fence.DefaultRetention/2
+	return known && now-lastReceived <= fence.DefaultRetention/2
 }
--- a/internal/serve/agent/order.go
+++ b/internal/serve/agent/order.go
@@ -68,13 +68,13 @@
 	holder := a.settings.Process + "/" + a.incarnation.String()
 	engineLease := lease.New(a.orders.caller.Store(call.Lease), orderLeasePrefix+a.settings.Pool+"/"+a.settings.Endpoint, holder, lease.WithClock(a.clock))
 	loadSlots := slot.New(a.orders.caller.Store(call.Lease), weightSlotPrefix, a.orders.slots, holder, slot.WithClock(a.clock))
-	var giver *order.Issuer
+	var issuer *order.Issuer
 	for ctx.Err() == nil {
 		if pool := a.currentPool(); pool != nil {
-			if giver == nil {
-				giver = order.NewIssuer(a.clock, engineLease, pool.Fencing != manif.FencingChecked, sender.Send)
+			if issuer == nil {
+				issuer = order.NewIssuer(a.clock, engineLease, pool.Fencing != manif.FencingChecked, sender.Send)
 			}
-			a.applyOrders(ctx, pool, reader, giver, loadSlots)
+			a.applyOrders(ctx, pool, reader, issuer, loadSlots)
 		}
 		a.waitForOrders(ctx)
 	}
@@ -103,13 +103,13 @@
 
 // applyOrders sends the orders that the engine needs, one after another, until one
 // fails.
-func (a *Agent) applyOrders(ctx context.Context, pool *manif.Pool, reader *load.Poller, giver *order.Issuer, loadSlots *slot.Slots) {
+func (a *Agent) applyOrders(ctx context.Context, pool *manif.Pool, reader *load.Poller, issuer *order.Issuer, loadSlots *slot.Slots) {
 	reading := reader.Read(ctx)
 	if reading.Report == nil {
 		return // no order can be planned: the loaded models are unknown
 	}
 	for _, next := range order.Plan(pool.Models, pool.Role, reading.Report.Models, reading.Report.Role) {
-		send := func(ctx context.Context) error { return giver.Issue(ctx, next) }
+		send := func(ctx context.Context) error { return issuer.Issue(ctx, next) }
 		var err error
 		if next.Loads() {
 			err = loadSlots.Do(ctx, send)
--- a/internal/serve/entry/entry.go
+++ b/internal/serve/entry/entry.go
@@ -142,10 +142,10 @@
 	return func(e *Entry) { e.peerOptions = append(e.peerOptions, peers.WithTLS(config)) }
 }
 
-// WithBeats sets the intervals between heartbeats, in milliseconds, without and
+// WithHeartbeats sets the intervals between heartbeats, in milliseconds, without and
 // with calls in flight.
-func WithBeats(idle, busy clock.Millis) Option {
-	return func(e *Entry) { e.peerOptions = append(e.peerOptions, peers.WithBeats(idle, busy)) }
+func WithHeartbeats(idle, busy clock.Millis) Option {
+	return func(e *Entry) { e.peerOptions = append(e.peerOptions, peers.WithHeartbeats(idle, busy)) }
 }
 
 // WithPeers adds options for the sessions to agents, for example to distribute
--- a/internal/serve/entry/share.go
+++ b/internal/serve/entry/share.go
@@ -72,7 +72,7 @@
 	e.sharing.poolByAddress = make(map[string]string)
 	e.gate = e.refuseIsolated
 	return []peers.Option{
-		peers.WithOpened(n.SessionOpened), peers.WithClosed(n.SessionClosed), peers.WithNewerRelease(n.NewerRelease),
+		peers.WithSessionOpened(n.SessionOpened), peers.WithSessionClosed(n.SessionClosed), peers.WithNewerRelease(n.NewerRelease),
 		peers.WithOtherFrames(n.HandleFrame), peers.WithSession(sess.WithOutside(n.Outside)),
 	}
 }
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -86,9 +86,9 @@
 // returns nil.
 func WithTLS(config func() *tls.Config) Option { return func(p *Peers) { p.tls = config } }
 
-// WithBeats sets the intervals between heartbeats, in milliseconds, without and
+// WithHeartbeats sets the intervals between heartbeats, in milliseconds, without and
 // with calls in flight.
-func WithBeats(idle, busy clock.Millis) Option {
+func WithHeartbeats(idle, busy clock.Millis) Option {
 	return func(p *Peers) { p.beatIdle, p.beatBusy = idle, busy }
 }
 
@@ -97,15 +97,15 @@
 	return func(p *Peers) { p.session = append(p.session, opts...) }
 }
 
-// WithOpened sets a function that is called with each new session and its remote
+// WithSessionOpened sets a function that is called with each new session and its remote
 // address.
-func WithOpened(opened func(s *sess.Session, address string)) Option {
+func WithSessionOpened(opened func(s *sess.Session, address string)) Option {
 	return func(p *Peers) { p.openedFunc = opened }
 }
 
-// WithClosed sets a function that is called with each ended session and its
+// WithSessionClosed sets a function that is called with each ended session and its
 // remote address.
-func WithClosed(closed func(s *sess.Session, address string)) Option {
+func WithSessionClosed(closed func(s *sess.Session, address string)) Option {
 	return func(p *Peers) { p.closedFunc = closed }
 }
 
--- a/internal/serve/runs/stage.go
+++ b/internal/serve/runs/stage.go
@@ -51,7 +51,7 @@
 	*Runs
 	job         *job
 	machine     *stage.Machine
-	box         *peers.EventQueue
+	eventQueue  *peers.EventQueue
 	peerPool    *peers.Pool
 	attempts    []attempt // by number
 	avoid       pick.Avoid
@@ -79,7 +79,7 @@
 		config.Times = budget.Times{}
 	}
 	x := &stageRun{
-		Runs: r, job: j, machine: stage.New(config), box: peers.NewEventQueue(), peerPool: peerPool,
+		Runs: r, job: j, machine: stage.New(config), eventQueue: peers.NewEventQueue(), peerPool: peerPool,
 		beganAt: r.clock.Now(), stopTimer: func() {},
 	}
 	defer x.closeAll()
@@ -102,8 +102,8 @@
 		x.timer, x.stopTimer = x.clock.After(at - x.clock.Now())
 	}
 	select {
-	case <-x.box.Ready():
-		x.events = x.box.Swap(x.events)
+	case <-x.eventQueue.Ready():
+		x.events = x.eventQueue.Swap(x.events)
 		for i := range x.events {
 			x.handleEvent(&x.events[i])
 			x.runActions()
@@ -235,7 +235,7 @@
 	call.TimeLeft = min(x.job.deadline, x.beganAt+x.job.plan.Limit) - now
 	// Recorded before sending, because the answer may arrive before Call returns.
 	x.attempts[action.Attempt] = attempt{id: call.ID, endpoint: endpoint, link: link, sentAt: now, open: true}
-	session, err := link.Call(&call, x.box, action.Attempt)
+	session, err := link.Call(&call, x.eventQueue, action.Attempt)
 	if err != nil {
 		x.attempts[action.Attempt] = attempt{}
 		return false
