--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -187,7 +187,7 @@
 func (r *run) await(ctx context.Context) error {
 	end := time.Now().Add(startLimit)
 	for _, p := range r.processes {
-		for !p.ready(platform.Spelling().ReadyPath) {
+		for !p.ready(platform.Codec().ReadyPath) {
 			if time.Now().After(end) || ctx.Err() != nil {
 				return &StartError{Process: p.name}
 			}
--- a/internal/serve/feed/feed.go
+++ b/internal/serve/feed/feed.go
@@ -57,7 +57,7 @@
 
 	// listFunc takes the complete list and the duration of the outage before it;
 	// changeFunc takes changes in order; forwardFunc relays both to peers.
-	listFunc      func(objects []store.Object, away clock.Millis)
+	listFunc      func(objects []store.Object, outage clock.Millis)
 	changeFunc    func(changes []store.Change)
 	forwardFunc   func(*wire.Update)
 	listRequested chan struct{}
@@ -115,9 +115,9 @@
 	return func(f *Feed) { f.relayGrace, f.firstWait = grace, firstWait }
 }
 
-// WithList sets the handler for the complete list. Away is the duration of the
-// outage of the store before it, in milliseconds, 0 for none.
-func WithList(list func(objects []store.Object, away clock.Millis)) Option {
+// WithList sets the handler for the complete list. The parameter outage is the
+// duration of the outage of the store before it, in milliseconds, 0 for none.
+func WithList(list func(objects []store.Object, outage clock.Millis)) Option {
 	return func(f *Feed) { f.listFunc = list }
 }
 
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -67,18 +67,18 @@
 type received struct {
 	mu      sync.Mutex
 	lists   []int
-	away    []clock.Millis
+	outages []clock.Millis
 	changes int
 }
 
 func run(t *testing.T, s *script) (*feed.Feed, *received) {
 	t.Helper()
 	h := &received{}
-	f := feed.New("k", s.store(), feed.WithList(func(objects []store.Object, away clock.Millis) {
+	f := feed.New("k", s.store(), feed.WithList(func(objects []store.Object, outage clock.Millis) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.lists = append(h.lists, len(objects))
-		h.away = append(h.away, away)
+		h.outages = append(h.outages, outage)
 	}), feed.WithChanges(func(changes []store.Change) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -125,7 +125,7 @@
 		scans:   []func() (store.Listing, error){failedScan, failedScan, listed(5, "k/a")},
 		follows: []func(context.Context) (store.Changes, error){blockUntilDone},
 	})
-	h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 && h.away[0] >= 50 })
+	h.waitFor(t, func(h *received) bool { return len(h.lists) == 1 && h.outages[0] >= 50 })
 }
 
 // Guards against missed changes: a feed reads the complete list again after dropped
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -151,9 +151,9 @@
 }
 
 // buildSnapshot returns all objects; the caller holds the lock.
-func (f *Feed) buildSnapshot(away clock.Millis) *wire.Update {
+func (f *Feed) buildSnapshot(outage clock.Millis) *wire.Update {
 	update := &wire.Update{
-		Kind: f.kind, Revision: f.state.revision, Changed: f.state.lastChange, Whole: true, Outage: away,
+		Kind: f.kind, Revision: f.state.revision, Changed: f.state.lastChange, Whole: true, Outage: outage,
 		Age: max(f.clock.Now()-f.state.confirmedAt, 0),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.state.objects)) {
@@ -165,7 +165,7 @@
 
 // applyList replaces all objects by the list of a revision. It ignores a list that
 // is not newer, unless a list is required.
-func (f *Feed) applyList(objects []store.Object, revision, changed uint64, away, at clock.Millis) {
+func (f *Feed) applyList(objects []store.Object, revision, changed uint64, outage, at clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &f.state
@@ -180,8 +180,8 @@
 	for _, object := range objects {
 		s.objects[object.Name] = object
 	}
-	f.listFunc(objects, away)
-	f.forwardFunc(f.buildSnapshot(away))
+	f.listFunc(objects, outage)
+	f.forwardFunc(f.buildSnapshot(outage))
 }
 
 // applyChanges applies the changes between two revisions and returns the revision
@@ -258,15 +258,15 @@
 
 // Confirm takes the progress of a peer as of an instant. It reports whether this
 // feed lacks changes that the peer has; then the progress is ignored.
-func (f *Feed) Confirm(seen wire.Progress, now clock.Millis) (missing bool) {
+func (f *Feed) Confirm(progress wire.Progress, now clock.Millis) (missing bool) {
 	f.mu.Lock()
-	if f.state.revision < seen.Changed || !f.state.listed {
+	if f.state.revision < progress.Changed || !f.state.listed {
 		f.mu.Unlock()
 		return true
 	}
-	f.state.revision, f.state.listDue = max(f.state.revision, seen.Revision), false
+	f.state.revision, f.state.listDue = max(f.state.revision, progress.Revision), false
 	f.mu.Unlock()
-	f.recordRelay(now - seen.Age)
+	f.recordRelay(now - progress.Age)
 	return false
 }
 
--- a/internal/serve/gate/accept.go
+++ b/internal/serve/gate/accept.go
@@ -107,9 +107,9 @@
 // refuses reaches no endpoint.
 func (g *Gate) accept(w http.ResponseWriter, r *http.Request, now clock.Millis) (*request, *fault.RefusalError) {
 	req := &request{began: now, firstArrival: now, method: r.Method, host: r.Host, target: r.RequestURI, header: r.Header}
-	demand, err := g.Spelling.RequestInfoFunc(r.Header)
-	req.RequestInfo = demand
-	req.partKeys = target.KeysOf(demand.Parts)
+	info, err := g.Codec.RequestInfoFunc(r.Header)
+	req.RequestInfo = info
+	req.partKeys = target.KeysOf(info.Parts)
 	if len(r.TransferEncoding) > 0 {
 		// If a request has both a Content-Length and chunked encoding, two readers may
 		// disagree on where the body ends. The connection is closed so that the following
--- a/internal/serve/gate/again.go
+++ b/internal/serve/gate/again.go
@@ -23,7 +23,7 @@
 	return digest.Sum64()
 }
 
-// applyEarlierRefusal checks whether the caller was refused earlier and asked to return. If
+// applyEarlierRefusal checks whether the caller was refused earlier with a retry time. If
 // so, the time to the objective counts from the caller's first attempt.
 func (g *Gate) applyEarlierRefusal(req *request) {
 	refusal, found := g.refusals.Lookup(refusalKey(req), req.began)
--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -186,7 +186,7 @@
 	if req.pool.Generation != nil {
 		call.Urgency = urgency(req, now)
 	}
-	head = g.Spelling.CallFunc(head, call)
+	head = g.Codec.CallFunc(head, call)
 	if len(req.body) > 0 || req.method == http.MethodPost || req.method == http.MethodPut || req.method == http.MethodPatch {
 		head = append(head, "Content-Length: "...)
 		head = strconv.AppendInt(head, int64(len(req.body)), 10)
@@ -201,7 +201,7 @@
 	return &conn.Request{
 		Method: req.method, Head: head, Body: req.body, MaxIdle: maxIdle,
 		MatchFunc: func(header http.Header, fresh bool) bool {
-			answerID := g.Spelling.ResponseInfoFunc(header).Request
+			answerID := g.Codec.ResponseInfoFunc(header).Request
 			return answerID == id || (answerID == "" && fresh)
 		},
 	}
@@ -222,7 +222,7 @@
 func (g *Gate) appendHeaders(head []byte, header http.Header) []byte {
 	drop := connectionHeaders(header)
 	for name, values := range header {
-		if hopHeaders[name] || drop[name] || g.Spelling.ReservedFunc(name) {
+		if hopHeaders[name] || drop[name] || g.Codec.ReservedFunc(name) {
 			continue
 		}
 		for _, value := range values {
@@ -263,14 +263,14 @@
 
 // handleReply decides by the head of an answer whether to pass it on.
 func (g *Gate) handleReply(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, timer *stallTimer, began clock.Millis) attemptResult {
-	marks := g.Spelling.ResponseInfoFunc(reply.Header)
-	if marks.Cold > 0 {
-		t.SetCold(g.Clock.Now() + marks.Cold)
+	info := g.Codec.ResponseInfoFunc(reply.Header)
+	if info.Cold > 0 {
+		t.SetCold(g.Clock.Now() + info.Cold)
 	}
 	switch {
-	case marks.NotRun || reply.Status == http.StatusMisdirectedRequest:
-		return g.handleRefusal(req, t, reply, marks)
-	case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices && !marks.Sealed:
+	case info.NotRun || reply.Status == http.StatusMisdirectedRequest:
+		return g.handleRefusal(req, t, reply, info)
+	case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices && !info.Sealed:
 		req.mayHaveRun = true
 		t.RecordFailure(g.Clock.Now())
 		l.rolloutAttempt.RecordBreak()
@@ -280,16 +280,16 @@
 	if reply.Status < http.StatusMultipleChoices && req.route.Kind == table.Stream {
 		return g.passEvents(w, req, t, reply, l, timer)
 	}
-	return g.passComplete(w, req, t, reply, l, marks, began)
+	return g.passComplete(w, req, t, reply, l, info, began)
 }
 
 // handleRefusal returns the result of an attempt whose endpoint answered that it did not
 // run the request.
-func (g *Gate) handleRefusal(req *request, t *target.Target, reply *conn.Reply, marks spell.ResponseInfo) attemptResult {
+func (g *Gate) handleRefusal(req *request, t *target.Target, reply *conn.Reply, info spell.ResponseInfo) attemptResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxPlainBytes)) // only the head matters
 	now := g.Clock.Now()
 	g.Log.Info("endpoint refused", "request", req.Request, "endpoint", t.ID, "status", reply.Status,
-		"running", marks.Running, "waiting", marks.Waiting, "slots", marks.Slots)
+		"running", info.Running, "waiting", info.Waiting, "slots", info.Slots)
 	switch reply.Status {
 	case http.StatusMisdirectedRequest:
 		t.BlockReplaced(now)
--- a/internal/serve/gate/choose.go
+++ b/internal/serve/gate/choose.go
@@ -275,7 +275,7 @@
 }
 
 // planEngine chooses the engine that would run the request if it were sent now, so that its
-// inputs are made near it, and returns the expected time there to the first event. Until
+// inputs are computed near it, and returns the expected time there to the first event. Until
 // the request is sent, its prompt counts as planned at that engine: many requests end their
 // stages at the same moment, and without this they would all choose the same idle engine.
 func (g *Gate) planEngine(req *request) clock.Millis {
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -37,7 +37,7 @@
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
-	Spelling *spell.Codec
+	Codec    *spell.Codec
 	Registry prometheus.Registerer
 	// Name of this process, and its availability zone.
 	Name string
@@ -175,7 +175,7 @@
 // callers, else 503.
 func (g *Gate) ReadyHandler() http.Handler {
 	router := chi.NewRouter()
-	router.Get(g.Spelling.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.Get(g.Codec.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -275,5 +275,5 @@
 }
 
 // answerMargin is added to the deadline for an endpoint's answer: an endpoint that stops at
-// the deadline sends a failure of its own, which is more precise than a refusal made here.
+// the deadline sends a failure of its own, which is more precise than a refusal sent here.
 const answerMargin = 60 * clock.Millis(1)
--- a/internal/serve/gate/pass.go
+++ b/internal/serve/gate/pass.go
@@ -34,7 +34,7 @@
 // passComplete reads an answer to its end and then passes it on. If the answer breaks off,
 // the caller has received nothing: the request can go to another endpoint if it may be
 // repeated, and otherwise the caller gets a failure instead of a partial answer.
-func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, marks spell.ResponseInfo, began clock.Millis) attemptResult {
+func (g *Gate) passComplete(w http.ResponseWriter, req *request, t *target.Target, reply *conn.Reply, l *attemptLoad, info spell.ResponseInfo, began clock.Millis) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPlainBytes+1))
 	if err != nil {
 		t.RecordFailure(g.Clock.Now())
@@ -44,7 +44,7 @@
 	}
 	serverError := reply.Status >= http.StatusInternalServerError
 	t.RecordAnswer(g.Clock.Since(began), serverError)
-	l.rolloutAttempt.RecordAnswer(serverError || (!marks.Sealed && len(body) <= maxPlainBytes))
+	l.rolloutAttempt.RecordAnswer(serverError || (!info.Sealed && len(body) <= maxPlainBytes))
 	if req.headSent {
 		return g.resumeFailure(req, t, reply.Status)
 	}
@@ -54,7 +54,7 @@
 	if len(body) > maxPlainBytes {
 		return g.passLong(w, req, reply, body)
 	}
-	if !marks.Sealed && !serverError {
+	if !info.Sealed && !serverError {
 		return attemptResult{outcome: broken, err: fault.Refuse(fault.AnswerBroken, "the answer has no seal")}
 	}
 	copyHeaders(w, reply)
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -16,10 +16,10 @@
 	stage      int
 	began      clock.Millis
 	inputsRead bool
-	// pool is the shard whose owner made the pieces.
-	pool string
-	made *wire.Results
-	err  error
+	// pool is the shard whose owner computed the pieces.
+	pool    string
+	results *wire.Results
+	err     error
 }
 
 // progress runs the stages of one request.
@@ -137,8 +137,8 @@
 	began := p.g.Clock.Now()
 	go func() {
 		inputsRead := func() { p.stageEvents <- stageEvent{stage: pieces.Stage, inputsRead: true} }
-		made, err := p.g.makePieces(ctx, p.req, pieces, inputsRead)
-		p.stageEvents <- stageEvent{stage: pieces.Stage, began: began, pool: pieces.Pool, made: made, err: err}
+		results, err := p.g.requestPieces(ctx, p.req, pieces, inputsRead)
+		p.stageEvents <- stageEvent{stage: pieces.Stage, began: began, pool: pieces.Pool, results: results, err: err}
 	}()
 }
 
@@ -187,13 +187,13 @@
 // longer needed.
 func (p *progress) recordResults(event stageEvent) {
 	stage := p.req.route.Stages[event.stage]
-	for i, reference := range event.made.References {
+	for i, reference := range event.results.References {
 		location := resultLocation{pool: event.pool, bytes: stage.ResultBytes}
-		if i < len(event.made.Zones) && i < len(event.made.Endpoints) {
-			location.zone, location.endpoint = event.made.Zones[i], event.made.Endpoints[i]
+		if i < len(event.results.Zones) && i < len(event.results.Endpoints) {
+			location.zone, location.endpoint = event.results.Zones[i], event.results.Endpoints[i]
 		}
 		p.req.results[reference] = location
 	}
-	p.req.run.Finish(event.stage, event.made.References)
+	p.req.run.Finish(event.stage, event.results.References)
 	p.g.releaseResults(p.req, p.req.run.ReleaseConsumed())
 }
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -19,8 +19,8 @@
 	// later for each step of lower priority.
 	organisationPenalty = 200 * clock.Millis(1)
 	routePenalty        = 500 * clock.Millis(1)
-	// maxOwnerAttempts is how often the owner of a pool is asked when sessions break, and
-	// ownerRetryDelay the time between the attempts: sessions announce a planned stop
+	// maxOwnerAttempts is how often pieces are requested from an owner when sessions break,
+	// and ownerRetryDelay the time between the attempts: sessions announce a planned stop
 	// within some milliseconds, and a restarted process has joined again by then.
 	maxOwnerAttempts = 8
 	ownerRetryDelay  = 40 * clock.Millis(1)
@@ -48,7 +48,8 @@
 	return err
 }
 
-// piecesRequest returns the message that asks a pool's owner for the pieces of a stage.
+// piecesRequest returns the message that requests the pieces of a stage from a pool's
+// owner.
 func (g *Gate) piecesRequest(req *request, stage int) *wire.Pieces {
 	now := g.Clock.Now()
 	inputs := req.run.Inputs(stage)
@@ -133,11 +134,11 @@
 	return best
 }
 
-// makePieces asks the owner of a pool for pieces, and its successor if the owner is lost or
-// leaves; making pieces twice is safe. While hosts are restarted one after the other,
-// processes briefly disagree on the owner, and the next owner may be leaving too. After a
-// delay one of them stays.
-func (g *Gate) makePieces(ctx context.Context, req *request, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
+// requestPieces requests pieces from the owner of a pool, and from its successor if the
+// owner is lost or leaves; computing pieces twice is safe. While hosts are restarted one after the
+// other, processes briefly disagree on the owner, and the next owner may be leaving too. A
+// delay gives time for an owner that does not leave.
+func (g *Gate) requestPieces(ctx context.Context, req *request, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
 	tried := make(map[string]bool)
 	pool, hold := pieces.Pool, pieces.Hold
 	for attempt := range maxOwnerAttempts {
@@ -147,7 +148,7 @@
 		pieces.TimeLeft = req.deadline - g.Clock.Now() - g.minTimeAfter(req, pieces.Stage)
 		pieces.Hold = hold
 		g.chooseShard(pieces, pool, tried)
-		made, err := g.sendToOwner(ctx, pieces, inputsRead)
+		results, err := g.sendToOwner(ctx, pieces, inputsRead)
 		var lost *mesh.LostError
 		switch {
 		case errors.As(err, &lost):
@@ -155,20 +156,20 @@
 			g.Log.Info("owner lost", "request", req.Request, "pool", pieces.Pool, "peer", lost.Peer, "try", attempt)
 		case err != nil:
 			return nil, err
-		case made.Reason == fault.Leaving:
-		case made.Reason == fault.ZoneEvacuated:
+		case results.Reason == fault.Leaving:
+		case results.Reason == fault.ZoneEvacuated:
 			tried[pieces.Pool] = true
 			g.Log.Info("shard dissolved", "request", req.Request, "pool", pieces.Pool, "try", attempt)
-		case made.Reason != "":
-			return nil, g.stageRefusal(req, pieces, made)
+		case results.Reason != "":
+			return nil, g.stageRefusal(req, pieces, results)
 		default:
-			return made, nil
+			return results, nil
 		}
 	}
 	return nil, fault.Refuse(fault.NoEndpoint, "no owner of pool "+pool+" is available")
 }
 
-// chooseShard sets the shard of the pool that makes the pieces. A shard outside the
+// chooseShard sets the shard of the pool that computes the pieces. A shard outside the
 // requested zone places them at any of its engines.
 func (g *Gate) chooseShard(pieces *wire.Pieces, pool string, tried map[string]bool) {
 	poolShards, batching := g.View().Shards(pool), g.Table().Batching(pool)
@@ -202,8 +203,8 @@
 	}
 }
 
-// waitBeforeOwner waits before the owner is asked again. There is no wait before the second
-// attempt, because the first successor is known at once.
+// waitBeforeOwner waits before the request to the owner is repeated. There is no wait before
+// the second attempt, because the first successor is known at once.
 func (g *Gate) waitBeforeOwner(ctx context.Context, attempt int) error {
 	if attempt < 2 {
 		return nil
@@ -212,14 +213,14 @@
 }
 
 // stageRefusal returns the refusal of a request whose pieces the owner refused.
-func (g *Gate) stageRefusal(req *request, pieces *wire.Pieces, made *wire.Results) error {
+func (g *Gate) stageRefusal(req *request, pieces *wire.Pieces, results *wire.Results) error {
 	g.Log.Info("stage refused", "request", req.Request, "pool", pieces.Pool, "stage", pieces.Stage,
-		"reason", made.Reason, "timeLeftMs", int64(req.deadline-g.Clock.Now()))
-	reason := made.Reason
+		"reason", results.Reason, "timeLeftMs", int64(req.deadline-g.Clock.Now()))
+	reason := results.Reason
 	if reason == fault.EndpointFailed {
 		reason = fault.NoEndpoint // EndpointFailed would mean that the request itself may have run
 	}
-	return &fault.RefusalError{Reason: reason, Ran: fault.NotRun, RetryAfter: made.RetryAfter, Detail: "refused by a stage in pool " + pieces.Pool}
+	return &fault.RefusalError{Reason: reason, Ran: fault.NotRun, RetryAfter: results.RetryAfter, Detail: "refused by a stage in pool " + pieces.Pool}
 }
 
 func (g *Gate) sendToOwner(ctx context.Context, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
--- a/internal/serve/host/call.go
+++ b/internal/serve/host/call.go
@@ -140,7 +140,7 @@
 			Request: g.Request, Stage: g.Stage, Index: item.Piece, Left: g.Deadline - now, Key: g.Key, Inputs: g.Inputs,
 		})
 	}
-	body, err := h.Spelling.PiecesFunc(pieces)
+	body, err := h.Codec.PiecesFunc(pieces)
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.Spelling.ResultsFunc(raw, len(items))
+	return h.Codec.ResultsFunc(raw, len(items))
 }
 
 // exchangeWatched sends pieces to an engine and returns the body of its answer. It
@@ -164,7 +164,7 @@
 		defer close(watchEnded)
 		h.watchAnswer(ctx, cancel, endpoint, expected)
 	}()
-	raw, err := h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.PiecesPath, body, 0)
+	raw, err := h.exchange(ctx, endpoint, http.MethodPost, h.Codec.PiecesPath, body, 0)
 	cancel(nil)
 	<-watchEnded
 	var lost *LostAnswerError
@@ -206,7 +206,7 @@
 func (h *Host) exchange(ctx context.Context, endpoint *view.Endpoint, method, path string, body []byte, maxIdle clock.Millis) ([]byte, error) {
 	head := make([]byte, 0, 256)
 	head = append(head, method+" "+path+" HTTP/1.1\r\nHost: "+endpoint.Address+"\r\nContent-Type: application/json\r\n"...)
-	head = h.Spelling.InstanceFunc(head, endpoint.ID)
+	head = h.Codec.InstanceFunc(head, endpoint.ID)
 	head = append(head, "Content-Length: "...)
 	head = strconv.AppendInt(head, int64(len(body)), 10)
 	if maxIdle == 0 {
@@ -222,9 +222,9 @@
 	if err != nil {
 		return nil, &conn.SentError{Address: endpoint.Address, Cause: err}
 	}
-	marks := h.Spelling.ResponseInfoFunc(reply.Header)
+	info := h.Codec.ResponseInfoFunc(reply.Header)
 	switch {
-	case marks.NotRun || reply.Status == http.StatusMisdirectedRequest:
+	case info.NotRun || reply.Status == http.StatusMisdirectedRequest:
 		return nil, &RefusedError{Endpoint: endpoint.ID, Status: reply.Status}
 	case reply.Status != http.StatusOK:
 		return nil, &StatusError{Endpoint: endpoint.ID, Status: reply.Status}
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -86,9 +86,9 @@
 
 // Settings are the dependencies of a Host.
 type Settings struct {
-	Clock    *clock.Clock
-	Log      *log.Logger
-	Spelling *spell.Codec
+	Clock *clock.Clock
+	Log   *log.Logger
+	Codec *spell.Codec
 	// Table and View return the current routes and endpoints.
 	Table func() *table.Table
 	View  func() *view.Snapshot
@@ -165,8 +165,8 @@
 	h.markResultsUnused(q, job)
 }
 
-// Abandon fails a job whose requesting process is gone or has turned to another
-// owner.
+// Abandon fails a job whose requesting process has ended or has sent the request
+// to another owner.
 func (h *Host) Abandon(job *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// MarkUnused records that results are no longer needed, or, if they are spare, that
-// they are needed again only if a stage fails.
+// MarkUnused records that results are no longer needed, or, if they are
+// reclaimable, that they are needed again only if a stage fails.
 func (h *Host) MarkUnused(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -234,8 +234,9 @@
 	}
 }
 
-// Retire fails all jobs of which no piece has been sent, because this process
-// leaves: their senders turn to the next owner. This process completes the others.
+// Retire fails all jobs of which no piece has been sent, because this process is
+// stopping: their senders repeat the requests at the next owner. This process
+// completes the other jobs.
 func (h *Host) Retire() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/serve/host/host_test.go
+++ b/internal/serve/host/host_test.go
@@ -110,7 +110,7 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func spelling() *spell.Codec {
+func codec() *spell.Codec {
 	return &spell.Codec{
 		PiecesPath: "/pieces", FreePath: "/unused", ReportPath: "/report",
 		InstanceFunc:     func(buf []byte, _ string) []byte { return buf },
@@ -159,7 +159,7 @@
 	groups := map[*view.Endpoint]*conn.Group{}
 	endpoints.Snapshot().Each(func(e *view.Endpoint) { groups[e] = conn.New(e.Address) })
 	h.Host = host.New(t.Context(), host.Settings{
-		Clock: clock.New(), Log: log.New(io.Discard), Spelling: spelling(),
+		Clock: clock.New(), Log: log.New(io.Discard), Codec: codec(),
 		Table: func() *table.Table { return routes }, View: endpoints.Snapshot,
 		Conns: func(e *view.Endpoint) *conn.Group { return groups[e] },
 		Retry: func(string) bool { return h.retries.Add(-1) >= 0 }, Earn: func(string) {},
--- a/internal/serve/host/room.go
+++ b/internal/serve/host/room.go
@@ -76,11 +76,11 @@
 func (h *Host) fetchReport(endpoint *view.Endpoint) (spell.StageReport, error) {
 	ctx, cancel := context.WithTimeout(h.base, reportTimeout.Duration())
 	defer cancel()
-	raw, err := h.exchange(ctx, endpoint, http.MethodGet, h.Spelling.ReportPath, nil, maxReuseIdle)
+	raw, err := h.exchange(ctx, endpoint, http.MethodGet, h.Codec.ReportPath, nil, maxReuseIdle)
 	if err != nil {
 		return spell.StageReport{}, err
 	}
-	return h.Spelling.ReportFunc(raw)
+	return h.Codec.ReportFunc(raw)
 }
 
 // freeUnused frees unused results at engines whose memory is getting full. The
@@ -117,12 +117,12 @@
 const freeTimeout = 1500 * clock.Millis(1)
 
 func (h *Host) freeResults(endpoint *view.Endpoint, references []string) error {
-	body, err := h.Spelling.FreeFunc(references)
+	body, err := h.Codec.FreeFunc(references)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(h.base, freeTimeout.Duration())
 	defer cancel()
-	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Spelling.FreePath, body, maxReuseIdle)
+	_, err = h.exchange(ctx, endpoint, http.MethodPost, h.Codec.FreePath, body, maxReuseIdle)
 	return err
 }
--- a/internal/serve/mesh/ask.go
+++ b/internal/serve/mesh/ask.go
@@ -21,9 +21,9 @@
 
 // RequestPieces sends a request for pieces to a peer and waits for its answer. If
 // the context ends first, the request is withdrawn. The session's reader calls
-// fetched when all pieces have read their inputs. RequestPieces returns a
+// inputsRead when all pieces have read their inputs. RequestPieces returns a
 // LostError if the peer can't answer.
-func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, fetched func()) (*wire.Results, error) {
+func (m *Mesh) RequestPieces(ctx context.Context, to string, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
 	l := m.openLink(ctx, to)
 	if l == nil {
 		if ctx.Err() != nil {
@@ -32,7 +32,7 @@
 		return nil, &LostError{Peer: to}
 	}
 	pieces.CallID = m.lastCallID.Add(1)
-	request := &pendingRequest{answer: make(chan *wire.Results, 1), fetched: fetched}
+	request := &pendingRequest{answer: make(chan *wire.Results, 1), inputsRead: inputsRead}
 	m.mu.Lock()
 	if l.pending == nil {
 		m.mu.Unlock()
@@ -47,14 +47,14 @@
 		return nil, &LostError{Peer: to}
 	}
 	select {
-	case made := <-request.answer:
-		if made == nil {
+	case results := <-request.answer:
+		if results == nil {
 			return nil, &LostError{Peer: to}
 		}
-		if made.Reason == fault.Leaving {
+		if results.Reason == fault.Leaving {
 			m.setLeaving(l.session.Peer(), true)
 		}
-		return made, nil
+		return results, nil
 	case <-ctx.Done():
 		m.removePending(l, pieces.CallID)
 		// If the frame can't be sent, the session is ending, which withdraws the request.
@@ -69,7 +69,7 @@
 	delete(l.pending, callID)
 }
 
-// FreeResults tells a peer which of its results are not needed any more. The
+// FreeResults informs a peer which of its results are no longer needed. The
 // message may be lost: results expire anyway.
 func (m *Mesh) FreeResults(to string, unused *wire.Unused) {
 	l := m.linkTo(to)
@@ -111,9 +111,9 @@
 	from := s.Peer().Process
 	switch frame.Kind {
 	case wire.KindInputsRead:
-		m.handleFetched(s, frame.InputsRead.CallID)
+		m.handleInputsRead(s, frame.InputsRead.CallID)
 	case wire.KindResults:
-		m.handleMade(s, frame.Results)
+		m.handleResults(s, frame.Results)
 	case wire.KindTotal:
 		m.handleTotal(from, frame.Sums)
 	case wire.KindGroup:
@@ -180,12 +180,12 @@
 // ignored: if the session has ended, the peer has detected it too.
 func newReply(s *sess.Session, callID uint64) Reply {
 	return Reply{
-		FetchedFunc: func() {
+		InputsReadFunc: func() {
 			_ = s.Send(&wire.Frame{Kind: wire.KindInputsRead, InputsRead: &wire.InputsRead{CallID: callID}})
 		},
-		MadeFunc: func(made *wire.Results) {
-			made.CallID = callID
-			_ = s.Send(&wire.Frame{Kind: wire.KindResults, Results: made})
+		ResultsFunc: func(results *wire.Results) {
+			results.CallID = callID
+			_ = s.Send(&wire.Frame{Kind: wire.KindResults, Results: results})
 		},
 	}
 }
@@ -199,20 +199,20 @@
 	return nil
 }
 
-func (m *Mesh) handleFetched(s *sess.Session, callID uint64) {
+func (m *Mesh) handleInputsRead(s *sess.Session, callID uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if request := m.pendingOn(s)[callID]; request != nil {
-		request.fetched()
+		request.inputsRead()
 	}
 }
 
-func (m *Mesh) handleMade(s *sess.Session, made *wire.Results) {
+func (m *Mesh) handleResults(s *sess.Session, results *wire.Results) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pending := m.pendingOn(s)
-	if request := pending[made.CallID]; request != nil {
-		delete(pending, made.CallID)
-		request.answer <- made
+	if request := pending[results.CallID]; request != nil {
+		delete(pending, results.CallID)
+		request.answer <- results
 	}
 }
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -108,7 +108,7 @@
 // Follower.MaxPeerAge.
 func (m *Mesh) isFresh(name string, now clock.Millis) bool {
 	for _, source := range []sums.Source{{Process: name, OtherGroup: true}, {Process: name}} {
-		if seen, at := m.totals.StoreRevisions(source); len(seen) > 0 && !isStale(seen, m.follower.MaxPeerAge-(now-at)) {
+		if progress, at := m.totals.StoreRevisions(source); len(progress) > 0 && !isStale(progress, m.follower.MaxPeerAge-(now-at)) {
 			return true
 		}
 	}
@@ -117,8 +117,8 @@
 
 // isStale reports whether the store last confirmed some kind of objects longer ago
 // than bound.
-func isStale(seen []wire.Progress, bound clock.Millis) bool {
-	return slices.ContainsFunc(seen, func(s wire.Progress) bool { return s.Age > bound })
+func isStale(progress []wire.Progress, bound clock.Millis) bool {
+	return slices.ContainsFunc(progress, func(s wire.Progress) bool { return s.Age > bound })
 }
 
 func (m *Mesh) ifOpen(l *link) *link {
@@ -134,9 +134,9 @@
 // if kinds is nil.
 func (m *Mesh) requestChanges(l *link, kinds []string) {
 	follow := &wire.Follow{}
-	for _, seen := range m.follower.ProgressFunc() {
-		if kinds == nil || slices.Contains(kinds, seen.Kind) {
-			follow.Kinds = append(follow.Kinds, wire.Revision{Kind: seen.Kind, Revision: seen.Revision})
+	for _, progress := range m.follower.ProgressFunc() {
+		if kinds == nil || slices.Contains(kinds, progress.Kind) {
+			follow.Kinds = append(follow.Kinds, wire.Revision{Kind: progress.Kind, Revision: progress.Revision})
 		}
 	}
 	m.sendOn(l, &wire.Frame{Kind: wire.KindFollow, Follow: follow})
@@ -182,8 +182,8 @@
 
 // confirmProgress applies the progress of the upstream and requests missing
 // changes.
-func (m *Mesh) confirmProgress(from string, seen []wire.Progress, now clock.Millis) {
-	m.requestMissing(from, m.follower.ConfirmFunc(seen, now))
+func (m *Mesh) confirmProgress(from string, progress []wire.Progress, now clock.Millis) {
+	m.requestMissing(from, m.follower.ConfirmFunc(progress, now))
 }
 
 // requestMissing requests changes of the given kinds from the upstream, at most
--- a/internal/serve/mesh/link.go
+++ b/internal/serve/mesh/link.go
@@ -13,8 +13,8 @@
 
 // pendingRequest is a request for pieces without an answer yet.
 type pendingRequest struct {
-	answer  chan *wire.Results
-	fetched func()
+	answer     chan *wire.Results
+	inputsRead func()
 }
 
 // link is a session that this process opened to a peer. Only the process that
--- a/internal/serve/mesh/mesh.go
+++ b/internal/serve/mesh/mesh.go
@@ -62,11 +62,11 @@
 	Capacity float64 `json:"capacity,omitempty"`
 }
 
-// Reply holds the functions that answer a request for pieces: FetchedFunc
-// reports that the inputs were read, MadeFunc sends the result.
+// Reply holds the functions that answer a request for pieces: InputsReadFunc
+// reports that the inputs were read, ResultsFunc sends the results.
 type Reply struct {
-	FetchedFunc func()
-	MadeFunc    func(*wire.Results)
+	InputsReadFunc func()
+	ResultsFunc    func(*wire.Results)
 }
 
 // Follower connects the mesh to this process's copy of the store, which is read
@@ -79,7 +79,7 @@
 	// ApplyFunc applies changes that a peer relays. ConfirmFunc takes the progress
 	// of that peer as of an instant. Both return the kinds that lack changes.
 	ApplyFunc   func(update *wire.Update, now clock.Millis) []string
-	ConfirmFunc func(seen []wire.Progress, now clock.Millis) []string
+	ConfirmFunc func(progress []wire.Progress, now clock.Millis) []string
 	// MaxPeerAge bounds the age of the last store answer at a peer that this
 	// process follows; MaxWatcherAge bounds it at this process while it is a
 	// watcher. Both are in milliseconds.
--- a/internal/serve/mesh/relay_test.go
+++ b/internal/serve/mesh/relay_test.go
@@ -293,15 +293,15 @@
 	late.Mesh = mesh.New(t.Context(), late.member, mesh.WithClock(clock.New()),
 		mesh.WithPieces(func(from string, _ *wire.Pieces, reply mesh.Reply) {
 			requesters <- from
-			reply.MadeFunc(&wire.Results{References: []string{"r"}})
+			reply.ResultsFunc(&wire.Results{References: []string{"r"}})
 		}, func(string, uint64) {}))
 	server := httptest.NewServer(late.Handler())
 	t.Cleanup(func() { late.Stop(); server.Close() })
 	late.member.Address = strings.TrimPrefix(server.URL, "http://")
 	late.StartOwning()
 	f.all[0].SetMembers(append(membersOf(f.all[:4]), late.member))
-	made, err := f.all[0].RequestPieces(t.Context(), "late", &wire.Pieces{Pool: "p"}, func() {})
+	results, err := f.all[0].RequestPieces(t.Context(), "late", &wire.Pieces{Pool: "p"}, func() {})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, made.References, []string{"r"})
+	assert.DeepEqual(t, results.References, []string{"r"})
 	assert.Equal(t, <-requesters, "g00")
 }
--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -283,8 +283,8 @@
 	absent := make(map[string]token.Incarnation)
 	m.mu.Lock()
 	for name, member := range m.members {
-		s, seen := r.lastReports[name]
-		if !seen || now-s.at > presenceGrace || s.presence.Incarnation != member.Incarnation || !s.presence.Owns {
+		s, reported := r.lastReports[name]
+		if !reported || now-s.at > presenceGrace || s.presence.Incarnation != member.Incarnation || !s.presence.Owns {
 			absent[name] = member.Incarnation
 		}
 	}
@@ -356,9 +356,9 @@
 	return nil
 }
 
-// ReceivesReports reports whether the reports of peers reach this process: it is an
-// aggregator, or its aggregator has sent a total within staleAfter.
-func (m *Mesh) ReceivesReports() bool {
+// UpToDate reports whether the sums of the peers' reports are up to date: this
+// process is an aggregator, or its aggregator has sent a total within staleAfter.
+func (m *Mesh) UpToDate() bool {
 	aggregator := m.uplink.Load().aggregator
 	if aggregator == "" {
 		return true
@@ -380,9 +380,9 @@
 }
 
 // PoolLoad returns the load of a pool that its owner reported last, and false if
-// there is no report. Late is how much older it is than usualPoolAge, in
-// milliseconds.
-func (m *Mesh) PoolLoad(name string) (load wire.PoolLoad, late clock.Millis, known bool) {
+// there is no report. The excess age is how much older the report is than
+// usualPoolAge, in milliseconds.
+func (m *Mesh) PoolLoad(name string) (load wire.PoolLoad, excessAge clock.Millis, known bool) {
 	pools := m.pools.Load()
 	if pools == nil {
 		return wire.PoolLoad{}, 0, false
--- a/internal/serve/mesh/send.go
+++ b/internal/serve/mesh/send.go
@@ -19,12 +19,12 @@
 // send sends one round of reports and returns the number of destinations.
 func (m *Mesh) send(regular bool, now clock.Millis) int {
 	all := m.destinations()
-	var seen []wire.Progress
+	var progress []wire.Progress
 	if regular {
-		seen = m.follower.ProgressFunc()
+		progress = m.follower.ProgressFunc()
 	}
 	for _, to := range all {
-		m.sendTo(to, regular, seen, now)
+		m.sendTo(to, regular, progress, now)
 	}
 	return len(all)
 }
@@ -107,7 +107,7 @@
 	t.membersSent, t.lastRegular, t.hasInterest = 0, 0, false
 }
 
-func (m *Mesh) sendTo(to destination, regular bool, seen []wire.Progress, now clock.Millis) {
+func (m *Mesh) sendTo(to destination, regular bool, progress []wire.Progress, now clock.Millis) {
 	if to.kind == wire.KindGroup && now-to.target.lastRegular < groupInterval {
 		regular = false
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	if regular {
-		message.Progress = seen
+		message.Progress = progress
 		m.addMembers(message, to, now)
 	}
 	message.Owns = m.mayOwn()
--- a/internal/serve/router/follow.go
+++ b/internal/serve/router/follow.go
@@ -50,7 +50,7 @@
 	g.startOwningIfReady()
 }
 
-func (g *Gateway) onEndpointList(objects []store.Object, away clock.Millis) {
+func (g *Gateway) onEndpointList(objects []store.Object, outage clock.Millis) {
 	entries := make([]view.Entry, 0, len(objects))
 	for _, object := range objects {
 		if entry, ok := g.decodeEntry(object); ok {
@@ -60,7 +60,7 @@
 	g.endpointsMu.Lock()
 	now := g.Clock.Now()
 	wait := clock.Millis(0)
-	if away >= minOutage {
+	if outage >= minOutage {
 		g.storeBackAt, wait = now, entryReturnTime
 	}
 	first := !g.endpoints.Snapshot().Complete()
@@ -68,7 +68,7 @@
 	g.endpoints.Publish()
 	g.endpointsMu.Unlock()
 	if first {
-		g.Log.Info("endpoints listed", "endpoints", len(entries), "awayMs", int64(away))
+		g.Log.Info("endpoints listed", "endpoints", len(entries), "awayMs", int64(outage))
 	} else {
 		g.handleChanges(changes)
 	}
@@ -142,8 +142,8 @@
 	g.startOwningIfReady()
 }
 
-// knowsPool reports whether the configuration contains a pool.
-func (g *Gateway) knowsPool(pool string) bool {
+// hasPool reports whether the configuration contains a pool.
+func (g *Gateway) hasPool(pool string) bool {
 	routes := g.table.Load()
 	return routes != nil && routes.Pool(pool) != nil
 }
--- a/internal/serve/router/harness_test.go
+++ b/internal/serve/router/harness_test.go
@@ -249,7 +249,7 @@
 }
 
 func (b *bench) isReady(g *gateway) bool {
-	response, err := http.Get("http://" + g.ready + platform.Spelling().ReadyPath)
+	response, err := http.Get("http://" + g.ready + platform.Codec().ReadyPath)
 	if err != nil {
 		return false
 	}
--- a/internal/serve/router/peers.go
+++ b/internal/serve/router/peers.go
@@ -22,10 +22,10 @@
 func (g *Gateway) acceptPieces(from string, pieces *wire.Pieces, reply mesh.Reply) {
 	key := jobKey{from: from, callID: pieces.CallID}
 	g.jobs.Store(key, (*host.Job)(nil))
-	job := g.host.Submit(pieces, reply.FetchedFunc, func(outcome host.Outcome) {
+	job := g.host.Submit(pieces, reply.InputsReadFunc, func(outcome host.Outcome) {
 		g.jobs.Delete(key)
 		g.delivered.add(from, pieces, outcome, g.Clock.Now())
-		reply.MadeFunc(outcome.Message())
+		reply.ResultsFunc(outcome.Message())
 	})
 	g.jobs.CompareAndSwap(key, (*host.Job)(nil), job)
 }
@@ -128,11 +128,11 @@
 	}
 	return mesh.Follower{
 		ProgressFunc: func() []wire.Progress {
-			var seen []wire.Progress
+			var progress []wire.Progress
 			for _, f := range g.feeds.all() {
-				seen = append(seen, f.Progress())
+				progress = append(progress, f.Progress())
 			}
-			return seen
+			return progress
 		},
 		SnapshotFunc: func(kind string) (whole *wire.Update) {
 			withFeed(kind, func(f *feed.Feed) bool { whole = f.Snapshot(); return false })
@@ -141,9 +141,9 @@
 		ApplyFunc: func(update *wire.Update, now clock.Millis) []string {
 			return withFeed(update.Kind, func(f *feed.Feed) bool { return f.Apply(update, now) })
 		},
-		ConfirmFunc: func(seen []wire.Progress, now clock.Millis) []string {
+		ConfirmFunc: func(progress []wire.Progress, now clock.Millis) []string {
 			var missing []string
-			for _, s := range seen {
+			for _, s := range progress {
 				missing = append(missing, withFeed(s.Kind, func(f *feed.Feed) bool { return f.Confirm(s, now) })...)
 			}
 			return missing
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -32,7 +32,7 @@
 // Dialect describes how a platform's store names and encodes the objects that a Gateway
 // follows.
 type Dialect struct {
-	Spelling *spell.Codec
+	Codec *spell.Codec
 	// Kinds of objects: the configuration, the endpoints, the availability zones
 	// that operators have evacuated, and the gateways.
 	ConfigKind, EndpointKind, EvacuatedKind, MemberKind string
@@ -129,12 +129,12 @@
 	g := &Gateway{Settings: settings, incarnation: token.NewIncarnation(), startedAt: settings.Clock.Now(), baseCtx: ctx, meter: newMeter(settings.Registry)}
 	g.makeEndpoints()
 	g.gate = gate.New(gate.Settings{
-		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Registry: g.Registry, Name: g.Name, Zone: g.Zone,
+		Clock: g.Clock, Log: g.Log, Codec: g.Dialect.Codec, Registry: g.Registry, Name: g.Name, Zone: g.Zone,
 		Table: g.table.Load, View: g.endpoints.Snapshot, Starting: g.starting, Deploy: g.deploy,
 	})
 	g.SetBounds(settings.Bounds)
 	g.host = host.New(ctx, host.Settings{
-		Clock: g.Clock, Log: g.Log, Spelling: g.Dialect.Spelling, Table: g.table.Load, View: g.endpoints.Snapshot,
+		Clock: g.Clock, Log: g.Log, Codec: g.Dialect.Codec, Table: g.table.Load, View: g.endpoints.Snapshot,
 		Conns: g.gate.Conns, Retry: g.gate.PieceRetryBudget().Take, Earn: g.gate.PieceRetryBudget().Earn, Meter: host.NewMeter(g.Registry),
 		Deploy: g.deploy,
 	})
@@ -161,10 +161,10 @@
 	g.deploy = deploy.New(g.Dialect.RolloutKind, g.Store, g.Dialect.Rollouts,
 		deploy.WithClock(g.Clock), deploy.WithLog(g.Log), deploy.WithRegistry(g.Registry), deploy.WithBounds(g.RolloutBounds),
 		deploy.WithView(g.endpoints.Snapshot, g.setRollouts),
-		deploy.WithPools(g.knowsPool, g.isRepeatable),
+		deploy.WithPools(g.hasPool, g.isRepeatable),
 		deploy.WithPeers(deploy.Peers{
 			OwnsFunc: func(subject string) bool { return g.mesh.Owns(subject) }, TrialsFunc: func() []wire.Trial { return g.mesh.Trials() },
-			UpToDateFunc: func() bool { return g.mesh.ReceivesReports() },
+			UpToDateFunc: func() bool { return g.mesh.UpToDate() },
 		}))
 }
 
--- a/internal/serve/router/store_test.go
+++ b/internal/serve/router/store_test.go
@@ -14,13 +14,13 @@
 // meanwhile that are not in force soon after. Gateways use the last state that they
 // read.
 func TestRequestsAreServedDuringStoreFaults(t *testing.T) {
-	for name, trouble := range map[string]stand.StoreFault{
+	for name, storeFault := range map[string]stand.StoreFault{
 		"busy": {Status: http.StatusServiceUnavailable}, "limited": {Status: http.StatusTooManyRequests},
-		"silent": {Hang: true}, "slow": {Delay: 200 * time.Millisecond}, "deaf": {HideChanges: true}, "lost answers": {LoseAnswers: true},
+		"no answers": {Hang: true}, "slow": {Delay: 200 * time.Millisecond}, "hidden changes": {HideChanges: true}, "lost answers": {LoseAnswers: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := start(t, 2)
-			b.Store.SetFault(trouble)
+			b.Store.SetFault(storeFault)
 			time.Sleep(500 * time.Millisecond)
 			for _, g := range b.gateways {
 				assert.Assert(t, b.send(g, booking()).Complete)
