--- a/internal/cli/zones/endpoint.go
+++ b/internal/cli/zones/endpoint.go
@@ -53,7 +53,7 @@
 	if err := allow(cmd, pools, options.force); err != nil {
 		return err
 	}
-	result, err := client.Operator.LeaveEndpoint(cmd.Context(), options.pool, options.endpoint, options.change(client, config.Head.Release))
+	result, err := client.Operator.DisableEndpoint(cmd.Context(), options.pool, options.endpoint, options.change(client, config.Head.Release))
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := client.Operator.ReturnEndpoint(cmd.Context(), options.pool, options.endpoint, options.change(client, 0))
+	result, err := client.Operator.EnableEndpoint(cmd.Context(), options.pool, options.endpoint, options.change(client, 0))
 	if err != nil {
 		return err
 	}
--- a/internal/cli/zones/leave.go
+++ b/internal/cli/zones/leave.go
@@ -59,7 +59,7 @@
 	if err := allow(cmd, pools, options.force); err != nil {
 		return err
 	}
-	result, err := client.Operator.LeaveZone(cmd.Context(), options.zone, options.change(client, config.Head.Release))
+	result, err := client.Operator.EvacuateZone(cmd.Context(), options.zone, options.change(client, config.Head.Release))
 	if err != nil {
 		return err
 	}
--- a/internal/cli/zones/zones.go
+++ b/internal/cli/zones/zones.go
@@ -107,7 +107,7 @@
 }
 
 func isOut(host *store.Host, config *apply.Config) bool {
-	if host.State == store.HostLeaving || config.Head.ZoneState(host.AvailabilityZone) == head.ZoneLeft {
+	if host.State == store.HostLeaving || config.Head.ZoneState(host.AvailabilityZone) == head.ZoneEvacuated {
 		return true
 	}
 	if config.Head.EndpointDisabled(host.Pool, host.Endpoint) {
--- a/internal/cli/zones/zones_test.go
+++ b/internal/cli/zones/zones_test.go
@@ -40,11 +40,11 @@
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
 	assert.Assert(t, strings.Contains(ran.Err, "pool engines: 9 calls, limit 24 -> 16 on 2 endpoints, bears the load"), ran.Err)
 	assert.Assert(t, strings.Contains(ran.Out, "in force on 3 daemons"), ran.Out)
-	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneLeft)
+	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneEvacuated)
 
 	var states []zones.Zone
 	d.Run(t, zones.NewZone, "az", "status", "--output=json").JSON(t, &states)
-	assert.Equal(t, states[0].State, head.ZoneLeft)
+	assert.Equal(t, states[0].State, head.ZoneEvacuated)
 	assert.Equal(t, states[0].Reason, "power")
 	assert.Equal(t, states[1].Running, 3)
 
@@ -64,13 +64,13 @@
 	assert.Equal(t, d.Head(t).Release, uint64(1))
 	forced := d.Run(t, zones.NewZone, "zone", "leave", "za", "--force")
 	assert.Equal(t, forced.Code, exit.OK, forced.Err)
-	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneLeft)
+	assert.Equal(t, d.Head(t).ZoneState("za"), head.ZoneEvacuated)
 }
 
 // One zone is out already. Taking out a second one leaves a single engine.
 func TestSecondZoneThatLeavesIsWeighedAgainstTheFirst(t *testing.T) {
 	d := newDesk(t, 0, 4, 4)
-	_, err := d.Operator.LeaveZone(t.Context(), "za", apply.Change{Who: "anna"})
+	_, err := d.Operator.EvacuateZone(t.Context(), "za", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.Equal(t, d.Run(t, zones.NewZone, "zone", "leave", "zb").Code, exit.Unsafe)
 }
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -129,7 +129,7 @@
 	t.Parallel()
 	system := started(t, whole.WithManifest(patient()), whole.WithEntries(2), whole.WithEndpoints(2))
 	backup := system.Platform.Snapshot()
-	result, err := system.Operator().LeaveZone(t.Context(), "za", apply.Change{Who: "anna"})
+	result, err := system.Operator().EvacuateZone(t.Context(), "za", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.NilError(t, system.WaitInForce(result.Head.Release))
 	watch := watchReleases(t, system)
@@ -212,7 +212,7 @@
 		_, applied = system.Operator().Apply(t.Context(), variant(9), apply.Change{Who: "anna", Expected: 1})
 	})
 	group.Go(func() {
-		_, left = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
+		_, left = system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
 	})
 	group.Wait()
 	assert.NilError(t, applied)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -38,10 +38,10 @@
 	t.Parallel()
 	system, c := zonedLoad(t)
 	place := system.Place("engines-1")
-	_, err := system.Operator().LeaveEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
+	_, err := system.Operator().DisableEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	checkEndpointQuiet(t, c, place, time.Now())
-	_, err = system.Operator().ReturnEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
+	_, err = system.Operator().EnableEndpoint(t.Context(), "engines", place.Endpoint, apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	returned := time.Now()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -23,7 +23,7 @@
 // leaveZone takes a zone out and returns when that was accepted.
 func leaveZone(t *testing.T, system *whole.Whole, zone string) time.Time {
 	t.Helper()
-	_, err := system.Operator().LeaveZone(t.Context(), zone, apply.Change{Who: "anna", Reason: "test"})
+	_, err := system.Operator().EvacuateZone(t.Context(), zone, apply.Change{Who: "anna", Reason: "test"})
 	assert.NilError(t, err)
 	return time.Now()
 }
@@ -94,12 +94,12 @@
 func TestTwoOperatorsDecideOnOneZone(t *testing.T) {
 	t.Parallel()
 	system := started(t, whole.WithManifest(patient()), whole.WithEntries(1), whole.WithEndpoints(1))
-	left, err := system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
+	left, err := system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	seen := left.Head.Release
 	_, err = system.Operator().ReturnZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: seen})
 	assert.NilError(t, err)
-	_, err = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "cleo", Expected: seen})
+	_, err = system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "cleo", Expected: seen})
 	var conflict *apply.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "got %v", err)
 	assert.Equal(t, conflict.Between[0].ChangedBy, "beat")
@@ -194,7 +194,7 @@
 		assert.NilError(t, err)
 	}
 	accepted := leaveZone(t, system, "zb")
-	again, err := operator.LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
+	again, err := operator.EvacuateZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.Assert(t, !again.Changed, "leaving twice changes nothing")
 	checkQuiet(t, system, c, "zb", accepted)
--- a/internal/serve/agent/once_test.go
+++ b/internal/serve/agent/once_test.go
@@ -74,7 +74,7 @@
 	})
 	t.Run("late after its refusal", func(t *testing.T) {
 		service, holder, p := setUp(t)
-		setZone(holder, spread.ZoneLeft)
+		setZone(holder, spread.ZoneEvacuated)
 		c := newBooking("k")
 		c.ID = p.send(c)
 		refuse := p.refusal(c.ID)
--- a/internal/serve/agent/share.go
+++ b/internal/serve/agent/share.go
@@ -27,8 +27,8 @@
 }
 
 // Refuses reports whether the agent currently refuses new work, and why: a planned
-// stop, no configuration yet, an evacuated availability zone, an endpoint taken out
-// of service, isolation from all other zones, or an endpoint that does not answer.
+// stop, no configuration yet, an evacuated availability zone, a disabled
+// endpoint, isolation from all other zones, or an endpoint that does not answer.
 // The reason applies even if entries have not received it yet.
 func (a *Agent) Refuses() (fault.Reason, bool) {
 	a.mu.Lock()
--- a/internal/serve/agent/stop_test.go
+++ b/internal/serve/agent/stop_test.go
@@ -63,7 +63,7 @@
 	holder := newHolder(manif.KindGenerate, 2, 8)
 	_, address := startAgent(t, manif.KindGenerate, startServer(t, e.Handler()), agent.WithHolder(holder))
 	p := dial(t, address).awaitReady()
-	setZone(holder, spread.ZoneLeft)
+	setZone(holder, spread.ZoneEvacuated)
 	refuse := p.refusal(p.send(wire.Call{Idempotent: true}))
 	assert.Equal(t, refuse.Reason, fault.ZoneEvacuated)
 	assert.Equal(t, refuse.Ran, fault.NotRun)
--- a/internal/serve/runs/runs_test.go
+++ b/internal/serve/runs/runs_test.go
@@ -85,15 +85,15 @@
 	assert.Assert(t, fx.sumCounter(t, "jujubescale_entry_dropped_frames_total", "reason", "late") > 0)
 }
 
-// Guards against sending the next stage to an availability zone that operators took
-// out of use while a request was between two stages. The request keeps its release.
+// Guards against sending the next stage to an availability zone that operators
+// evacuated while a request was between two stages. The request keeps its release.
 func TestEvacuatedZoneGetsNoNextStage(t *testing.T) {
 	var fx *fixture
 	leaves := func(a *fakeAgent, s *sess.Session, f *wire.Frame) {
 		if f.Kind != wire.KindCall {
 			return
 		}
-		zones := []spread.Zone{{Name: a.zone, State: spread.ZoneLeft}}
+		zones := []spread.Zone{{Name: a.zone, State: spread.ZoneEvacuated}}
 		fx.holder.Accept(spread.New(2, fx.manifest, zones))
 		echo(a, s, f)
 	}
--- a/internal/share/apply/apply.go
+++ b/internal/share/apply/apply.go
@@ -1,6 +1,6 @@
 // Package apply implements the operators' actions on the configuration: apply,
-// rollback, history, and taking availability zones and endpoints out of use and
-// back. Each action is one conditional update of the head object, so of several
+// rollback, history, evacuating and returning availability zones, and disabling and
+// enabling endpoints. Each action is one conditional update of the head object, so of several
 // operators at the same time only one succeeds and the others get a conflict.
 // Each write is identified by its nonce, so that an action whose answer is lost
 // is neither repeated nor reported as failed.
--- a/internal/share/apply/zone.go
+++ b/internal/share/apply/zone.go
@@ -7,13 +7,13 @@
 	"github.com/jujubescale/jujubescale/internal/share/head"
 )
 
-// LeaveZone takes an availability zone out of use: it gets no new work. It only
+// EvacuateZone sets an availability zone to evacuated: it gets no new work. It only
 // changes the head, so it doesn't conflict with an apply at the same time.
-func (o *Operator) LeaveZone(ctx context.Context, zone string, change Change) (Result, error) {
-	return o.setZone(ctx, zone, head.ZoneLeft, head.ActionZoneLeave, change)
+func (o *Operator) EvacuateZone(ctx context.Context, zone string, change Change) (Result, error) {
+	return o.setZone(ctx, zone, head.ZoneEvacuated, head.ActionZoneLeave, change)
 }
 
-// ReturnZone takes an availability zone back into use. Its state becomes
+// ReturnZone ends the evacuation of an availability zone. Its state becomes
 // returning: its work grows in steps, and its endpoints load models one after
 // another.
 func (o *Operator) ReturnZone(ctx context.Context, zone string, change Change) (Result, error) {
@@ -67,13 +67,13 @@
 	return head.Zone{Name: zone, State: head.ZoneIn}
 }
 
-// LeaveEndpoint takes one endpoint out of use.
-func (o *Operator) LeaveEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
+// DisableEndpoint disables one endpoint: it gets no new work.
+func (o *Operator) DisableEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
 	return o.setEndpoint(ctx, pool, endpoint, true, change)
 }
 
-// ReturnEndpoint takes one endpoint back into use.
-func (o *Operator) ReturnEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
+// EnableEndpoint reverses DisableEndpoint.
+func (o *Operator) EnableEndpoint(ctx context.Context, pool, endpoint string, change Change) (Result, error) {
 	return o.setEndpoint(ctx, pool, endpoint, false, change)
 }
 
--- a/internal/share/avail/avail_test.go
+++ b/internal/share/avail/avail_test.go
@@ -18,7 +18,7 @@
 		AvailabilityZones: []string{"za", "zb", "zc"}[:zones],
 		Pools:             []manif.Pool{{Name: "p"}},
 	}
-	return spread.New(1, manifest, states, spread.WithLeftEndpoints([]head.Endpoint{{Pool: "p", Endpoint: "left"}}))
+	return spread.New(1, manifest, states, spread.WithDisabledEndpoints([]head.Endpoint{{Pool: "p", Endpoint: "left"}}))
 }
 
 // A broken switch separates a zone from the others, and the operators evacuate
@@ -66,8 +66,8 @@
 	}{
 		{"no configuration yet", avail.Place{}, nil, fault.NotReady},
 		{"zone in", avail.Place{AvailabilityZone: "za"}, release(2), ""},
-		{"zone left", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneLeft}), fault.ZoneEvacuated},
-		{"other zone left", avail.Place{AvailabilityZone: "zb"}, release(2, head.Zone{Name: "za", State: head.ZoneLeft}), ""},
+		{"zone left", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneEvacuated}), fault.ZoneEvacuated},
+		{"other zone left", avail.Place{AvailabilityZone: "zb"}, release(2, head.Zone{Name: "za", State: head.ZoneEvacuated}), ""},
 		{"zone returning", avail.Place{AvailabilityZone: "za"}, release(2, head.Zone{Name: "za", State: head.ZoneReturning}), ""},
 		{"endpoint left", avail.Place{AvailabilityZone: "za", Pool: "p", Endpoint: "left"}, release(2), fault.Leaving},
 		{"other endpoint left", avail.Place{AvailabilityZone: "za", Pool: "p", Endpoint: "stays"}, release(2), ""},
--- a/internal/share/avail/reach.go
+++ b/internal/share/avail/reach.go
@@ -1,6 +1,6 @@
 // Package avail decides whether a process accepts new work. It refuses work if it
-// is isolated in its availability zone, or if operators took its zone or endpoint
-// out of use.
+// is isolated in its availability zone, or if operators have evacuated its zone or
+// disabled its endpoint.
 package avail
 
 import (
--- a/internal/share/head/head.go
+++ b/internal/share/head/head.go
@@ -46,8 +46,8 @@
 
 // States of an availability zone.
 const (
-	ZoneIn   ZoneState = "in"
-	ZoneLeft ZoneState = "left"
+	ZoneIn        ZoneState = "in"
+	ZoneEvacuated ZoneState = "left"
 	// ZoneReturning is the state after a return. Work grows in steps, and
 	// endpoints load models one after another. Otherwise it is like ZoneIn.
 	ZoneReturning ZoneState = "returning"
@@ -63,7 +63,7 @@
 	Release uint64 `json:"release,omitempty"`
 }
 
-// Endpoint is an endpoint that an operator took out of use.
+// Endpoint is an endpoint that an operator has disabled.
 type Endpoint struct {
 	Pool      string `json:"pool"`
 	Endpoint  string `json:"endpoint"`
@@ -123,9 +123,9 @@
 	Sections []Ref `json:"sections"`
 	// Zones holds the zones whose state is not ZoneIn.
 	Zones []Zone `json:"zones,omitempty"`
-	// LeftEndpoints are the endpoints that operators took out of use by a
+	// DisabledEndpoints are the endpoints that operators have disabled by a
 	// command. The pools of the manifest list further ones.
-	LeftEndpoints []Endpoint `json:"leftEndpoints,omitempty"`
+	DisabledEndpoints []Endpoint `json:"leftEndpoints,omitempty"`
 }
 
 // Encode returns the head as JSON.
@@ -143,7 +143,7 @@
 	}
 	for _, zone := range h.Zones {
 		switch zone.State {
-		case ZoneIn, ZoneLeft, ZoneReturning:
+		case ZoneIn, ZoneEvacuated, ZoneReturning:
 		default:
 			return nil, &DocumentError{Name: Object, Cause: fmt.Sprintf("zone %q has unknown state %q", zone.Name, zone.State)}
 		}
@@ -207,22 +207,22 @@
 	h.Zones = kept
 }
 
-// EndpointDisabled reports whether an operator took the endpoint out of use.
+// EndpointDisabled reports whether an operator has disabled the endpoint.
 func (h *Head) EndpointDisabled(pool, endpoint string) bool {
-	return slices.ContainsFunc(h.LeftEndpoints, func(e Endpoint) bool {
+	return slices.ContainsFunc(h.DisabledEndpoints, func(e Endpoint) bool {
 		return e.Pool == pool && e.Endpoint == endpoint
 	})
 }
 
-// SetEndpoint records whether an endpoint is out of use.
+// SetEndpoint records whether an endpoint is disabled.
 func (h *Head) SetEndpoint(endpoint Endpoint, disabled bool) {
-	kept := slices.DeleteFunc(slices.Clone(h.LeftEndpoints), func(e Endpoint) bool {
+	kept := slices.DeleteFunc(slices.Clone(h.DisabledEndpoints), func(e Endpoint) bool {
 		return e.Pool == endpoint.Pool && e.Endpoint == endpoint.Endpoint
 	})
 	if disabled {
 		kept = append(kept, endpoint)
 	}
-	h.LeftEndpoints = kept
+	h.DisabledEndpoints = kept
 }
 
 // Fits reports whether the encoded document fits into one object.
--- a/internal/share/spread/learn.go
+++ b/internal/share/spread/learn.go
@@ -194,7 +194,7 @@
 	if err := l.check(manifest); err != nil {
 		return Invalid, err
 	}
-	next.release = New(offered.Release, manifest, offered.Zones, WithLeftEndpoints(offered.LeftEndpoints))
+	next.release = New(offered.Release, manifest, offered.Zones, WithDisabledEndpoints(offered.DisabledEndpoints))
 	return l.install(next), nil
 }
 
--- a/internal/share/spread/part.go
+++ b/internal/share/spread/part.go
@@ -26,9 +26,9 @@
 // releases don't change it. Then the answer to an agent holds only the release
 // and the digest, a few bytes.
 type Part struct {
-	Manifest      manif.Manifest  `json:"manifest"`
-	Zones         []Zone          `json:"zones,omitempty"`
-	LeftEndpoints []head.Endpoint `json:"leftEndpoints,omitempty"`
+	Manifest          manif.Manifest  `json:"manifest"`
+	Zones             []Zone          `json:"zones,omitempty"`
+	DisabledEndpoints []head.Endpoint `json:"leftEndpoints,omitempty"`
 }
 
 // newPart returns the part of a release that the agents of a pool need: their
@@ -47,9 +47,9 @@
 			})
 		}
 	}
-	for _, endpoint := range release.LeftEndpoints {
+	for _, endpoint := range release.DisabledEndpoints {
 		if endpoint.Pool == pool {
-			part.LeftEndpoints = append(part.LeftEndpoints, endpoint)
+			part.DisabledEndpoints = append(part.DisabledEndpoints, endpoint)
 		}
 	}
 	return part
@@ -149,7 +149,7 @@
 		}
 		p.part, p.digest = part, answer.Digest
 	}
-	p.holder.Accept(New(answer.Release, &p.part.Manifest, p.part.Zones, WithLeftEndpoints(p.part.LeftEndpoints)))
+	p.holder.Accept(New(answer.Release, &p.part.Manifest, p.part.Zones, WithDisabledEndpoints(p.part.DisabledEndpoints)))
 	return Accepted, nil
 }
 
--- a/internal/share/spread/release.go
+++ b/internal/share/spread/release.go
@@ -16,7 +16,7 @@
 // States of an availability zone.
 const (
 	ZoneIn        = head.ZoneIn
-	ZoneLeft      = head.ZoneLeft
+	ZoneEvacuated = head.ZoneEvacuated
 	ZoneReturning = head.ZoneReturning
 )
 
@@ -30,9 +30,9 @@
 	Number   uint64
 	Manifest *manif.Manifest
 	Zones    []Zone
-	// LeftEndpoints are the endpoints that operators took out of use by a
+	// DisabledEndpoints are the endpoints that operators have disabled by a
 	// command. The pools of the manifest list further ones.
-	LeftEndpoints []head.Endpoint
+	DisabledEndpoints []head.Endpoint
 
 	services      map[string]*manif.Service
 	pipelines     map[string]*manif.Pipeline
@@ -45,9 +45,9 @@
 // Option configures a Release.
 type Option func(*Release)
 
-// WithLeftEndpoints sets the endpoints that operators took out of use by a command.
-func WithLeftEndpoints(left []head.Endpoint) Option {
-	return func(r *Release) { r.LeftEndpoints = left }
+// WithDisabledEndpoints sets the endpoints that operators have disabled by a command.
+func WithDisabledEndpoints(disabled []head.Endpoint) Option {
+	return func(r *Release) { r.DisabledEndpoints = disabled }
 }
 
 // New returns a release with indexes over a manifest that passed the checks.
@@ -72,7 +72,7 @@
 	}
 	r.indexOrganisations()
 	for _, zone := range zones {
-		if zone.State == ZoneLeft {
+		if zone.State == ZoneEvacuated {
 			r.evacuated[zone.Name] = true
 		}
 	}
@@ -107,14 +107,14 @@
 // ByTokenHash returns the organisation whose token has this SHA-256 hash, or nil.
 func (r *Release) ByTokenHash(hash string) *manif.Organisation { return r.byTokenHash[hash] }
 
-// ZoneEvacuated reports whether operators took the availability zone out of use.
+// ZoneEvacuated reports whether operators have evacuated the availability zone.
 func (r *Release) ZoneEvacuated(zone string) bool { return r.evacuated[zone] }
 
-// EndpointDisabled reports whether operators took the endpoint out of use, by a
+// EndpointDisabled reports whether operators have disabled the endpoint, by a
 // command or in the manifest.
 func (r *Release) EndpointDisabled(pool, endpoint string) bool {
-	for i := range r.LeftEndpoints {
-		if r.LeftEndpoints[i].Pool == pool && r.LeftEndpoints[i].Endpoint == endpoint {
+	for i := range r.DisabledEndpoints {
+		if r.DisabledEndpoints[i].Pool == pool && r.DisabledEndpoints[i].Endpoint == endpoint {
 			return true
 		}
 	}
--- a/internal/stand/whole/plan.go
+++ b/internal/stand/whole/plan.go
@@ -103,7 +103,7 @@
 	change := apply.Change{Who: "fault plan"}
 	var err error
 	if fault.Name == ZoneLeave {
-		_, err = w.Operator().LeaveZone(context.Background(), fault.Target, change)
+		_, err = w.Operator().EvacuateZone(context.Background(), fault.Target, change)
 	} else {
 		_, err = w.Operator().ReturnZone(context.Background(), fault.Target, change)
 	}
