--- a/internal/flow/graph/graph.go
+++ b/internal/flow/graph/graph.go
@@ -36,13 +36,13 @@
 
 // Run is the progress of one request. It is not safe for concurrent use.
 type Run struct {
-	stages        []table.Stage
-	pieces        []int
-	states        []state
-	results       [][]string
-	hasReaders    []bool // whether another stage reads the results of a stage
-	inputsFetched []bool // whether a stage has read its inputs
-	reclaimed     []bool // whether Reclaimable has returned the results of a stage
+	stages     []table.Stage
+	pieces     []int
+	states     []state
+	results    [][]string
+	hasReaders []bool // whether another stage reads the results of a stage
+	inputsRead []bool // whether a stage has read its inputs
+	reclaimed  []bool // whether Reclaimable has returned the results of a stage
 }
 
 // New returns the run of a request. pieces holds the number of pieces of each
@@ -54,11 +54,11 @@
 	}
 	r := &Run{
 		stages: stages, pieces: pieces,
-		states:        make([]state, len(stages)),
-		results:       make([][]string, len(stages)),
-		hasReaders:    make([]bool, len(stages)),
-		inputsFetched: make([]bool, len(stages)),
-		reclaimed:     make([]bool, len(stages)),
+		states:     make([]state, len(stages)),
+		results:    make([][]string, len(stages)),
+		hasReaders: make([]bool, len(stages)),
+		inputsRead: make([]bool, len(stages)),
+		reclaimed:  make([]bool, len(stages)),
 	}
 	for i, stage := range stages {
 		if pieces[i] < 0 || pieces[i] > maxPieces {
@@ -149,8 +149,8 @@
 	r.states[stage] = done
 }
 
-// MarkFetched records that all pieces of a running stage have read their inputs.
-func (r *Run) MarkFetched(stage int) { r.inputsFetched[stage] = r.states[stage] == running }
+// MarkInputsRead records that all pieces of a running stage have read their inputs.
+func (r *Run) MarkInputsRead(stage int) { r.inputsRead[stage] = r.states[stage] == running }
 
 // Reclaimable returns the references to results that all later stages have read,
 // although not all of these stages are done. Such a result is needed again only if
@@ -170,7 +170,7 @@
 func (r *Run) readersFetched(stage int) bool {
 	for i := range r.stages {
 		for _, before := range r.stages[i].After {
-			if before == stage && r.states[i] != done && !r.inputsFetched[i] {
+			if before == stage && r.states[i] != done && !r.inputsRead[i] {
 				return false
 			}
 		}
@@ -183,7 +183,7 @@
 // used.
 func (r *Run) ResetStage(stage int) []string {
 	r.states[stage] = pending
-	r.inputsFetched[stage], r.reclaimed[stage] = false, false
+	r.inputsRead[stage], r.reclaimed[stage] = false, false
 	var unused []string
 	for _, before := range r.stages[stage].After {
 		if r.pieces[before] == 0 {
@@ -202,7 +202,7 @@
 	unused := r.References()
 	for i := range r.stages {
 		r.results[i] = nil
-		r.inputsFetched[i], r.reclaimed[i] = false, false
+		r.inputsRead[i], r.reclaimed[i] = false, false
 		if r.pieces[i] > 0 {
 			r.states[i] = pending
 		}
--- a/internal/flow/graph/graph_test.go
+++ b/internal/flow/graph/graph_test.go
@@ -80,7 +80,7 @@
 	run.Finish(1, []string{"b"})
 	beginReady(run)
 	assert.Equal(t, len(run.Reclaimable()), 0)
-	run.MarkFetched(2)
+	run.MarkInputsRead(2)
 	assert.DeepEqual(t, run.Reclaimable(), []string{"b"})
 	assert.Equal(t, len(run.Reclaimable()), 0)
 	// The run still holds them, in case the stage fails and they were not dropped.
--- a/internal/link/wire/codec.go
+++ b/internal/link/wire/codec.go
@@ -66,7 +66,7 @@
 	return target.Bytes(), nil
 }
 
-// Decode calls take for each frame of a message, in order. It stops at the
+// Decode calls handle for each frame of a message, in order. It stops at the
 // first invalid frame and returns a DecodeError.
 func Decode(message []byte, handle func(*Frame)) error {
 	rest := message
--- a/internal/link/wire/relay.go
+++ b/internal/link/wire/relay.go
@@ -13,7 +13,7 @@
 	// Whole marks a full message, which replaces everything that the sender sent
 	// before. The first message of a session is full.
 	Whole bool `cbor:"whole,omitempty"`
-	// Urgent asks aggregators to forward the message at once.
+	// Urgent is set if aggregators have to forward the message at once.
 	Urgent bool `cbor:"urgent,omitempty"`
 	// Ended withdraws everything that the sender sent before, because it now reports
 	// to another process.
@@ -146,8 +146,8 @@
 	Age      clock.Millis `cbor:"age"`
 }
 
-// Follow asks a peer to forward the changes of some kinds of objects that are newer
-// than the given revisions.
+// Follow requests that a peer forward the changes of some kinds of objects that are
+// newer than the given revisions.
 type Follow struct {
 	Kinds []Revision `cbor:"kinds"`
 }
--- a/internal/link/wire/wire.go
+++ b/internal/link/wire/wire.go
@@ -43,7 +43,7 @@
 	KindTotal        Kind = 22
 	KindFollow       Kind = 23
 	KindUpdate       Kind = 24
-	// KindRenew asks the peer to send a full message of sums on this session. It
+	// KindRenew requests that the peer send a full message of sums on this session. It
 	// has no content.
 	KindRenew Kind = 25
 )
@@ -98,7 +98,7 @@
 	Relays bool `cbor:"relays,omitempty"`
 }
 
-// Call asks an agent to run one attempt of one stage. TimeLeft is a duration and
+// Call requests that an agent run one attempt of one stage. TimeLeft is a duration and
 // not an instant because the clocks of hosts differ; each hop subtracts the time
 // that it has taken.
 type Call struct {
@@ -229,8 +229,8 @@
 	Closing bool `cbor:"closing,omitempty"`
 }
 
-// Fetch asks a peer for a section of the configuration in force; an empty
-// name asks for the head object.
+// Fetch requests a section of the configuration in force from a peer; an empty
+// name requests the head object.
 type Fetch struct {
 	Name   string `cbor:"name"`
 	Digest uint64 `cbor:"digest,omitempty"`
@@ -248,7 +248,7 @@
 	Bytes   []byte `cbor:"bytes,omitempty"`
 }
 
-// Pieces asks the owner of a pool for the pieces of one stage of one request.
+// Pieces requests the pieces of one stage of one request from the owner of a pool.
 type Pieces struct {
 	// CallID identifies the call on this session.
 	CallID  uint64   `cbor:"ticket"`
@@ -394,13 +394,13 @@
 // PoolLoad is the queue of one pool at its owner.
 type PoolLoad struct {
 	Pool string `cbor:"pool"`
-	// Waiting is the number of queued pieces by class of rank, Engines the number of
+	// Queued is the number of queued pieces by class of rank, Engines the number of
 	// engines that accept calls, and Free the number of those without a call.
-	Waiting []int `cbor:"waiting,omitempty"`
+	Queued  []int `cbor:"waiting,omitempty"`
 	Engines int   `cbor:"engines,omitempty"`
 	Free    int   `cbor:"free,omitempty"`
-	// Fill is the number of pieces in a call while more are queued.
-	Fill float64 `cbor:"fill,omitempty"`
+	// BatchSize is the number of pieces in a call while more are queued.
+	BatchSize float64 `cbor:"fill,omitempty"`
 	// Age is the time since the owner's report, if the report was forwarded.
 	Age clock.Millis `cbor:"age,omitempty"`
 }
--- a/internal/link/wire/wire_test.go
+++ b/internal/link/wire/wire_test.go
@@ -35,7 +35,7 @@
 		{Kind: wire.KindInputsRead, InputsRead: &wire.InputsRead{CallID: 7}},
 		{Kind: wire.KindUnused, Unused: &wire.Unused{Pool: "rerank", References: []string{"10.0.0.1:80/a"}, Reclaimable: true}},
 		{Kind: wire.KindLoads, Loads: &wire.Loads{
-			Endpoints: []wire.EndpointLoad{{Endpoint: "e", Running: 2}}, Pools: []wire.PoolLoad{{Pool: "rerank", Waiting: []int{0, 4}}},
+			Endpoints: []wire.EndpointLoad{{Endpoint: "e", Running: 2}}, Pools: []wire.PoolLoad{{Pool: "rerank", Queued: []int{0, 4}}},
 			Progress: []wire.Revision{{Kind: "config", Revision: 9}}, Prefixes: []wire.PrefixUse{{Endpoint: "e", Parts: []uint32{7}}},
 			Refused: []wire.Refused{{Key: 1 << 63, Age: 900, Wait: 300}},
 			Crashes: []wire.Crash{{Key: []byte{1, 2}, Endpoint: "e/1", Cleared: true}},
--- a/internal/serve/gate/progress.go
+++ b/internal/serve/gate/progress.go
@@ -161,7 +161,7 @@
 func (p *progress) handle(event stageEvent) {
 	run := p.req.run
 	if event.inputsRead {
-		run.MarkFetched(event.stage)
+		run.MarkInputsRead(event.stage)
 		p.g.sendUnused(p.req, run.Reclaimable(), wire.Unused{Reclaimable: true})
 		return
 	}
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -116,7 +116,7 @@
 	load, staleness, known := g.shardLoad(shard)
 	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.ResultMemory}
 	if known {
-		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.Fill, load.Waiting
+		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.BatchSize, load.Queued
 		q.Staleness = float64(staleness)
 		return q, true
 	}
--- a/internal/serve/host/dispatch.go
+++ b/internal/serve/host/dispatch.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		if q.queued.Pieces() > 0 {
-			q.fill = smooth(q.fill, float64(len(items)))
+			q.batchSize = smooth(q.batchSize, float64(len(items)))
 		}
 		h.startCall(q, e, pool, items)
 	}
@@ -106,16 +106,16 @@
 	return h.readyEngines(q, free, limits, now)
 }
 
-// fillWeight is the weight of the newest call in the average number of pieces per
+// batchSizeWeight is the weight of the newest call in the average number of pieces per
 // call.
-const fillWeight = 0.15
+const batchSizeWeight = 0.15
 
 // smooth returns an exponential moving average after one more sample.
 func smooth(average, sample float64) float64 {
 	if average == 0 {
 		return sample
 	}
-	return average + fillWeight*(sample-average)
+	return average + batchSizeWeight*(sample-average)
 }
 
 // withoutSlow removes slow engines if one call to each of the others takes all queued
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -79,9 +79,9 @@
 	queued  batch.Queue
 	engines map[*view.Endpoint]*engine
 	clock   *clock.Clock
-	// fill is the moving average of the number of pieces per call while more pieces
+	// batchSize is the moving average of the number of pieces per call while more pieces
 	// are queued than fit into a call.
-	fill float64
+	batchSize float64
 }
 
 // Settings are the dependencies of a Host.
@@ -282,13 +282,13 @@
 
 func (h *Host) load(q *queue) wire.PoolLoad {
 	count, free := h.usableEngines(q, h.pool(q.name))
-	load := wire.PoolLoad{Pool: q.name, Engines: count, Free: len(free), Fill: q.fill}
+	load := wire.PoolLoad{Pool: q.name, Engines: count, Free: len(free), BatchSize: q.batchSize}
 	if q.queued.Pieces() == 0 {
 		return load
 	}
 	now := h.Clock.Now()
-	load.Waiting = make([]int, len(reach.RankEdges)+1)
-	q.queued.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Queued() })
+	load.Queued = make([]int, len(reach.RankEdges)+1)
+	q.queued.Each(func(g *batch.Group) { load.Queued[reach.Class(g.Rank-now)] += g.Queued() })
 	return load
 }
 
--- a/internal/serve/host/host_test.go
+++ b/internal/serve/host/host_test.go
@@ -221,7 +221,7 @@
 	h.retries.Store(0)
 	_, outcome := h.submit("r", 2, 5000)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if load, _ := h.Load(pool); len(load.Waiting) > 0 && load.Free == 0 {
+		if load, _ := h.Load(pool); len(load.Queued) > 0 && load.Free == 0 {
 			return poll.Success()
 		}
 		return poll.Continue("no call refused yet")
