--- a/internal/engine/order/giver.go
+++ b/internal/engine/order/giver.go
@@ -90,7 +90,7 @@
 	sendFunc func(ctx context.Context, order Order) error
 }
 
-// NewIssuer returns an Issuer that sends orders with send. ignoresFencing tells
+// NewIssuer returns an Issuer that sends orders with send. ignoresFencing means
 // that the engine doesn't check fencing numbers.
 func NewIssuer(c *clock.Clock, held *lease.Lease, ignoresFencing bool, send func(context.Context, Order) error) *Issuer {
 	return &Issuer{clock: c, lease: held, ignoresFencing: ignoresFencing, sendFunc: send}
--- a/internal/guard/admit/admit.go
+++ b/internal/guard/admit/admit.go
@@ -35,7 +35,7 @@
 	Ticket     Ticket
 	Reason     fault.Reason
 	RetryAfter clock.Millis
-	// Probe asks the caller to probe the endpoint: the work was queued because the
+	// Probe is set if the caller has to probe the endpoint: the work was queued because the
 	// last liveness signal is older than DefaultLivenessTTL.
 	Probe bool
 	// Evicted is queued work that was removed to make room. It did not run.
--- a/internal/guard/drain/drain.go
+++ b/internal/guard/drain/drain.go
@@ -13,13 +13,13 @@
 const (
 	// CauseLeaving is a planned stop of this process; it never ends.
 	CauseLeaving Cause = iota
-	// CauseZone is an availability zone that operators took out of service.
+	// CauseZone is an availability zone that operators have evacuated.
 	CauseZone
-	// CauseEndpoint is an endpoint that operators took out of service.
+	// CauseEndpoint is an endpoint that operators have disabled.
 	CauseEndpoint
 	// CauseIsolated is a process that reaches neither the platform nor any peer
-	// outside its availability zone. It cannot learn whether operators took its
-	// zone out of service.
+	// outside its availability zone. It cannot detect that operators have
+	// evacuated its zone.
 	CauseIsolated
 	// CauseNoRelease is a process that has no configuration yet.
 	CauseNoRelease
--- a/internal/guard/drain/drain_test.go
+++ b/internal/guard/drain/drain_test.go
@@ -10,8 +10,8 @@
 	"github.com/jujubescale/jujubescale/internal/guard/drain"
 )
 
-// Operators take a zone and an endpoint out of service and return only one of
-// them. The agent must not accept work while the other cause is active.
+// Operators evacuate a zone and disable an endpoint, and then undo only one of the
+// two. The agent must not accept work while the other cause is active.
 func TestWorkIsRefusedUntilAllCausesEnd(t *testing.T) {
 	var d drain.Drain
 	d.Set(drain.CauseZone, true)
--- a/internal/guard/memory/memory.go
+++ b/internal/guard/memory/memory.go
@@ -2,7 +2,7 @@
 // its pool: stored results, results that running calls will add, results that can
 // be freed, and results that previous owners left behind.
 //
-// The results of a stage stay at the engine that made them until they have been
+// The results of a stage stay at the engine that computed them until they have been
 // read. If the account underestimates the used memory, calls run out of memory
 // and fail piece by piece, each after its full time; if it overestimates it,
 // engines work in small calls that take nearly as long as full ones. Both matter
@@ -38,7 +38,7 @@
 type Limits struct {
 	// Capacity is the memory for results, in bytes.
 	Capacity int64
-	// Retention is how long an engine stores a result after the call that made it.
+	// Retention is how long an engine stores a result after the call that computed it.
 	Retention clock.Millis
 }
 
@@ -65,7 +65,7 @@
 type Account struct {
 	since       clock.Millis // when this process began to use the engine
 	stored      map[string]storedResult
-	ownBytes    int64 // bytes of stored results and of those that running calls will make
+	ownBytes    int64 // bytes of stored results and of those that running calls will compute
 	unused      []Result
 	reclaimable []reclaimable
 	freeing     []Result
@@ -83,8 +83,8 @@
 	return &Account{since: now, stored: make(map[string]storedResult)}
 }
 
-// OwnBytes returns the size of the results that calls of this process have made or
-// will make.
+// OwnBytes returns the size of the results that calls of this process have computed
+// or will compute.
 func (a *Account) OwnBytes() int64 { return a.ownBytes }
 
 // ForeignBytes returns the estimated size of the results of other owners. After
@@ -106,10 +106,10 @@
 	return max(int64(usableShare*float64(limits.Capacity))-a.ownBytes-a.ForeignBytes(now), 0)
 }
 
-// Reserve reserves memory for the result of a piece that a call will make.
+// Reserve reserves memory for the result of a piece that a call will compute.
 func (a *Account) Reserve(bytes int64) { a.ownBytes += bytes }
 
-// Release cancels the reservation for a piece that was not made.
+// Release cancels the reservation for a piece that was not computed.
 func (a *Account) Release(bytes int64) { a.ownBytes -= bytes }
 
 // Add records a result whose memory was reserved with Reserve. The engine stores
@@ -124,8 +124,8 @@
 	return holds
 }
 
-// MayHold reports whether the engine may store results that a previous owner made
-// and that this account does not know.
+// MayHold reports whether the engine may store results of calls of a previous owner
+// that this account does not contain.
 func (a *Account) MayHold(limits Limits, now clock.Millis) bool {
 	return a.queriedAt > 0 && now-a.since <= predecessorSpans*limits.Retention
 }
--- a/internal/route/affin/affin.go
+++ b/internal/route/affin/affin.go
@@ -58,7 +58,7 @@
 // of two.
 const tableSize = 1 << 12
 
-// Table remembers which endpoint last answered a prefix. Its size is fixed; prefixes
+// Table records which endpoint last answered a prefix. Its size is fixed; prefixes
 // with the same slot replace each other.
 type Table struct {
 	entries [tableSize]atomic.Pointer[entry]
--- a/internal/route/canary/plan.go
+++ b/internal/route/canary/plan.go
@@ -46,7 +46,7 @@
 	MinAnswers = 5
 )
 
-// Plan tells the processes of a pool where to send new requests.
+// Plan determines where the processes of a pool send new requests.
 type Plan struct {
 	// Shares is the share of each route's new requests that goes to the candidate,
 	// DefaultShare that of routes without counts.
--- a/internal/route/pool/endpoint.go
+++ b/internal/route/pool/endpoint.go
@@ -1,4 +1,4 @@
-// Package pool holds what one entry process knows about the endpoints of a pool. Its
+// Package pool holds the state of a pool's endpoints in one entry process. Its
 // view may be stale and is used only to make a good choice. The agent beside each
 // endpoint enforces what must hold exactly.
 package pool
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -119,8 +119,8 @@
 }
 
 // Apply sets one exclusion of every endpoint to the result of rule. It puts a new
-// release of the configuration into force, with the zones and endpoints that operators
-// took out.
+// release of the configuration into force, with the zones that operators
+// have evacuated and the endpoints that they have disabled.
 func (p *Pool) Apply(exclusion Exclusion, rule func(Identity) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
