--- a/internal/serve/router/fault_test.go
+++ b/internal/serve/router/fault_test.go
@@ -131,8 +131,8 @@
 	assert.Assert(t, got.RetryAfter > 0 && got.RetryAfter < 2*time.Second, "%v", got.RetryAfter)
 }
 
-// Guards against failed requests when the owner of the stage engines dies with work in
-// its queue. The requests go to the next owner and are at most delayed or refused.
+// Guards against failed requests when the owner of the stage engines ends without a drain
+// while work is in its queue. The requests go to the next owner and are at most delayed or refused.
 func TestLostOwnerIsReplaced(t *testing.T) {
 	b := start(t, 3)
 	var group sync.WaitGroup
--- a/internal/serve/router/handed.go
+++ b/internal/serve/router/handed.go
@@ -12,11 +12,11 @@
 	// deliveredMaxAge is how long results that were sent to a peer are remembered:
 	// about as long as engines keep them.
 	deliveredMaxAge = 5 * clock.Second
-	// maxDeliveredPerPeer bounds the number of remembered deliveries to one peer.
+	// maxDeliveredPerPeer bounds the number of recorded deliveries to one peer.
 	maxDeliveredPerPeer = 4096
 )
 
-// deliveredResults remembers which results were sent to which peer, so that the
+// deliveredResults records which results were sent to which peer, so that the
 // results of a peer that was killed can be freed.
 type deliveredResults struct {
 	mu     sync.Mutex
@@ -59,7 +59,7 @@
 	return all[first:]
 }
 
-// remove forgets the deliveries to a peer and returns their results.
+// remove removes the deliveries to a peer and returns their results.
 func (d *deliveredResults) remove(peer string, now clock.Millis) []*wire.Unused {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/serve/router/handed_test.go
+++ b/internal/serve/router/handed_test.go
@@ -11,7 +11,7 @@
 	"github.com/jujubescale/jujubescale/internal/serve/host"
 )
 
-func TestDeliveredResultsAreRememberedPerPeer(t *testing.T) {
+func TestDeliveredResultsAreRecordedPerPeer(t *testing.T) {
 	var d deliveredResults
 	request := &wire.Pieces{Pool: "encode", Bytes: 10}
 	outcome := func(reference string) host.Outcome {
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -112,7 +112,7 @@
 	return k, reports
 }
 
-// Guards against a quarantine that is known to a single process, neither the owner of its
+// Guards against a quarantine that stays in a single process, neither the owner of its
 // key nor a deputy, because the reports to all other processes were lost.
 func TestQuarantineKnownToOneProcessReachesAll(t *testing.T) {
 	b := startTwoTenants(t)
