--- a/internal/engine/call/stream.go
+++ b/internal/engine/call/stream.go
@@ -170,7 +170,7 @@
 	}, nil
 }
 
-// Cancel asks the engine to stop a generation. It has no effect if the generation
+// Cancel requests that the engine stop a generation. It has no effect if the generation
 // has ended.
 func (c *Caller) Cancel(ctx context.Context, id string) {
 	ctx, done := context.WithTimeout(ctx, cancelTimeout.Duration())
--- a/internal/engine/order/giver.go
+++ b/internal/engine/order/giver.go
@@ -97,7 +97,7 @@
 }
 
 // Issue issues one order. It first makes sure that this agent holds the lease: the
-// first call seizes it with a fencing number above all that the platform knows,
+// first call seizes it with a fencing number above all that the platform has stored,
 // and each call renews it. Once another agent has taken over, all calls fail with
 // a SupersededError, because two agents would otherwise seize the lease from each
 // other indefinitely.
--- a/internal/flow/claim/book.go
+++ b/internal/flow/claim/book.go
@@ -27,8 +27,8 @@
 	// MaxAnswerBytes is the size of the largest answer that is stored for replay.
 	MaxAnswerBytes = 4 << 10
 
-	// clockSkew is added to the deadline of a call before its holder counts as
-	// dead, because the clocks of hosts differ.
+	// clockSkew is added to the deadline of a call before its holder is presumed
+	// to have ended, because the clocks of hosts differ.
 	clockSkew = 5 * clock.Second
 	// defaultClaimsPerSecond limits the claims of one entry. Each claim takes two
 	// writes, and all processes share the several hundred writes a second that
--- a/internal/flow/claim/claim.go
+++ b/internal/flow/claim/claim.go
@@ -35,8 +35,8 @@
 	State       State  `json:"state"`
 	// Request is the ID of the request that created the claim.
 	Request string `json:"request"`
-	// UntilMs is the time at which the holder counts as dead, by its own wall
-	// clock.
+	// UntilMs is the time from which the holder is presumed to have ended, by its
+	// own wall clock.
 	UntilMs int64 `json:"untilMs"`
 	// AtMs is the time at which the claim was created, by its holder's wall clock.
 	// Sweep deletes claims by it.
--- a/internal/flow/crash/crash.go
+++ b/internal/flow/crash/crash.go
@@ -173,7 +173,7 @@
 
 // TrialDue reports whether a quarantined request may be sent to an endpoint once as
 // a trial, since the endpoints may have stopped for another reason. It is false in
-// a process that knows the crashes only from the store, so that restarts do not
+// a process that has read the crashes only from the store, so that restarts do not
 // cause more trials. The caller has to ensure that a single process runs the
 // trial.
 func (t *Tracker) TrialDue(key Key, now clock.Millis) bool {
--- a/internal/flow/inflow/inflow.go
+++ b/internal/flow/inflow/inflow.go
@@ -101,7 +101,7 @@
 
 // AddClasses adds the numbers in added to those in pieces, class by class, and
 // returns the sum. It changes pieces unless that is nil. Classes that this version
-// doesn't know, because a newer process has more, are added to the last class.
+// doesn't have, because a newer process has more, are added to the last class.
 func AddClasses(pieces, added []int) []int {
 	if pieces == nil {
 		pieces = make([]int, len(reach.RankEdges)+1)
--- a/internal/flow/reach/correct.go
+++ b/internal/flow/reach/correct.go
@@ -18,7 +18,7 @@
 	correctionStep = 30.0
 	// correctionHalfLife is the half-life of the correction while no request ends. A
 	// route that admits no requests gets no new measurements, so without this decay
-	// it would not notice that its queues have become shorter.
+	// its estimates would stay high after its queues have become shorter.
 	correctionHalfLife = 3 * clock.Second
 )
 
--- a/internal/flow/recall/recall_test.go
+++ b/internal/flow/recall/recall_test.go
@@ -19,8 +19,8 @@
 	// Output: 1000 true
 }
 
-// A caller is asked to retry later and retries at once several times. It must gain no
-// advantage over callers that wait as requested.
+// A caller is refused with a time to retry and retries at once several times. It must
+// gain no advantage over callers that wait for the requested time.
 func TestEarlyReturnIsTreatedAsNew(t *testing.T) {
 	refusals := recall.New()
 	refusals.Add(recall.Refusal{Key: 7, FirstArrival: 1000, RetryAt: 1400}, 1000)
--- a/internal/guard/fence/fence.go
+++ b/internal/guard/fence/fence.go
@@ -34,7 +34,7 @@
 const (
 	// DefaultRetention is how long an attempt is recorded after its last change.
 	// Open attempts are kept regardless of age. It is far longer than the idle
-	// time after which a session ends and its entry asks on another session.
+	// time after which a session ends and its entry sends an Ask on another session.
 	DefaultRetention = 2 * clock.Minute
 	// DefaultKeyRetention is how long an idempotency key is recorded after its last
 	// change.
--- a/internal/guard/memory/memory.go
+++ b/internal/guard/memory/memory.go
@@ -295,7 +295,7 @@
 
 // RecordShortage records that an engine had too little memory for a piece of the
 // given size. Until the next report the account assumes that less than this size
-// is free and that foreign results, which it does not know, take the rest. The
+// is free and that foreign results, of which it has no record, take the rest. The
 // engine's memory is queried next.
 func (a *Account) RecordShortage(limits Limits, bytes int64, now clock.Millis) {
 	a.foreignBytes = max(a.ForeignBytes(now), limits.Capacity-a.ownBytes-bytes, 0)
--- a/internal/link/wire/wire.go
+++ b/internal/link/wire/wire.go
@@ -323,7 +323,7 @@
 	Endpoints []EndpointLoad `cbor:"endpoints,omitempty"`
 	Pools     []PoolLoad     `cbor:"pools,omitempty"`
 	// Progress holds the revision of the last change that the sender has read, by kind
-	// of object, so that all processes learn of a change once one has read it.
+	// of object, so that all processes can detect a change once one has read it.
 	Progress []Revision `cbor:"seen,omitempty"`
 	// PendingArrivals holds the pieces that the sender's open requests will send to
 	// later stages, by pool.
@@ -332,7 +332,7 @@
 	Prefixes []PrefixUse `cbor:"uses,omitempty"`
 	// Refused holds the callers refused with a retry delay since the previous message.
 	Refused []Refused `cbor:"refused,omitempty"`
-	// Crashes holds the crashes learned of since the previous message.
+	// Crashes holds the crashes detected or received since the previous message.
 	Crashes []Crash `cbor:"crashes,omitempty"`
 	// Interest lists the endpoints that the sender normally uses.
 	Interest []string `cbor:"interest,omitempty"`
--- a/internal/route/canary/judge.go
+++ b/internal/route/canary/judge.go
@@ -28,7 +28,7 @@
 	priorAnswers, priorBad = 60.0, 0.6
 	// sampleInterval is the shortest time between two samples. recentWindow is the
 	// period of the most recent answers, which are also tested alone: a version that
-	// turns bad late has many good answers from before.
+	// begins to fail late has many good answers from before.
 	sampleInterval = 500 * clock.Millis(1)
 	recentWindow   = 4 * clock.Second
 )
--- a/internal/route/canary/plan.go
+++ b/internal/route/canary/plan.go
@@ -81,7 +81,7 @@
 // NewPlan returns the plan for the given time after the order, from the counts since
 // the order. repeatable reports whether requests of a route may run again.
 //
-// A candidate may turn bad just before it is promoted, and must not have received more
+// A candidate may begin to fail just before it is promoted, and must not have received more
 // requests than the bounds allow by then. The promotion therefore starts only when the
 // bounds allow all requests until the deadline. Once counts are lost, Bounds.Base
 // counts as spent.
--- a/internal/route/owner/owner.go
+++ b/internal/route/owner/owner.go
@@ -12,7 +12,7 @@
 	Name string
 	// Key identifies the incarnation. A restarted process has a new key, so that the
 	// pools that it owned before do not return to it and move a second time. Each move
-	// leaves results in the engines' memory that the new owner does not know. In a
+	// leaves results in the engines' memory of which the new owner has no record. In a
 	// rolling restart of all hosts, pools therefore move once per restart of their
 	// owner instead of twice.
 	Key string
--- a/internal/route/view/version_test.go
+++ b/internal/route/view/version_test.go
@@ -8,8 +8,8 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-func versioned(id, version string, born int64) view.Entry {
-	e := entry(id, born)
+func versioned(id, version string, startedAt int64) view.Entry {
+	e := entry(id, startedAt)
 	e.Version, e.Address = version, "10.0.0."+id+":80"
 	return e
 }
--- a/internal/route/view/view_test.go
+++ b/internal/route/view/view_test.go
@@ -8,8 +8,8 @@
 	"github.com/jujubescale/jujubescale/internal/route/view"
 )
 
-func entry(id string, born int64) view.Entry {
-	return view.Entry{ID: id, StartedAt: born, Address: "10.0.0.1:80", Pool: "orders", Zone: "a", Slots: 4}
+func entry(id string, startedAt int64) view.Entry {
+	return view.Entry{ID: id, StartedAt: startedAt, Address: "10.0.0.1:80", Pool: "orders", Zone: "a", Slots: 4}
 }
 
 func ids(endpoints []*view.Endpoint) []string {
@@ -66,7 +66,7 @@
 }
 
 // Guards against dropping all endpoints after an outage of the store, in which entries
-// expired although their endpoints were alive. Callers would have no endpoint for two
+// expired although their endpoints were running. Callers would have no endpoint for two
 // seconds.
 func TestExpiredEntriesMayReturn(t *testing.T) {
 	r := view.New()
--- a/internal/serve/agent/agent.go
+++ b/internal/serve/agent/agent.go
@@ -389,7 +389,7 @@
 }
 
 // send queues a frame for sending. If the queue is full because the peer reads too
-// slowly, it closes the session. An entry would notice a missing part only at the
+// slowly, it closes the session. An entry would detect a missing part only at the
 // end of the answer; on a new session it requests the missing bytes at once.
 func (a *Agent) send(s *sess.Session, frame *wire.Frame) {
 	if s == nil {
--- a/internal/serve/agent/load_test.go
+++ b/internal/serve/agent/load_test.go
@@ -60,7 +60,7 @@
 		disturb func(e *pool.Pool)
 		// maxFalls is the number of crashes that the agent cannot avoid. At most
 		// eight calls are in transit when the endpoint turns cold and reach it before
-		// the agent can notice; each third one crashes it.
+		// the agent can detect this; each third one crashes it.
 		maxFalls int
 	}{
 		{"cold from the start", nil, 0},
--- a/internal/serve/agent/offer.go
+++ b/internal/serve/agent/offer.go
@@ -24,8 +24,8 @@
 // attempt is a queued or running call.
 type attempt struct {
 	call *wire.Call
-	// session receives the answer. If the entry asks on another session, the answer
-	// moves to that session.
+	// session receives the answer. If the entry sends an Ask on another session, the
+	// answer moves to that session.
 	session *sess.Session
 	key     string
 	arrived clock.Millis
--- a/internal/serve/agent/once_test.go
+++ b/internal/serve/agent/once_test.go
@@ -165,8 +165,8 @@
 	assert.Equal(t, refuse.Ran, fault.NotRun)
 }
 
-// The agent is slow while a session opens, and right afterwards the entry asks
-// about a call on a second session. The test guards against the answer "unknown",
+// The agent is slow while a session opens, and right afterwards the entry sends an
+// Ask for a call on a second session. The test guards against the answer "unknown",
 // which would fail the caller's booking: the entry was connected a moment ago, so
 // the agent can answer "not run".
 func TestAskRightAfterTheSessionOpened(t *testing.T) {
--- a/internal/serve/agent/run.go
+++ b/internal/serve/agent/run.go
@@ -213,9 +213,9 @@
 	if a.closed {
 		return
 	}
-	late := func(at *attempt) { a.refuseQueued(now, at, fault.DeadlineUnreachable) }
+	refuseLate := func(at *attempt) { a.refuseQueued(now, at, fault.DeadlineUnreachable) }
 	for {
-		at, ticket, ok := a.gate.Next(now, late)
+		at, ticket, ok := a.gate.Next(now, refuseLate)
 		if !ok {
 			return
 		}
--- a/internal/serve/deploy/deploy.go
+++ b/internal/serve/deploy/deploy.go
@@ -1,5 +1,5 @@
 // Package deploy executes rollouts: operators order that a pool switches to another
-// version of its endpoints, and the processes decide together whether that version
+// version of its endpoints, and the processes jointly determine whether that version
 // is sound.
 //
 // Each process sends a part of its requests to the candidate, counts the answers of
--- a/internal/serve/feed/feed_test.go
+++ b/internal/serve/feed/feed_test.go
@@ -119,7 +119,7 @@
 }
 
 // Guards against a list after an outage that comes without the duration of the
-// outage: entries may expire during it although their writers are alive.
+// outage: entries may expire during it although their writers still run.
 func TestListReportsOutageDuration(t *testing.T) {
 	_, h := run(t, &script{
 		scans:   []func() (store.Listing, error){failedScan, failedScan, listed(5, "k/a")},
--- a/internal/serve/gate/accept.go
+++ b/internal/serve/gate/accept.go
@@ -44,8 +44,8 @@
 
 	began clock.Millis
 	// firstArrival is when the caller's first attempt arrived, as far as known.
-	// afterRefusal marks a request that was refused earlier and sent again as the refusal
-	// asked.
+	// afterRefusal marks a request that was refused earlier and sent again after the
+	// requested delay.
 	firstArrival clock.Millis
 	afterRefusal bool
 	// admittedLate marks a request that was admitted although it will probably miss its
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -192,8 +192,8 @@
 	return !g.leaving.Load() && g.Table() != nil && g.View().Complete()
 }
 
-// StartDrain begins a planned stop. The process reports that it is not ready and asks
-// callers to close their connections, so that they reconnect to another process.
+// StartDrain begins a planned stop. The process reports that it is not ready, and its
+// answers request that callers close their connections and reconnect to another process.
 func (g *Gate) StartDrain() { g.leaving.Store(true) }
 
 // RefuseNew makes the gate refuse every request that arrives from now on.
--- a/internal/serve/mesh/follow.go
+++ b/internal/serve/mesh/follow.go
@@ -130,7 +130,7 @@
 	return l
 }
 
-// requestChanges asks a peer to relay changes of the given kinds, or of all kinds
+// requestChanges requests that a peer relay changes of the given kinds, or of all kinds
 // if kinds is nil.
 func (m *Mesh) requestChanges(l *link, kinds []string) {
 	follow := &wire.Follow{}
--- a/internal/serve/mesh/mesh_test.go
+++ b/internal/serve/mesh/mesh_test.go
@@ -74,8 +74,8 @@
 
 // Guards against long prompts that are reported only with the next regular message.
 // Several processes send prompts to the engine that holds their common prefix; if
-// they don't know each other's prompts, all prompts queue at this engine, and the
-// first event comes late although other engines are idle.
+// their loads do not contain each other's prompts, all prompts queue at this engine,
+// and the first event comes late although other engines are idle.
 func TestLongPromptsAreReportedAtOnce(t *testing.T) {
 	fake := clock.NewFake(1)
 	all := startProcesses(t, fake.Clock(), "a", "b", "c")
@@ -101,7 +101,7 @@
 	assert.Assert(t, advance(60, allReported), "%d %d", all[1].peerTokens.Load(), all[2].peerTokens.Load())
 }
 
-// Guards against the loads of a process that ended without notice: if they stay,
+// Guards against the loads of a process that ended without a planned stop: if they stay,
 // idle engines seem busy.
 func TestLoadsOfALostProcessAreRemoved(t *testing.T) {
 	all := startProcesses(t, clock.New(), "a", "b")
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// Ack confirms the end of an attempt, so that the agent can forget it.
+// Ack confirms the end of an attempt, so that the agent can discard it.
 func (l *Link) Ack(id token.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/share/avail/reach.go
+++ b/internal/share/avail/reach.go
@@ -50,7 +50,7 @@
 func (c *Contact) RecordPlatform(at clock.Millis) { c.advance(at) }
 
 // RecordIndirect records that a peer in the same zone last had contact outside it
-// at the given age. Such a peer would learn that the zone was evacuated and pass
+// at the given age. Such a peer would receive the evacuation of the zone and pass
 // it on.
 func (c *Contact) RecordIndirect(age clock.Millis) { c.advance(c.clock.Now() - age) }
 
--- a/internal/share/node/entry.go
+++ b/internal/share/node/entry.go
@@ -29,7 +29,7 @@
 	// release number with the next frame.
 	maxAnnounceAll = 64
 	// rosterPrefix is followed by a pool. The document holds the hosts of the pool
-	// that a peer knows.
+	// in the roster of a peer.
 	rosterPrefix = "roster/"
 )
 
--- a/internal/share/roster/roster.go
+++ b/internal/share/roster/roster.go
@@ -24,9 +24,9 @@
 	pageLimit   = 200
 	// The interval between two reads of a list grows with the total length of
 	// all lists, so that the traffic stays constant: some 3,600 bytes/s at 150
-	// bytes per host. In a small deployment a process notices within 2 to 3 s
+	// bytes per host. In a small deployment a process detects within 2 to 3 s
 	// that the platform removes a host, with 12,000 endpoints within 9 minutes.
-	// In a large deployment it learns of it earlier from the agent itself, which
+	// In a large deployment it is informed earlier by the agent itself, which
 	// announces at once that it is leaving.
 	minRefreshInterval = 2 * clock.Second
 	refreshPerHost     = 42 * clock.Millis(1)
@@ -225,7 +225,7 @@
 }
 
 // excludeLeaving drops the hosts that the platform is about to remove. Their
-// agents may not know it yet, and work sent there would be aborted with the host.
+// agents may not have been informed yet, and work sent there would be aborted with the host.
 func excludeLeaving(hosts []store.Host) []store.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h store.Host) bool { return h.State == store.HostLeaving })
 }
--- a/internal/share/spread/learn.go
+++ b/internal/share/spread/learn.go
@@ -160,7 +160,7 @@
 
 // Offer accepts a head document if it is newer and valid. It fetches the
 // sections that are missing here. Once the learner is active, an accepted
-// release is in force at once. The error tells why a document is invalid or
+// release is in force at once. The error states why a document is invalid or
 // incomplete.
 func (l *Learner) Offer(ctx context.Context, source Source, raw []byte, fetch SectionFunc) (Verdict, error) {
 	verdict, err := l.evaluate(ctx, raw, fetch)
