--- a/internal/serve/gate/attempt.go
+++ b/internal/serve/gate/attempt.go
@@ -36,7 +36,7 @@
 	// the first byte of an answer while another endpoint may still be tried.
 	stallObjectives = 2.5
 	// streamStallTimeout bounds the pauses of a stream that another engine could resume. It
-	// is several times the pauses that a busy engine makes.
+	// is several times the usual pauses of a busy engine.
 	streamStallTimeout = 1800 * clock.Millis(1)
 )
 
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -92,8 +92,8 @@
 	return base + clock.Millis(max(req.priority, 0))*organisationPenalty + clock.Millis(max(req.route.Priority, 0))*routePenalty
 }
 
-// poolQueue returns the state of a pool's queue over all its shards, or nil if the pool
-// makes no pieces.
+// poolQueue returns the state of a pool's queue over all its shards, or nil if the pool's
+// engines compute no pieces.
 func (g *Gate) poolQueue(name string) *reach.Queue {
 	batching := g.Table().Batching(name)
 	if batching == nil {
--- a/internal/serve/gate/refuse.go
+++ b/internal/serve/gate/refuse.go
@@ -14,8 +14,8 @@
 func (g *Gate) refuse(w http.ResponseWriter, req *request, refused *fault.RefusalError) {
 	refused.RequestID = req.Request
 	if req.headSent {
-		// The caller has received a part of the answer. Only a broken connection shows it
-		// that the rest is missing.
+		// The caller has received a part of the answer. Only a broken connection shows the
+		// caller that the rest is missing.
 		g.recordEnd(req, refused)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -135,9 +135,9 @@
 }
 
 // requestPieces requests pieces from the owner of a pool, and from its successor if the
-// owner is lost or leaves; computing pieces twice is safe. While hosts are restarted one after the
-// other, processes briefly disagree on the owner, and the next owner may be leaving too. A
-// delay gives time for an owner that does not leave.
+// owner is lost or leaves; computing pieces twice is safe. While hosts are restarted one
+// after the other, processes briefly disagree on the owner, and the next owner may be
+// leaving too. After a delay, some owner is found that does not leave.
 func (g *Gate) requestPieces(ctx context.Context, req *request, pieces *wire.Pieces, inputsRead func()) (*wire.Results, error) {
 	tried := make(map[string]bool)
 	pool, hold := pieces.Pool, pieces.Hold
@@ -260,8 +260,8 @@
 	g.sendUnused(req, req.run.FinalResults(), wire.Unused{Reclaimable: true, Delay: inputReadTime})
 }
 
-// sendUnused sends the owners the list of results that are no longer needed. The other fields of each
-// message are taken from common.
+// sendUnused sends the owners the list of results that are no longer needed. The other
+// fields of each message are taken from common.
 func (g *Gate) sendUnused(req *request, references []string, common wire.Unused) {
 	byPool := make(map[string]*wire.Unused)
 	for _, reference := range references {
