--- a/internal/serve/agent/ask.go
+++ b/internal/serve/agent/ask.go
@@ -68,7 +68,7 @@
 // arrives.
 func (a *Agent) answerWithoutResult(now clock.Millis, s *sess.Session, ask *wire.Ask) {
 	state := a.fence.State(ask.ID)
-	if state == fence.Unseen && ask.Target == a.incarnation && a.fence.Complete(now) && a.heardRecently(now, s) {
+	if state == fence.Unseen && ask.Target == a.incarnation && a.fence.Complete(now) && a.receivedRecently(now, s) {
 		if a.fence.Set(now, ask.ID, fence.Refused) {
 			state = fence.Refused
 		}
@@ -88,11 +88,11 @@
 	a.send(s, &wire.Frame{Kind: wire.KindOutcome, Outcome: &wire.Outcome{ID: ask.ID, State: state}})
 }
 
-// heardRecently reports whether a message of the entry arrived recently on another
+// receivedRecently reports whether a message of the entry arrived recently on another
 // session. An entry that was paused for minutes may ask about an attempt that has
 // ended and whose record has expired. The answer "not run" would then be wrong for
 // a booking that ran.
-func (a *Agent) heardRecently(now clock.Millis, asker *sess.Session) bool {
+func (a *Agent) receivedRecently(now clock.Millis, asker *sess.Session) bool {
 	incarnation := asker.Peer().Incarnation
 	lastReceived, known := a.lastReceived[incarnation]
 	for s := range a.sessions {
--- a/internal/serve/peers/link.go
+++ b/internal/serve/peers/link.go
@@ -103,8 +103,8 @@
 	if config := l.peers.tls(); config != nil {
 		opts = append(opts, sess.WithTLS(config))
 	}
-	if l.peers.beatIdle > 0 {
-		opts = append(opts, sess.WithHeartbeats(l.peers.beatIdle, l.peers.beatBusy))
+	if l.peers.idleHeartbeat > 0 {
+		opts = append(opts, sess.WithHeartbeats(l.peers.idleHeartbeat, l.peers.busyHeartbeat))
 	}
 	return sess.Dial(ctx, l.address, opts...)
 }
--- a/internal/serve/peers/peers.go
+++ b/internal/serve/peers/peers.go
@@ -35,16 +35,16 @@
 
 // Peers manages an entry's sessions to agents.
 type Peers struct {
-	clock    *clock.Clock
-	log      *log.Logger
-	holder   *spread.Holder
-	meter    *meter.Entry
-	zone     string
-	hello    func() wire.Hello
-	dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	tls      func() *tls.Config
-	beatIdle clock.Millis
-	beatBusy clock.Millis
+	clock         *clock.Clock
+	log           *log.Logger
+	holder        *spread.Holder
+	meter         *meter.Entry
+	zone          string
+	hello         func() wire.Hello
+	dial          func(ctx context.Context, network, address string) (net.Conn, error)
+	tls           func() *tls.Config
+	idleHeartbeat clock.Millis
+	busyHeartbeat clock.Millis
 
 	session          []sess.Option
 	openedFunc       func(s *sess.Session, address string)
@@ -89,7 +89,7 @@
 // WithHeartbeats sets the intervals between heartbeats, in milliseconds, without and
 // with calls in flight.
 func WithHeartbeats(idle, busy clock.Millis) Option {
-	return func(p *Peers) { p.beatIdle, p.beatBusy = idle, busy }
+	return func(p *Peers) { p.idleHeartbeat, p.busyHeartbeat = idle, busy }
 }
 
 // WithSession adds options to each session.
