--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -133,7 +133,7 @@
 	t.Parallel()
 	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(2), whole.WithEndpoints(2))
 	backup := system.Platform.Snapshot()
-	result, err := system.Operator().LeaveZone(t.Context(), "za", apply.Change{Who: "anna"})
+	result, err := system.Operator().EvacuateZone(t.Context(), "za", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.NilError(t, system.WaitInForce(result.Head.Release))
 	watch := watchReleases(t, system)
@@ -217,7 +217,7 @@
 		_, applyErr = system.Operator().Apply(t.Context(), manifestWithWeight(9), apply.Change{Who: "anna", Expected: 1})
 	})
 	group.Go(func() {
-		_, evacuateErr = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
+		_, evacuateErr = system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: 1})
 	})
 	group.Wait()
 	assert.NilError(t, applyErr)
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -23,7 +23,7 @@
 // accepted.
 func evacuateZone(t *testing.T, system *whole.Whole, zone string) time.Time {
 	t.Helper()
-	_, err := system.Operator().LeaveZone(t.Context(), zone, apply.Change{Who: "anna", Reason: "test"})
+	_, err := system.Operator().EvacuateZone(t.Context(), zone, apply.Change{Who: "anna", Reason: "test"})
 	assert.NilError(t, err)
 	return time.Now()
 }
@@ -101,12 +101,12 @@
 func TestConflictingZoneChanges(t *testing.T) {
 	t.Parallel()
 	system := startSystem(t, whole.WithManifest(longDeadlineManifest()), whole.WithEntries(1), whole.WithEndpoints(1))
-	left, err := system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
+	left, err := system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	seen := left.Head.Release
 	_, err = system.Operator().ReturnZone(t.Context(), "zb", apply.Change{Who: "beat", Expected: seen})
 	assert.NilError(t, err)
-	_, err = system.Operator().LeaveZone(t.Context(), "zb", apply.Change{Who: "cleo", Expected: seen})
+	_, err = system.Operator().EvacuateZone(t.Context(), "zb", apply.Change{Who: "cleo", Expected: seen})
 	var conflict *apply.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "got %v", err)
 	assert.Equal(t, conflict.Between[0].ChangedBy, "beat")
@@ -203,7 +203,7 @@
 		assert.NilError(t, err)
 	}
 	accepted := evacuateZone(t, system, "zb")
-	again, err := operator.LeaveZone(t.Context(), "zb", apply.Change{Who: "anna"})
+	again, err := operator.EvacuateZone(t.Context(), "zb", apply.Change{Who: "anna"})
 	assert.NilError(t, err)
 	assert.Assert(t, !again.Changed, "the second evacuation must change nothing")
 	checkNoNewWorkInZone(t, system, load, "zb", accepted)
--- a/internal/engine/order/giver.go
+++ b/internal/engine/order/giver.go
@@ -90,14 +90,14 @@
 	sendFunc func(ctx context.Context, order Order) error
 }
 
-// NewIssuer returns an Issuer that sends orders with send. ignoresFencing tells
+// NewIssuer returns an Issuer that sends orders with send. ignoresFencing means
 // that the engine doesn't check fencing numbers.
 func NewIssuer(c *clock.Clock, held *lease.Lease, ignoresFencing bool, send func(context.Context, Order) error) *Issuer {
 	return &Issuer{clock: c, lease: held, ignoresFencing: ignoresFencing, sendFunc: send}
 }
 
 // Issue issues one order. It first makes sure that this agent holds the lease: the
-// first call seizes it with a fencing number above all that the platform knows,
+// first call seizes it with a fencing number above all that the platform has stored,
 // and each call renews it. Once another agent has taken over, all calls fail with
 // a SupersededError, because two agents would otherwise seize the lease from each
 // other indefinitely.
--- a/internal/serve/gate/gate.go
+++ b/internal/serve/gate/gate.go
@@ -37,7 +37,7 @@
 type Settings struct {
 	Clock    *clock.Clock
 	Log      *log.Logger
-	Spelling *spell.Codec
+	Codec    *spell.Codec
 	Registry prometheus.Registerer
 	// Name of this process, and its availability zone.
 	Name string
@@ -175,7 +175,7 @@
 // callers, else 503.
 func (g *Gate) ReadyHandler() http.Handler {
 	router := chi.NewRouter()
-	router.Get(g.Spelling.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.Get(g.Codec.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -192,8 +192,8 @@
 	return !g.leaving.Load() && g.Table() != nil && g.View().Complete()
 }
 
-// StartDrain begins a planned stop. The process reports that it is not ready and asks
-// callers to close their connections, so that they reconnect to another process.
+// StartDrain begins a planned stop. The process reports that it is not ready, and its
+// answers request that callers close their connections and reconnect to another process.
 func (g *Gate) StartDrain() { g.leaving.Store(true) }
 
 // RefuseNew makes the gate refuse every request that arrives from now on.
@@ -275,5 +275,5 @@
 }
 
 // answerMargin is added to the deadline for an endpoint's answer: an endpoint that stops at
-// the deadline sends a failure of its own, which is more precise than a refusal made here.
+// the deadline sends a failure of its own, which is more precise than a refusal sent here.
 const answerMargin = 60 * clock.Millis(1)
--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -92,8 +92,8 @@
 	return base + clock.Millis(max(req.priority, 0))*organisationPenalty + clock.Millis(max(req.route.Priority, 0))*routePenalty
 }
 
-// poolQueue returns the state of a pool's queue over all its shards, or nil if the pool
-// makes no pieces.
+// poolQueue returns the state of a pool's queue over all its shards, or nil if the pool's
+// engines compute no pieces.
 func (g *Gate) poolQueue(name string) *reach.Queue {
 	batching := g.Table().Batching(name)
 	if batching == nil {
@@ -116,7 +116,7 @@
 	load, staleness, known := g.shardLoad(shard)
 	q = &reach.Queue{Bounds: batch.BoundsOf(batching), ResultMemory: batching.ResultMemory}
 	if known {
-		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.Fill, load.Waiting
+		q.Engines, q.Free, q.BatchSize, q.Queued = load.Engines, load.Free, load.BatchSize, load.Queued
 		q.Staleness = float64(staleness)
 		return q, true
 	}
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -79,16 +79,16 @@
 	queued  batch.Queue
 	engines map[*view.Endpoint]*engine
 	clock   *clock.Clock
-	// fill is the moving average of the number of pieces per call while more pieces
+	// batchSize is the moving average of the number of pieces per call while more pieces
 	// are queued than fit into a call.
-	fill float64
+	batchSize float64
 }
 
 // Settings are the dependencies of a Host.
 type Settings struct {
-	Clock    *clock.Clock
-	Log      *log.Logger
-	Spelling *spell.Codec
+	Clock *clock.Clock
+	Log   *log.Logger
+	Codec *spell.Codec
 	// Table and View return the current routes and endpoints.
 	Table func() *table.Table
 	View  func() *view.Snapshot
@@ -165,8 +165,8 @@
 	h.markResultsUnused(q, job)
 }
 
-// Abandon fails a job whose requesting process is gone or has turned to another
-// owner.
+// Abandon fails a job whose requesting process has ended or has sent the request
+// to another owner.
 func (h *Host) Abandon(job *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// MarkUnused records that results are no longer needed, or, if they are spare, that
-// they are needed again only if a stage fails.
+// MarkUnused records that results are no longer needed, or, if they are
+// reclaimable, that they are needed again only if a stage fails.
 func (h *Host) MarkUnused(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -234,8 +234,9 @@
 	}
 }
 
-// Retire fails all jobs of which no piece has been sent, because this process
-// leaves: their senders turn to the next owner. This process completes the others.
+// Retire fails all jobs of which no piece has been sent, because this process is
+// stopping: their senders repeat the requests at the next owner. This process
+// completes the other jobs.
 func (h *Host) Retire() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -281,13 +282,13 @@
 
 func (h *Host) load(q *queue) wire.PoolLoad {
 	count, free := h.usableEngines(q, h.pool(q.name))
-	load := wire.PoolLoad{Pool: q.name, Engines: count, Free: len(free), Fill: q.fill}
+	load := wire.PoolLoad{Pool: q.name, Engines: count, Free: len(free), BatchSize: q.batchSize}
 	if q.queued.Pieces() == 0 {
 		return load
 	}
 	now := h.Clock.Now()
-	load.Waiting = make([]int, len(reach.RankEdges)+1)
-	q.queued.Each(func(g *batch.Group) { load.Waiting[reach.Class(g.Rank-now)] += g.Queued() })
+	load.Queued = make([]int, len(reach.RankEdges)+1)
+	q.queued.Each(func(g *batch.Group) { load.Queued[reach.Class(g.Rank-now)] += g.Queued() })
 	return load
 }
 
--- a/internal/share/avail/reach.go
+++ b/internal/share/avail/reach.go
@@ -1,6 +1,6 @@
 // Package avail decides whether a process accepts new work. It refuses work if it
-// is isolated in its availability zone, or if operators took its zone or endpoint
-// out of use.
+// is isolated in its availability zone, or if operators have evacuated its zone or
+// disabled its endpoint.
 package avail
 
 import (
@@ -50,7 +50,7 @@
 func (c *Contact) RecordPlatform(at clock.Millis) { c.advance(at) }
 
 // RecordIndirect records that a peer in the same zone last had contact outside it
-// at the given age. Such a peer would learn that the zone was evacuated and pass
+// at the given age. Such a peer would receive the evacuation of the zone and pass
 // it on.
 func (c *Contact) RecordIndirect(age clock.Millis) { c.advance(c.clock.Now() - age) }
 
