--- a/internal/serve/deploy/rollout.go
+++ b/internal/serve/deploy/rollout.go
@@ -40,7 +40,7 @@
 	dueSince clock.Millis
 	// refused is set once the log contains the reason why the order isn't started,
 	// and promoting once it contains the start of the promotion. decided is set once
-	// the order is due and the candidate got no more requests than allowed.
+	// the order is due and the bounds allow the requests of the promotion.
 	refused, promoting, decided bool
 
 	plan      atomic.Pointer[canary.Plan]
--- a/internal/serve/feed/peer.go
+++ b/internal/serve/feed/peer.go
@@ -163,8 +163,8 @@
 	return update
 }
 
-// applyList replaces all objects by the list of a revision. It ignores a list that
-// is not newer, unless a list is required.
+// applyList replaces all objects by the list of a revision. It ignores an older
+// list, and one of the current revision unless a list is required.
 func (f *Feed) applyList(objects []store.Object, revision, changed uint64, away, at clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/serve/gate/stages.go
+++ b/internal/serve/gate/stages.go
@@ -259,8 +259,8 @@
 	g.sendUnused(req, req.run.FinalResults(), wire.Unused{Reclaimable: true, Delay: inputReadTime})
 }
 
-// sendUnused sends the owners the list of results that are no longer needed. The other fields of each
-// message are taken from common.
+// sendUnused sends the owners the list of results that are no longer needed. The other
+// fields of each message are taken from common.
 func (g *Gate) sendUnused(req *request, references []string, common wire.Unused) {
 	byPool := make(map[string]*wire.Unused)
 	for _, reference := range references {
--- a/internal/serve/host/host.go
+++ b/internal/serve/host/host.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// MarkUnused records that results are no longer needed, or, if they are spare, that
-// they are needed again only if a stage fails.
+// MarkUnused records that results are no longer needed, or, if they are reclaimable,
+// that they are needed again only if a stage fails.
 func (h *Host) MarkUnused(unused *wire.Unused) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/serve/router/poison_edge_test.go
+++ b/internal/serve/router/poison_edge_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against a lookup that many callers send with the same key and that is refused
-// for a quarter of an hour because all engines that ran it lost power together.
+// Guards against a lookup that all callers send with identical content and that is
+// refused for a quarter of an hour because all engines that ran it lost power together.
 func TestLookupIsServedAfterItsEnginesStopTogether(t *testing.T) {
 	b := startTwoTenants(t)
 	engines := b.Engines(orders)
--- a/internal/serve/runs/runs.go
+++ b/internal/serve/runs/runs.go
@@ -53,8 +53,8 @@
 	return func(r *Runs) { r.picker = pick.New(pick.WithPolicy(policy)) }
 }
 
-// WithBaseline sets the fixed baseline for measurements: round robin with unlimited
-// retries and without budgets, hedges, early refusals and affinity.
+// WithBaseline sets the fixed baseline for measurements: round robin and retries that
+// no budget limits, without hedges, early refusals and affinity.
 func WithBaseline() Option {
 	return func(r *Runs) {
 		r.baseline = true
