--- a/internal/share/apply/write.go
+++ b/internal/share/apply/write.go
@@ -211,8 +211,8 @@
 	if current.Nonce == nonce {
 		return current, nil
 	}
-	// Each try wrote at most one release, so the write is among the last
-	// o.tries releases.
+	// Each try writes the release that follows the head it read. With few tries,
+	// an earlier write is one of the releases just below the current one.
 	for back := uint64(1); back <= uint64(o.tries) && back < current.Release; back++ {
 		object, err := o.store.Get(ctx, head.HistoryObject(current.Release-back))
 		if err != nil {
