--- a/internal/share/apply/apply.go
+++ b/internal/share/apply/apply.go
@@ -235,8 +235,9 @@
 	return &Config{Head: h, Manifest: manifest}, nil
 }
 
-// get reads an object and retries while the store is unavailable, so that one
-// refused call doesn't fail the operator's command.
+// get reads an object and retries while the store is unavailable: an operator
+// would rather wait some two seconds, as with the default number of tries, than
+// see the command fail because of one refused call.
 func (o *Operator) get(ctx context.Context, name string) (store.Object, error) {
 	pause := minPause
 	for try := 1; ; try++ {
