--- a/internal/serve/mesh/report.go
+++ b/internal/serve/mesh/report.go
@@ -24,7 +24,8 @@
 	minRoundGap       = 6 * clock.Millis(1)
 	gapPerDestination = 2 * clock.Millis(1)
 	// groupInterval is the interval between regular sums that aggregators exchange.
-	// It is longer because most of these messages cross availability zones.
+	// Each sends the sums of its group, the processes that report to it. The
+	// interval is longer because most of these messages cross availability zones.
 	groupInterval = 2 * reportInterval
 	// staleAfter is the age of the last report above which the work of a process or
 	// group is excluded from the sums.
