--- a/internal/serve/gate/reach.go
+++ b/internal/serve/gate/reach.go
@@ -81,9 +81,9 @@
 	return r
 }
 
-// penalty returns the time by which a request is ranked behind others. The priority of the
-// organisation takes precedence; among organisations of one priority the priority of the
-// route decides.
+// penalty returns the time by which a request is ranked behind others. It is the sum of one
+// penalty for the priority of the organisation (that of the route if the organisation has
+// none), one for the priority of the route, and latePenalty for a request admitted late.
 func penalty(req *request) clock.Millis {
 	base := clock.Millis(0)
 	if req.admittedLate {
