--- a/internal/bench/fluid/fluid.go
+++ b/internal/bench/fluid/fluid.go
@@ -1,5 +1,5 @@
 // Package fluid computes an upper bound on the requests that the engines of a deployment
-// can serve, by route and time span. It assumes divisible requests, full batches and
+// can serve, by route and time interval. It assumes divisible requests, full batches and
 // decisions without delay, so no scheduler can exceed the bound.
 package fluid
 
@@ -143,77 +143,77 @@
 	return slices.IndexFunc(m.Pools, func(p Pool) bool { return p.Name == name })
 }
 
-// Span is the bound for one time span.
-type Span struct {
+// Interval is the bound for one time interval of the load.
+type Interval struct {
 	FromS float64 `json:"fromSeconds"`
 	toS   float64
-	// Asked and Served are numbers of requests by route: those that arrive, and those that
-	// can be served at most.
-	Asked  []float64 `json:"asked"`
-	Served []float64 `json:"served"`
+	// Offered is the number of requests that arrive, and Served the maximum number that can
+	// be served, both by route.
+	Offered []float64 `json:"asked"`
+	Served  []float64 `json:"served"`
 	// Worth is the value of the served requests divided by that of all requests.
 	Worth float64 `json:"worth"`
-	// Binding lists the pools that are fully used.
-	Binding []string `json:"binding"`
+	// Bottlenecks lists the pools that are fully used.
+	Bottlenecks []string `json:"binding"`
 }
 
 // Bound is the bound for a load.
 type Bound struct {
-	Name   string   `json:"name"`
-	Routes []string `json:"routes"`
-	Spans  []Span   `json:"spans"`
+	Name      string     `json:"name"`
+	Routes    []string   `json:"routes"`
+	Intervals []Interval `json:"spans"`
 	// Worth is the value of the served requests divided by that of all requests. ByRoute is
 	// the share of requests served, for each route.
 	Worth   float64   `json:"worth"`
 	ByRoute []float64 `json:"byRoute"`
 }
 
-// Of returns the bound for a model, in spans of spanS seconds. For every window of
-// consecutive spans, the requests served from it must fit into the engine time from its
-// start until its last requests miss their objective. Requests from outside the window may
+// NewBound returns the bound for a model, in intervals of intervalS seconds. For every window
+// of consecutive intervals, the requests served from it must fit into the engine time from
+// its start until its last requests miss their objective. Requests from outside the window may
 // use the same time, so the bound is never too low.
-func Of(m *Model, spanS float64) *Bound {
+func NewBound(m *Model, intervalS float64) *Bound {
 	b := &Bound{Name: m.Name}
 	for _, route := range m.Routes {
 		b.Routes = append(b.Routes, route.Name)
 	}
-	for from := 0.0; from < m.Seconds; from += spanS {
-		b.Spans = append(b.Spans, m.newSpan(from, min(from+spanS, m.Seconds)))
+	for from := 0.0; from < m.Seconds; from += intervalS {
+		b.Intervals = append(b.Intervals, m.newInterval(from, min(from+intervalS, m.Seconds)))
 	}
 	lp := program{}
-	for i := range b.Spans {
+	for i := range b.Intervals {
 		for r, route := range m.Routes {
-			lp.maxAmounts = append(lp.maxAmounts, b.Spans[i].Asked[r])
+			lp.maxAmounts = append(lp.maxAmounts, b.Intervals[i].Offered[r])
 			lp.values = append(lp.values, route.Worth)
 		}
 	}
-	windows := m.addCapacityLimits(&lp, b.Spans)
+	windows := m.addCapacityLimits(&lp, b.Intervals)
 	m.distribute(b, lp.solve())
 	m.markBottlenecks(b, &lp, windows)
 	return b
 }
 
-// window is a pool over consecutive spans, from the first to the last.
+// window is a pool over consecutive intervals, from the first to the last.
 type window struct{ pool, first, last int }
 
-// addCapacityLimits adds the capacity of each pool in each window of spans to the linear
+// addCapacityLimits adds the capacity of each pool in each window of intervals to the linear
 // program and returns the windows. It omits windows whose capacity suffices for all
 // requests.
-func (m *Model) addCapacityLimits(p *program, spans []Span) []window {
+func (m *Model) addCapacityLimits(p *program, intervals []Interval) []window {
 	maxObjectiveS := 0.0
 	for _, route := range m.Routes {
 		maxObjectiveS = max(maxObjectiveS, route.ObjectiveMs/1000)
 	}
 	var windows []window
 	for i, pool := range m.Pools {
-		for first := range spans {
-			asked := 0.0
+		for first := range intervals {
+			needed := 0.0
 			uses := make([]float64, len(p.maxAmounts))
-			for last := first; last < len(spans); last++ {
-				asked += m.addUse(i, spans[last].Asked, uses[last*len(m.Routes):])
-				capacity := 1000 * pool.Slots * m.integrate(spans[first].FromS, spans[last].toS+maxObjectiveS, pool.Engines,
+			for last := first; last < len(intervals); last++ {
+				needed += m.addUse(i, intervals[last].Offered, uses[last*len(m.Routes):])
+				capacity := 1000 * pool.Slots * m.integrate(intervals[first].FromS, intervals[last].toS+maxObjectiveS, pool.Engines,
 					func(e Event) bool { return e.Pool == pool.Name })
-				if asked <= capacity {
+				if needed <= capacity {
 					continue
 				}
 				p.uses = append(p.uses, slices.Clone(uses))
@@ -240,32 +240,32 @@
 	return sum
 }
 
-// newSpan returns a span with the numbers of requests that arrive in it.
-func (m *Model) newSpan(from, to float64) Span {
-	s := Span{FromS: from, toS: to}
+// newInterval returns an interval with the numbers of requests that arrive in it.
+func (m *Model) newInterval(from, to float64) Interval {
+	interval := Interval{FromS: from, toS: to}
 	for _, route := range m.Routes {
-		s.Asked = append(s.Asked, m.integrate(from, to, route.PerSecond, func(e Event) bool {
+		interval.Offered = append(interval.Offered, m.integrate(from, to, route.PerSecond, func(e Event) bool {
 			return e.Route == route.Name || e.Route == allRoutes
 		}))
 	}
-	return s
+	return interval
 }
 
-// distribute writes a solution into the spans of a bound and computes the totals.
+// distribute writes a solution into the intervals of a bound and computes the totals.
 func (m *Model) distribute(b *Bound, amounts []float64) {
-	asked, served := make([]float64, len(m.Routes)), make([]float64, len(m.Routes))
-	for i := range b.Spans {
-		span := &b.Spans[i]
-		span.Served = amounts[i*len(m.Routes) : (i+1)*len(m.Routes)]
-		span.Worth = ratio(m.worth(span.Served), m.worth(span.Asked))
+	offered, served := make([]float64, len(m.Routes)), make([]float64, len(m.Routes))
+	for i := range b.Intervals {
+		interval := &b.Intervals[i]
+		interval.Served = amounts[i*len(m.Routes) : (i+1)*len(m.Routes)]
+		interval.Worth = ratio(m.worth(interval.Served), m.worth(interval.Offered))
 		for r := range m.Routes {
-			asked[r] += span.Asked[r]
-			served[r] += span.Served[r]
+			offered[r] += interval.Offered[r]
+			served[r] += interval.Served[r]
 		}
 	}
-	b.Worth = ratio(m.worth(served), m.worth(asked))
+	b.Worth = ratio(m.worth(served), m.worth(offered))
 	for r := range m.Routes {
-		b.ByRoute = append(b.ByRoute, ratio(served[r], asked[r]))
+		b.ByRoute = append(b.ByRoute, ratio(served[r], offered[r]))
 	}
 }
 
@@ -284,15 +284,15 @@
 	return some / all
 }
 
-// markBottlenecks adds to each span the pools that are fully used over a window that
-// contains the span.
+// markBottlenecks adds to each interval the pools that are fully used over a window that
+// contains the interval.
 func (m *Model) markBottlenecks(b *Bound, p *program, windows []window) {
 	const fullShare = 0.999
 	for k, row := range windows {
 		used := 0.0
 		for i := row.first; i <= row.last; i++ {
 			for r := range m.Routes {
-				used += p.uses[k][i*len(m.Routes)+r] * b.Spans[i].Served[r]
+				used += p.uses[k][i*len(m.Routes)+r] * b.Intervals[i].Served[r]
 			}
 		}
 		if used < fullShare*p.capacities[k] {
@@ -300,8 +300,8 @@
 		}
 		name := m.Pools[row.pool].Name
 		for i := row.first; i <= row.last; i++ {
-			if !slices.Contains(b.Spans[i].Binding, name) {
-				b.Spans[i].Binding = append(b.Spans[i].Binding, name)
+			if !slices.Contains(b.Intervals[i].Bottlenecks, name) {
+				b.Intervals[i].Bottlenecks = append(b.Intervals[i].Bottlenecks, name)
 			}
 		}
 	}
@@ -332,5 +332,5 @@
 	return sum
 }
 
-// BindingText returns the names of the fully used pools, separated by commas.
-func (s *Span) BindingText() string { return strings.Join(s.Binding, ", ") }
+// BottleneckText returns the names of the fully used pools, separated by commas.
+func (i *Interval) BottleneckText() string { return strings.Join(i.Bottlenecks, ", ") }
--- a/internal/bench/fluid/fluid_test.go
+++ b/internal/bench/fluid/fluid_test.go
@@ -23,19 +23,19 @@
 	}
 }
 
-func ExampleOf() {
-	bound := fluid.Of(&fluid.Model{
+func ExampleNewBound() {
+	bound := fluid.NewBound(&fluid.Model{
 		Name: "m", Seconds: 2,
 		Pools:  []fluid.Pool{{Name: "encode", Engines: 1, Slots: 1}},
 		Routes: []fluid.Route{{Name: "draft", PerSecond: 10, Worth: 1, ObjectiveMs: 1, Uses: []fluid.Use{{Pool: "encode", SlotMs: 200}}}},
 	}, 2)
-	fmt.Printf("%.2f %s\n", bound.Worth, bound.Spans[0].BindingText())
+	fmt.Printf("%.2f %s\n", bound.Worth, bound.Intervals[0].BottleneckText())
 	// Output: 0.50 encode
 }
 
 func TestLoadWithinCapacityIsServed(t *testing.T) {
-	b := fluid.Of(model(), 2)
-	assert.Equal(t, len(b.Spans), 5)
+	b := fluid.NewBound(model(), 2)
+	assert.Equal(t, len(b.Intervals), 5)
 	assert.Equal(t, b.Worth, 1.0)
 }
 
@@ -43,15 +43,15 @@
 func TestBurstServesMostValuableRequests(t *testing.T) {
 	m := model()
 	m.Events = []fluid.Event{{FromS: 2, ToS: 4, Route: "*", Times: 4}, {FromS: 6, ToS: 8, Pool: "encode", Times: 0}}
-	b := fluid.Of(m, 2)
-	assert.Equal(t, b.Spans[0].Worth, 1.0)
-	burst := b.Spans[1]
-	assert.Assert(t, math.Abs(burst.Asked[0]-80) < 1e-6)
-	// Two engines work for 3 s each, the span and the objective: 60 drafts at 100 ms and no
+	b := fluid.NewBound(m, 2)
+	assert.Equal(t, b.Intervals[0].Worth, 1.0)
+	burst := b.Intervals[1]
+	assert.Assert(t, math.Abs(burst.Offered[0]-80) < 1e-6)
+	// Two engines work for 3 s each, the interval and the objective: 60 drafts at 100 ms and no
 	// guides.
 	assert.Assert(t, math.Abs(burst.Served[0]-60) < 1e-6 && burst.Served[1] < 1e-6, "%+v", burst)
-	assert.DeepEqual(t, burst.Binding, []string{"encode"})
-	assert.Assert(t, b.Spans[3].Worth < 1)
+	assert.DeepEqual(t, burst.Bottlenecks, []string{"encode"})
+	assert.Assert(t, b.Intervals[3].Worth < 1)
 	assert.Assert(t, b.ByRoute[0] > b.ByRoute[1])
 }
 
@@ -66,12 +66,12 @@
 				m.Routes[i].Uses[j].SlotMs = rapid.Float64Range(0, 300).Draw(t, "use")
 			}
 		}
-		b := fluid.Of(m, 2)
+		b := fluid.NewBound(m, 2)
 		var best [][]float64
-		for _, span := range b.Spans {
-			best = append(best, span.Served)
-			if span.Served[0] > span.Asked[0]+1e-6 || span.Served[1] > span.Asked[1]+1e-6 {
-				t.Fatalf("more served than asked: %+v", span)
+		for _, interval := range b.Intervals {
+			best = append(best, interval.Served)
+			if interval.Served[0] > interval.Offered[0]+1e-6 || interval.Served[1] > interval.Offered[1]+1e-6 {
+				t.Fatalf("more served than offered: %+v", interval)
 			}
 		}
 		if !fits(m, best, 1e-3) {
@@ -87,7 +87,7 @@
 }
 
 // fits reports whether the engine time suffices for the served requests of each window of
-// two-second spans, including the objective of one second after the window.
+// two-second intervals, including the objective of one second after the window.
 func fits(m *fluid.Model, served [][]float64, slackMs float64) bool {
 	first, second := m.Routes[0].Uses, m.Routes[1].Uses
 	for from := range served {
@@ -106,8 +106,8 @@
 
 func worth(m *fluid.Model, served [][]float64) float64 {
 	sum := 0.0
-	for _, span := range served {
-		sum += span[0]*m.Routes[0].Worth + span[1]*m.Routes[1].Worth
+	for _, counts := range served {
+		sum += counts[0]*m.Routes[0].Worth + counts[1]*m.Routes[1].Worth
 	}
 	return sum
 }
@@ -116,11 +116,11 @@
 // requests that arrive.
 func moveServed(t *rapid.T, b *fluid.Bound) [][]float64 {
 	var other [][]float64
-	for _, span := range b.Spans {
+	for _, interval := range b.Intervals {
 		var counts []float64
-		for r, asked := range span.Asked {
-			count := span.Served[r] + rapid.Float64Range(-1, 1).Draw(t, "move")*asked
-			counts = append(counts, min(max(count, 0), asked))
+		for r, offered := range interval.Offered {
+			count := interval.Served[r] + rapid.Float64Range(-1, 1).Draw(t, "move")*offered
+			counts = append(counts, min(max(count, 0), offered))
 		}
 		other = append(other, counts)
 	}
@@ -150,6 +150,6 @@
 		if err != nil || m.Seconds > 100 {
 			return
 		}
-		fluid.Of(m, 10)
+		fluid.NewBound(m, 10)
 	})
 }
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -59,8 +59,8 @@
 	// Kept counts the requests on persistent connections. Crossed counts those of them
 	// whose connection a planned stop closed within 200 ms, before the process read them.
 	Kept, Crossed int64
-	// Breaches describes the violated invariants.
-	Breaches []string
+	// Violations describes the violated invariants.
+	Violations []string
 	// SettledSent counts the requests that were sent after recovery at the end of the
 	// run, SettledServed those of them that succeeded.
 	SettledSent, SettledServed int64
@@ -94,7 +94,7 @@
 
 	kept, crossed                 atomic.Int64
 	sent, served, refused, failed atomic.Int64
-	calmSent, calmServed          atomic.Int64
+	settledSent, settledServed    atomic.Int64
 	mu                            sync.Mutex
 	violations                    []string
 	group                         sync.WaitGroup
@@ -261,7 +261,7 @@
 		timer := time.AfterFunc(30*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	calm := time.Since(r.started) > r.Length-recoverySpan+settlingTime
+	settled := time.Since(r.started) > r.Length-recoverySpan+settlingTime
 	r.sent.Add(1)
 	got := r.client.Do(ctx, r.callers[number].Address(), s)
 	if got.RetryAfter > 0 && got.Status == http.StatusServiceUnavailable {
@@ -270,14 +270,14 @@
 		again.ID = stand.NewID()
 		got = r.client.Do(ctx, r.callers[(number+1)%len(r.callers)].Address(), &again)
 	}
-	if calm && !leaves {
-		r.calmSent.Add(1)
+	if settled && !leaves {
+		r.settledSent.Add(1)
 	}
 	switch {
 	case got.Complete:
 		r.served.Add(1)
-		if calm && !leaves {
-			r.calmServed.Add(1)
+		if settled && !leaves {
+			r.settledServed.Add(1)
 		}
 	case got.Status == http.StatusServiceUnavailable:
 		r.refused.Add(1)
@@ -299,12 +299,12 @@
 	report := &Report{
 		Sent: r.sent.Load(), Served: r.served.Load(), Refused: r.refused.Load(), Failed: r.failed.Load(),
 		Kept: r.kept.Load(), Crossed: r.crossed.Load(),
-		SettledSent: r.calmSent.Load(), SettledServed: r.calmServed.Load(),
+		SettledSent: r.settledSent.Load(), SettledServed: r.settledServed.Load(),
 	}
 	if float64(report.SettledServed) < minServedShare*float64(report.SettledSent) {
 		r.addViolation("only %d of %d requests were served after the last disturbance", report.SettledServed, report.SettledSent)
 	}
-	report.Breaches = append(r.deployment.Ledger.Violations(), r.violations...)
+	report.Violations = append(r.deployment.Ledger.Violations(), r.violations...)
 	return report
 }
 
--- a/internal/bench/soak/soak_test.go
+++ b/internal/bench/soak/soak_test.go
@@ -34,7 +34,7 @@
 	})
 	assert.NilError(t, err)
 	t.Logf("seed %d: %+v", seed, *report)
-	for _, violation := range report.Breaches {
+	for _, violation := range report.Violations {
 		t.Errorf("seed %d (%s): %s", seed, cause, violation)
 	}
 	assert.Assert(t, report.Served > 0)
--- a/internal/bench/study/study_test.go
+++ b/internal/bench/study/study_test.go
@@ -16,7 +16,7 @@
 
 // fakeRun returns an attainment of 0.75, and of 0.5 for the baseline.
 func fakeRun(_ context.Context, e *plan.Experiment, system trial.System, _ func(drive.Progress)) (*tally.Result, error) {
-	r := &tally.Result{System: system.Name, Attainment: 0.75, Allowed: e.AttainableShare(), WastedShare: 0.01}
+	r := &tally.Result{System: system.Name, Attainment: 0.75, AttainableShare: e.AttainableShare(), WastedShare: 0.01}
 	if system.Name == trial.Baseline().Name {
 		r.Attainment, r.WastedShare = 0.5, 0.4
 	}
--- a/internal/bench/study/sum.go
+++ b/internal/bench/study/sum.go
@@ -34,9 +34,9 @@
 	Attainment          Spread `json:"attainment"`
 	ReferenceAttainment Spread `json:"referenceAttainment"`
 	AttainmentRatio     Spread `json:"attainmentRatio"`
-	// OfAllowed is the attainment divided by the share for which the capacity suffices.
-	OfAllowed   Spread `json:"ofAllowed"`
-	WorstSecond Spread `json:"worstSecond"`
+	// OfAttainable is the attainment divided by the share for which the capacity suffices.
+	OfAttainable Spread `json:"ofAllowed"`
+	WorstSecond  Spread `json:"worstSecond"`
 	// Wasted is the share of engine time that did not contribute to an answer in time.
 	Wasted          Spread `json:"wasted"`
 	ReferenceWasted Spread `json:"referenceWasted"`
@@ -59,7 +59,7 @@
 	wasted := func(r *tally.Result) float64 { return r.WastedShare }
 	s.Attainment, s.ReferenceAttainment = newSpread(each(f.Measured, attained)), newSpread(each(f.Reference, attained))
 	s.Wasted, s.ReferenceWasted = newSpread(each(f.Measured, wasted)), newSpread(each(f.Reference, wasted))
-	s.OfAllowed = newSpread(each(f.Measured, func(r *tally.Result) float64 { return r.Attainment / min(r.Allowed, 1) }))
+	s.OfAttainable = newSpread(each(f.Measured, func(r *tally.Result) float64 { return r.Attainment / min(r.AttainableShare, 1) }))
 	s.WorstSecond = newSpread(each(f.Measured, func(r *tally.Result) float64 { return r.WorstSecond }))
 	s.AttainmentRatio = newSpread(ratios(f, attained))
 	s.CostRatio = newSpread(ratios(f, costPerAnswer))
@@ -105,10 +105,10 @@
 
 // Target is a target value of a case and the measured value.
 type Target struct {
-	Case   string  `json:"case"`
-	Wanted string  `json:"wanted"`
-	Value  float64 `json:"value"`
-	Met    bool    `json:"met"`
+	Case     string  `json:"case"`
+	Required string  `json:"wanted"`
+	Value    float64 `json:"value"`
+	Met      bool    `json:"met"`
 }
 
 // Bounds of the targets.
@@ -127,13 +127,13 @@
 	for i := range sums {
 		s := &sums[i]
 		add := func(target string, value float64, met bool) {
-			list = append(list, Target{Case: s.Case, Wanted: target, Value: value, Met: met})
+			list = append(list, Target{Case: s.Case, Required: target, Value: value, Met: met})
 		}
 		switch s.Case {
 		case "load 0.7":
 			add("in time at least 99.9%", s.Attainment.Median, s.Attainment.Median >= minUsualAttainment)
 		case "load 1.5":
-			add("in time at least 90% of what capacity allows", s.OfAllowed.Median, s.OfAllowed.Median >= minOverloadAttainment)
+			add("in time at least 90% of what capacity allows", s.OfAttainable.Median, s.OfAttainable.Median >= minOverloadAttainment)
 			add("engine time wasted below 5%", s.Wasted.Median, s.Wasted.Median < maxOverloadWasted)
 		case "zone leaves and returns":
 			add("no second below 99% in time", s.WorstSecond.Median, s.WorstSecond.Median >= minZoneSecond)
--- a/internal/bench/study/table.go
+++ b/internal/bench/study/table.go
@@ -16,7 +16,7 @@
 		s := &sums[i]
 		line("| %s | %s | %s | %s | %s | %s | %s | %s | %s | %d | %d | %d | %d | %d | %s |",
 			s.Case, s.Attainment.percent(), s.ifReference(s.ReferenceAttainment.percent()),
-			s.ifReference(s.AttainmentRatio.ratio()), s.OfAllowed.percent(), s.WorstSecond.percent(),
+			s.ifReference(s.AttainmentRatio.ratio()), s.OfAttainable.percent(), s.WorstSecond.percent(),
 			s.Wasted.percent(), s.ifReference(s.ReferenceWasted.percent()), s.ifReference(s.CostRatio.ratio()),
 			s.Cut, s.Doubled, s.FalseNotRun, s.Wrong, s.Falls, s.lastNewWork())
 	}
@@ -33,7 +33,7 @@
 		if !t.Met {
 			met = "**no**"
 		}
-		line("| %s | %s | %.4g | %s |", t.Case, t.Wanted, t.Value, met)
+		line("| %s | %s | %.4g | %s |", t.Case, t.Required, t.Value, met)
 	}
 	line("")
 }
--- a/internal/bench/tally/tally.go
+++ b/internal/bench/tally/tally.go
@@ -20,8 +20,8 @@
 	Experiment    string  `json:"experiment"`
 	System        string  `json:"system"`
 	RatePerSecond float64 `json:"ratePerSecond"`
-	// Allowed is the share of the requests for which the capacity suffices.
-	Allowed float64 `json:"allowed"`
+	// AttainableShare is the share of the requests for which the capacity suffices.
+	AttainableShare float64 `json:"allowed"`
 	Counts
 	// Attainment is the share of all requests with a complete answer within the deadline.
 	Attainment float64 `json:"attainment"`
--- a/internal/bench/trial/system.go
+++ b/internal/bench/trial/system.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	records := driver.Run(ctx, e, func() {})
-	result := &tally.Result{Experiment: e.Name, System: "running", RatePerSecond: e.Rate(), Allowed: e.AttainableShare()}
+	result := &tally.Result{Experiment: e.Name, System: "running", RatePerSecond: e.Rate(), AttainableShare: e.AttainableShare()}
 	const second = 1000
 	result.AddRequests(records, (e.DurationMs+second-1)/second)
 	return result, nil
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -81,7 +81,7 @@
 		return nil, t.err
 	}
 	result := &tally.Result{
-		Experiment: e.Name, System: name, RatePerSecond: e.Rate(), Allowed: e.AttainableShare(),
+		Experiment: e.Name, System: name, RatePerSecond: e.Rate(), AttainableShare: e.AttainableShare(),
 		Faults: e.Faults, Platform: t.system.Platform.Calls(),
 	}
 	const second = 1000
--- a/internal/cli/daemon/tls_test.go
+++ b/internal/cli/daemon/tls_test.go
@@ -109,9 +109,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			asked := fleet.New(client.New(s.url).Store(), fleet.WithTimeout(10*clock.Second),
+			hostsFleet := fleet.New(client.New(s.url).Store(), fleet.WithTimeout(10*clock.Second),
 				fleet.WithTLS(certificates(t, c.pair, authority.File), ""))
-			answer := asked.Statuses(t.Context(), []store.Host{host})[0]
+			answer := hostsFleet.Statuses(t.Context(), []store.Host{host})[0]
 			assert.Equal(t, answer.Cause == nil, c.served, "%v", answer.Cause)
 			assert.Equal(t, answer.Status.Process == "agent-1", c.served)
 		})
--- a/internal/cli/devel/bounds.go
+++ b/internal/cli/devel/bounds.go
@@ -23,9 +23,9 @@
 	chart  string
 }
 
-// maxSpans bounds the number of intervals, and with it the time and memory for the
+// maxIntervals bounds the number of intervals, and with it the time and memory for the
 // calculation.
-const maxSpans = 200
+const maxIntervals = 200
 
 func newBounds() *cobra.Command {
 	options := boundsOptions{every: 2, output: "text"}
@@ -67,12 +67,12 @@
 	if err != nil {
 		return exit.With(exit.Invalid, fmt.Errorf("%s: %w", name, err))
 	}
-	if spans := model.Seconds / options.every; spans > maxSpans {
-		return exit.With(exit.Usage, fmt.Errorf("--every %v makes %.0f spans of %v s; at most %d are allowed", options.every, spans, model.Seconds, maxSpans))
+	if intervals := model.Seconds / options.every; intervals > maxIntervals {
+		return exit.With(exit.Usage, fmt.Errorf("--every %v makes %.0f intervals in %v s; at most %d are allowed", options.every, intervals, model.Seconds, maxIntervals))
 	}
-	report := boundsReport{Bound: fluid.Of(model, options.every)}
+	report := boundsReport{Bound: fluid.NewBound(model, options.every)}
 	if options.losses != "" {
-		if report.InTime, err = readInTime(options.losses, len(report.Spans)); err != nil {
+		if report.InTime, err = readInTime(options.losses, len(report.Intervals)); err != nil {
 			return exit.With(exit.Invalid, fmt.Errorf("%s: %w", options.losses, err))
 		}
 	}
@@ -100,7 +100,7 @@
 
 // readInTime reads a losses report and returns the share of attempts answered in time
 // in each interval.
-func readInTime(name string, spans int) ([]float64, error) {
+func readInTime(name string, maxCount int) ([]float64, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -110,14 +110,14 @@
 		return nil, err
 	}
 	var shares []float64
-	for _, span := range report.Intervals[:min(spans, len(report.Intervals))] {
+	for _, interval := range report.Intervals[:min(maxCount, len(report.Intervals))] {
 		all := 0
-		for outcome, count := range span.ByOutcome {
+		for outcome, count := range interval.ByOutcome {
 			if outcome != losses.Excluded {
 				all += count
 			}
 		}
-		shares = append(shares, float64(span.ByOutcome[losses.InTime])/float64(max(all, 1)))
+		shares = append(shares, float64(interval.ByOutcome[losses.InTime])/float64(max(all, 1)))
 	}
 	return shares, nil
 }
@@ -129,16 +129,16 @@
 		_, _ = fmt.Fprintf(table, "\t%s", route)
 	}
 	_, _ = fmt.Fprintln(table, "\tin time\tbinding")
-	for i, span := range report.Spans {
-		_, _ = fmt.Fprintf(table, "%g\t%.2f", span.FromS, span.Worth)
+	for i, interval := range report.Intervals {
+		_, _ = fmt.Fprintf(table, "%g\t%.2f", interval.FromS, interval.Worth)
 		for r := range report.Routes {
-			_, _ = fmt.Fprintf(table, "\t%.0f of %.0f", span.Served[r], span.Asked[r])
+			_, _ = fmt.Fprintf(table, "\t%.0f of %.0f", interval.Served[r], interval.Offered[r])
 		}
 		inTime := ""
 		if i < len(report.InTime) {
 			inTime = fmt.Sprintf("%.2f", report.InTime[i])
 		}
-		_, _ = fmt.Fprintf(table, "\t%s\t%s\n", inTime, span.BindingText())
+		_, _ = fmt.Fprintf(table, "\t%s\t%s\n", inTime, interval.BottleneckText())
 	}
 	_, _ = fmt.Fprintf(table, "all\t%.3f", report.Worth)
 	for r := range report.Routes {
@@ -154,10 +154,10 @@
 		return err
 	}
 	lines := []chart.Line{{Label: "worth at best"}, {Label: "answered in time"}}
-	for i, span := range report.Spans {
-		lines[0].X, lines[0].Y = append(lines[0].X, span.FromS), append(lines[0].Y, span.Worth)
+	for i, interval := range report.Intervals {
+		lines[0].X, lines[0].Y = append(lines[0].X, interval.FromS), append(lines[0].Y, interval.Worth)
 		if i < len(report.InTime) {
-			lines[1].X, lines[1].Y = append(lines[1].X, span.FromS), append(lines[1].Y, report.InTime[i])
+			lines[1].X, lines[1].Y = append(lines[1].X, interval.FromS), append(lines[1].Y, report.InTime[i])
 		}
 	}
 	if len(lines[1].X) == 0 {
--- a/internal/cli/devel/bounds_test.go
+++ b/internal/cli/devel/bounds_test.go
@@ -23,7 +23,7 @@
 		assert.NilError(t, runBounds(&out, name, boundsOptions{every: 2, output: "json"}), name)
 		var bound fluid.Bound
 		assert.NilError(t, json.Unmarshal(out.Bytes(), &bound), name)
-		assert.Assert(t, len(bound.Spans) > 1 && bound.Worth > 0 && bound.Worth <= 1, "%s: %v", name, bound.Worth)
+		assert.Assert(t, len(bound.Intervals) > 1 && bound.Worth > 0 && bound.Worth <= 1, "%s: %v", name, bound.Worth)
 	}
 }
 
@@ -54,7 +54,7 @@
 	sample := "../../../samples/bounds/papierveda.json"
 	for text, options := range map[string]boundsOptions{
 		"--every":     {every: 0, output: "text"},
-		"spans":       {every: 0.01, output: "text"},
+		"intervals":   {every: 0.01, output: "text"},
 		"--output":    {every: 2, output: "xml"},
 		"none.json":   {every: 2, output: "text", losses: "none.json"},
 		"no/such/dir": {every: 2, output: "text", chart: "no/such/dir/chart.svg"},
--- a/internal/cli/devel/load.go
+++ b/internal/cli/devel/load.go
@@ -132,7 +132,7 @@
 // printResult writes the summary of one run.
 func printResult(out io.Writer, r *tally.Result) {
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(out, format+"\n", values...) }
-	line("%s, %s: %.1f requests a second, %.1f%% allowed by capacity", r.Experiment, r.System, r.RatePerSecond, 100*r.Allowed)
+	line("%s, %s: %.1f requests a second, %.1f%% allowed by capacity", r.Experiment, r.System, r.RatePerSecond, 100*r.AttainableShare)
 	line("in time %.2f%% (worst second %.1f%%) of %d; late %d, refused %d, cut %d, wrong %d",
 		100*r.Attainment, 100*r.WorstSecond, r.Sent, r.Late, r.Refused, r.Cut, r.Wrong)
 	line("doubled %d, false notRun %d, falls of cold endpoints %d", r.Doubled, r.FalseNotRun, r.Falls)
--- a/internal/cli/devel/soak.go
+++ b/internal/cli/devel/soak.go
@@ -98,11 +98,11 @@
 		return false, err
 	}
 	command.Printf("seed %d: sent %d served %d refused %d failed %d, kept %d crossed %d, in the calm %d of %d, breaches %d\n", seed, report.Sent,
-		report.Served, report.Refused, report.Failed, report.Kept, report.Crossed, report.SettledServed, report.SettledSent, len(report.Breaches))
-	for _, breach := range report.Breaches {
-		command.Printf("  %s\n", breach)
+		report.Served, report.Refused, report.Failed, report.Kept, report.Crossed, report.SettledServed, report.SettledSent, len(report.Violations))
+	for _, violation := range report.Violations {
+		command.Printf("  %s\n", violation)
 	}
-	if len(report.Breaches) > 0 {
+	if len(report.Violations) > 0 {
 		command.Printf("  logs: %s\n", folder)
 		return false, nil
 	}
--- a/internal/cli/exit/exit.go
+++ b/internal/cli/exit/exit.go
@@ -39,8 +39,8 @@
 	Unavailable Code = 5
 	// Unknown means that a write may or may not have taken effect.
 	Unknown Code = 6
-	// Unsafe means that the remaining endpoints can't bear the load and that --force
-	// was not given; nothing was written.
+	// Unsafe means that the remaining endpoints lack the capacity for the load and that
+	// --force was not given; nothing was written.
 	Unsafe Code = 7
 	// NotInForce means that the change was accepted but was not in force on all
 	// daemons within the wait, or that a rollout was rolled back.
--- a/internal/cli/proc/process.go
+++ b/internal/cli/proc/process.go
@@ -104,8 +104,8 @@
 	if !files.IsSet() {
 		return nil, nil
 	}
-	failed := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
-	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithReloadError(failed))
+	logReloadError := func(err error) { p.Log.Error("certificate files not usable, old ones stay", logs.KeyError, err) }
+	return certs.New(certs.Files{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile}, certs.WithReloadError(logReloadError))
 }
 
 // CreatePlatformClient creates the client of the platform. It sends no call.
--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -183,10 +183,10 @@
 	return current.Username + "@" + host
 }
 
-// releaseSample is the number of entries that newestRelease asks.
+// releaseSample is the number of entries that newestRelease queries.
 const releaseSample = 8
 
-// newestRelease returns a function that asks some entries for their release and returns
+// newestRelease returns a function that queries the release of some entries and returns
 // the newest, or 0 if none answers. A higher number than that of the platform's store
 // shows that the store was restored to an older state.
 func newestRelease(f *fleet.Fleet) func(context.Context) uint64 {
--- a/internal/cli/state/losses.go
+++ b/internal/cli/state/losses.go
@@ -117,7 +117,7 @@
 	return file.Close()
 }
 
-// outcomes in the order of the tables.
+// outcomes lists the outcomes in the order of the table columns.
 var outcomes = []losses.Outcome{losses.InTime, losses.Late, losses.Refused, losses.Failed, losses.Excluded}
 
 func writeLosses(out io.Writer, report *losses.Report) {
@@ -140,29 +140,29 @@
 	}
 	_, _ = fmt.Fprintln(table, "\nfrom ms\tin time\tlate\trefused\tfailed\tleft\tmost for")
 	for i := range report.Intervals {
-		span := &report.Intervals[i]
-		_, _ = fmt.Fprintf(table, "%d", span.FromMs)
+		interval := &report.Intervals[i]
+		_, _ = fmt.Fprintf(table, "%d", interval.FromMs)
 		for _, outcome := range outcomes {
-			_, _ = fmt.Fprintf(table, "\t%d", span.ByOutcome[outcome])
+			_, _ = fmt.Fprintf(table, "\t%d", interval.ByOutcome[outcome])
 		}
-		_, _ = fmt.Fprintf(table, "\t%s\n", mostFor(span))
+		_, _ = fmt.Fprintf(table, "\t%s\n", mostFrequentCause(interval))
 	}
 	_ = table.Flush() // fails only if the output is closed
 	_, _ = fmt.Fprintf(out, "\n%d lines read, %d not readable, %d dropped by their processes, %d ends left out\n",
 		report.Lines, report.Skipped, report.Dropped, report.LeftOut)
 }
 
-// mostFor returns the most frequent cause of a span.
-func mostFor(span *losses.Interval) losses.Cause {
+// mostFrequentCause returns the most frequent cause in an interval.
+func mostFrequentCause(interval *losses.Interval) losses.Cause {
 	var causes []losses.Cause
-	for cause := range span.Causes {
+	for cause := range interval.Causes {
 		causes = append(causes, cause)
 	}
 	if len(causes) == 0 {
 		return ""
 	}
 	return slices.MaxFunc(causes, func(a, b losses.Cause) int {
-		return cmp.Or(cmp.Compare(span.Causes[a], span.Causes[b]), cmp.Compare(b, a))
+		return cmp.Or(cmp.Compare(interval.Causes[a], interval.Causes[b]), cmp.Compare(b, a))
 	})
 }
 
--- a/internal/cli/zones/status.go
+++ b/internal/cli/zones/status.go
@@ -54,11 +54,11 @@
 	if err != nil {
 		return err
 	}
-	zones := tally(config, client.Fleet.Statuses(cmd.Context(), hosts))
+	zones := countByZone(config, client.Fleet.Statuses(cmd.Context(), hosts))
 	return shared.Print(cmd.OutOrStdout(), zones, func(out io.Writer) { writeZones(out, zones) })
 }
 
-func tally(config *apply.Config, answers []fleet.Answer) []Zone {
+func countByZone(config *apply.Config, answers []fleet.Answer) []Zone {
 	zones := make([]Zone, 0, len(config.Manifest.AvailabilityZones))
 	for _, name := range config.Manifest.AvailabilityZones {
 		zone := Zone{Name: name, State: config.Head.ZoneState(name)}
--- a/internal/cli/zones/zones.go
+++ b/internal/cli/zones/zones.go
@@ -100,7 +100,7 @@
 	host := &answer.Host
 	e := room.Endpoint{
 		Pool: host.Pool, Endpoint: host.Endpoint, AvailabilityZone: host.AvailabilityZone,
-		OutOfService: isOut(host, config),
+		OutOfService: isOutOfService(host, config),
 	}
 	if status := answer.Status.Endpoint; answer.Cause == nil && status != nil {
 		e.Known, e.Running, e.Queued, e.Limit, e.Cold = true, status.Running, status.Queued, status.Limit, status.Cold
@@ -108,9 +108,9 @@
 	return e
 }
 
-// isOut reports whether an endpoint gets no new work because its host leaves,
-// or because operators took it or its zone out.
-func isOut(host *store.Host, config *apply.Config) bool {
+// isOutOfService reports whether an endpoint gets no new work because its host leaves,
+// or because operators took it or its zone out of service.
+func isOutOfService(host *store.Host, config *apply.Config) bool {
 	if host.State == store.HostLeaving || config.Head.ZoneState(host.AvailabilityZone) == head.ZoneLeft {
 		return true
 	}
@@ -126,7 +126,8 @@
 	return false
 }
 
-// UnsafeError is returned if the remaining endpoints could not bear the load.
+// UnsafeError is returned if the remaining endpoints would lack the capacity for the
+// load.
 type UnsafeError struct {
 	Pools []room.Pool
 }
@@ -157,8 +158,8 @@
 	}
 }
 
-// checkCapacity returns an UnsafeError if the remaining endpoints can't bear the load
-// and force is false. It prints the pools to the error output before the change, so
+// checkCapacity returns an UnsafeError if the remaining endpoints lack the capacity for
+// the load and force is false. It prints the pools to the error output before the change, so
 // that JSON output stays one document.
 func checkCapacity(cmd *cobra.Command, pools []room.Pool, force bool) error {
 	writePools(cmd.ErrOrStderr(), pools)
--- a/internal/cli/zones/zones_test.go
+++ b/internal/cli/zones/zones_test.go
@@ -56,7 +56,7 @@
 }
 
 // Guards against an overload: a zone leaves during peak load although the other zones
-// can't bear its work. Nothing is changed without --force.
+// lack the capacity for its work. Nothing is changed without --force.
 func TestLeaveIsRefusedIfOthersCannotBearTheLoad(t *testing.T) {
 	d := newSystem(t, 6, 6, 6)
 	ran := d.Run(t, zones.NewZone, "zone", "leave", "za")
--- a/internal/ops/room/room.go
+++ b/internal/ops/room/room.go
@@ -31,7 +31,8 @@
 	Pool string `json:"pool"`
 	// Load is the number of running and queued calls of all endpoints.
 	Load int `json:"load"`
-	// LimitBefore and After are the limits of the endpoints in service.
+	// LimitBefore and LimitAfter are the sums of the limits of the endpoints in service,
+	// before and after the removal.
 	LimitBefore int `json:"limitBefore"`
 	LimitAfter  int `json:"limitAfter"`
 	// EndpointsAfter counts the endpoints that remain in service.
