--- a/internal/bench/plan/bears.go
+++ b/internal/bench/plan/bears.go
@@ -97,14 +97,14 @@
 // suffices if every prompt is cached, which is the highest attainable share. For each kind
 // of request, it is limited by its pool with the lowest capacity.
 func (e *Experiment) AttainableShare() float64 {
-	allowed := 0.0
+	attainable := 0.0
 	for i := range e.Mix {
 		lowest := 1.0
 		for _, pool := range e.poolsOf(e.Mix[i].Service) {
 			offered := e.Rate() * e.runsPerRequest(pool)
 			lowest = min(lowest, e.runsPerSecond(pool, true)/offered)
 		}
-		allowed += e.requestShare(i) * lowest
+		attainable += e.requestShare(i) * lowest
 	}
-	return allowed
+	return attainable
 }
--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -67,9 +67,9 @@
 // engines that leave are planned.
 func (r *run) unplannedOn(d Disturbance, index int) (affected *process, unplanned bool) {
 	switch d.Kind {
-	case Terminate, RollingStop, Reload, Configure, EngineLeaves, EmptyZone:
+	case Terminate, RollingStop, Reload, Configure, EngineLeaves, EvacuateZone:
 		return nil, false
-	case ResetLinks, SilenceLinks, DelayLinks, CutOneWay:
+	case ResetLinks, BlackholeLinks, DelayLinks, CutOneWay:
 		if d.Subject%linkKinds == engineLink {
 			return nil, true
 		}
--- a/internal/bench/soak/keeper.go
+++ b/internal/bench/soak/keeper.go
@@ -34,48 +34,48 @@
 // startPersistentCallers starts the persistent callers of all processes.
 func (r *run) startPersistentCallers(ctx context.Context) {
 	for i := range callersPerProcess * len(r.processes) {
-		k := &persistentCaller{run: r, process: r.processAt(i), random: rand.New(rand.NewPCG(r.Seed, 23+uint64(i)))}
+		caller := &persistentCaller{run: r, process: r.processAt(i), random: rand.New(rand.NewPCG(r.Seed, 23+uint64(i)))}
 		r.group.Add(1)
 		go func() {
 			defer r.group.Done()
-			k.serve(ctx)
+			caller.serve(ctx)
 		}()
 	}
 }
 
 // serve opens a new connection each time the last one was closed, until the run ends.
-func (k *persistentCaller) serve(ctx context.Context) {
+func (p *persistentCaller) serve(ctx context.Context) {
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", k.process.ports.callers, time.Second)
+		c, err := net.DialTimeout("tcp", p.process.ports.callers, time.Second)
 		if err != nil {
 			pause(ctx, redialPause)
 			continue
 		}
-		k.use(ctx, c)
+		p.use(ctx, c)
 		_ = c.Close()
 	}
 }
 
 // use sends requests until the process closes the connection or announces its close.
-func (k *persistentCaller) use(ctx context.Context, c net.Conn) {
-	current, replies := k.process.currentIncarnation(), bufio.NewReader(c)
+func (p *persistentCaller) use(ctx context.Context, c net.Conn) {
+	current, replies := p.process.currentIncarnation(), bufio.NewReader(c)
 	for {
-		if k.random.IntN(2) == 0 {
-			pause(ctx, time.Duration(k.random.Int64N(int64(maxIdle))))
+		if p.random.IntN(2) == 0 {
+			pause(ctx, time.Duration(p.random.Int64N(int64(maxIdle))))
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		s := requests[k.random.IntN(len(requests))]()
+		s := requests[p.random.IntN(len(requests))]()
 		began := time.Now()
-		if k.send(c, s) != nil {
+		if p.send(c, s) != nil {
 			return // an incomplete request needs no answer
 		}
-		k.kept.Add(1)
+		p.kept.Add(1)
 		sent := time.Now()
-		got := k.client.Receive(replies, s)
+		got := p.client.Receive(replies, s)
 		if got.Status == 0 || got.Truncated {
-			k.checkUnanswered(&unanswered{id: s.ID, process: k.process, incarnation: current, began: began, sent: sent, ended: time.Now(), got: got})
+			p.checkUnanswered(&unanswered{id: s.ID, process: p.process, incarnation: current, began: began, sent: sent, ended: time.Now(), got: got})
 		}
 		if got.Closing {
 			return
@@ -84,20 +84,20 @@
 }
 
 // send writes a request; a third of the requests are written in two parts.
-func (k *persistentCaller) send(c net.Conn, s *stand.Request) error {
-	raw, err := k.client.Encode(s)
+func (p *persistentCaller) send(c net.Conn, s *stand.Request) error {
+	raw, err := p.client.Encode(s)
 	if err != nil {
 		return err
 	}
 	if err := c.SetDeadline(time.Now().Add(time.Duration(s.DeadlineMs)*time.Millisecond + deadlineTolerance)); err != nil {
 		return err
 	}
-	if k.random.IntN(3) == 0 {
-		first := 1 + k.random.IntN(len(raw)-1)
+	if p.random.IntN(3) == 0 {
+		first := 1 + p.random.IntN(len(raw)-1)
 		if _, err := c.Write(raw[:first]); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(k.random.Int64N(int64(maxGap))))
+		time.Sleep(time.Duration(p.random.Int64N(int64(maxGap))))
 		raw = raw[first:]
 	}
 	_, err = c.Write(raw)
--- a/internal/bench/soak/late_test.go
+++ b/internal/bench/soak/late_test.go
@@ -53,10 +53,10 @@
 	p.signal(syscall.SIGKILL)
 	answer := <-got
 	assert.Equal(t, answer.Status, 502, "%+v", answer)
-	for _, l := range p.history() {
-		if l.terminated.IsZero() {
+	for _, incarnation := range p.history() {
+		if incarnation.terminated.IsZero() {
 			continue
 		}
-		assert.Assert(t, !l.ended.IsZero() && l.failed == nil, "ended with %v, %v after SIGTERM", l.failed, l.ended.Sub(l.terminated))
+		assert.Assert(t, !incarnation.ended.IsZero() && incarnation.failed == nil, "ended with %v, %v after SIGTERM", incarnation.failed, incarnation.ended.Sub(incarnation.terminated))
 	}
 }
--- a/internal/bench/soak/order.go
+++ b/internal/bench/soak/order.go
@@ -43,10 +43,10 @@
 	return r.addEngine(e)
 }
 
-// operate acts as the operator: it issues one order at a time, for a service and a
-// version that the seed determines, until the remaining time is too short for another
+// issueOrders issues rollout orders, as an operator does: one at a time, for a service and
+// a version that the seed determines, until the remaining time is too short for another
 // order.
-func (r *run) operate(ctx context.Context) {
+func (r *run) issueOrders(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 13))
 	inForce := make(map[string]string)
 	for time.Since(r.started) < r.Length-orderDuration-decisionTolerance && ctx.Err() == nil {
@@ -58,7 +58,7 @@
 		if inForce[order.Service] == version.name {
 			continue
 		}
-		if r.carryOut(order, kind, version.fault) == completed {
+		if r.runOrder(order, kind, version.fault) == completed {
 			inForce[order.Service] = version.name
 		}
 		pause(ctx, orderPause)
@@ -71,9 +71,9 @@
 	rolledBack = "rolled_back"
 )
 
-// carryOut starts the engines of a version, orders the version and returns the final
+// runOrder starts the engines of a version, orders the version and returns the final
 // state of the order, "" if it was not decided.
-func (r *run) carryOut(order *stand.Rollout, kind int, fault stand.Fault) string {
+func (r *run) runOrder(order *stand.Rollout, kind int, fault stand.Fault) string {
 	before := r.enginesOf(order.Service)
 	var added []*engine
 	for _, zone := range zones {
--- a/internal/bench/soak/plan.go
+++ b/internal/bench/soak/plan.go
@@ -12,24 +12,24 @@
 
 // Kinds of disturbances.
 const (
-	Kill         Kind = "kill"
-	Pause        Kind = "pause"
-	Terminate    Kind = "terminate"
-	Reload       Kind = "reload"
-	ResetLinks   Kind = "resetLinks"
-	SilenceLinks Kind = "silenceLinks"
-	DelayLinks   Kind = "delayLinks"
-	CutOneWay    Kind = "cutOneWay"
-	CutStore     Kind = "cutStore"
-	StoreDown    Kind = "storeDown"
-	StoreSilent  Kind = "storeSilent"
-	StoreForgets Kind = "storeForgets"
-	StoreLoses   Kind = "storeLoses"
-	EngineFaults Kind = "engineFaults"
-	EngineCrash  Kind = "engineCrash"
-	EngineLeaves Kind = "engineLeaves"
-	EmptyZone    Kind = "emptyZone"
-	Configure    Kind = "configure"
+	Kill              Kind = "kill"
+	Pause             Kind = "pause"
+	Terminate         Kind = "terminate"
+	Reload            Kind = "reload"
+	ResetLinks        Kind = "resetLinks"
+	BlackholeLinks    Kind = "silenceLinks"
+	DelayLinks        Kind = "delayLinks"
+	CutOneWay         Kind = "cutOneWay"
+	CutStore          Kind = "cutStore"
+	StoreDown         Kind = "storeDown"
+	StoreHangs        Kind = "storeSilent"
+	StoreDropsHistory Kind = "storeForgets"
+	StoreLosesAnswers Kind = "storeLoses"
+	EngineFaults      Kind = "engineFaults"
+	EngineCrash       Kind = "engineCrash"
+	EngineLeaves      Kind = "engineLeaves"
+	EvacuateZone      Kind = "emptyZone"
+	Configure         Kind = "configure"
 	// RollingStop terminates all processes, one after the other.
 	RollingStop Kind = "rollingStop"
 )
@@ -40,8 +40,8 @@
 // overlappingKinds returns the kinds that may overlap with other disturbances.
 func overlappingKinds() []Kind {
 	return []Kind{
-		Kill, Pause, Terminate, Reload, ResetLinks, SilenceLinks, DelayLinks, CutOneWay, CutStore, StoreDown, StoreSilent,
-		StoreForgets, StoreLoses, EngineFaults, EngineCrash, EngineLeaves, EmptyZone, Configure,
+		Kill, Pause, Terminate, Reload, ResetLinks, BlackholeLinks, DelayLinks, CutOneWay, CutStore, StoreDown, StoreHangs,
+		StoreDropsHistory, StoreLosesAnswers, EngineFaults, EngineCrash, EngineLeaves, EvacuateZone, Configure,
 	}
 }
 
--- a/internal/bench/soak/process.go
+++ b/internal/bench/soak/process.go
@@ -156,17 +156,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make([]incarnation, 0, len(p.incarnations))
-	for _, l := range p.incarnations {
-		all = append(all, *l)
+	for _, i := range p.incarnations {
+		all = append(all, *i)
 	}
 	return all
 }
 
 // terminatedAt returns the time at which an incarnation got SIGTERM, zero if it did not.
-func (p *process) terminatedAt(l *incarnation) time.Time {
+func (p *process) terminatedAt(i *incarnation) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return l.terminated
+	return i.terminated
 }
 
 func (p *process) logFile() string { return filepath.Join(p.folder, p.name+".log") }
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -77,7 +77,7 @@
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(), nil
 }
 
@@ -208,7 +208,9 @@
 // Error implements error.
 func (e *StartError) Error() string { return e.Process + " did not become ready" }
 
-func (r *run) play(ctx context.Context) {
+// execute causes the disturbances, orders and requests of the run, and then checks the
+// planned stops and the requests of the version that was never ordered.
+func (r *run) execute(ctx context.Context) {
 	r.started = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.Length)
 	defer cancel()
@@ -222,7 +224,7 @@
 	r.group.Add(1)
 	go func() {
 		defer r.group.Done()
-		r.operate(ctx)
+		r.issueOrders(ctx)
 	}()
 	r.startPersistentCallers(ctx)
 	r.load(ctx)
@@ -243,21 +245,21 @@
 		case <-ticker.C:
 		}
 		number, kind := random.IntN(len(r.processes)), random.IntN(len(requests))
-		leaves := random.IntN(25) == 0
+		cancels := random.IntN(25) == 0
 		r.group.Add(1)
 		go func() {
 			defer r.group.Done()
-			r.request(number, requests[kind](), leaves)
+			r.request(number, requests[kind](), cancels)
 		}()
 	}
 }
 
 // request sends one request and retries it once, on another process, if it is refused
-// with a Retry-After. If leaves is set, the caller cancels it after 30 ms.
-func (r *run) request(number int, s *stand.Request, leaves bool) {
+// with a Retry-After. If cancels is set, the caller cancels it after 30 ms.
+func (r *run) request(number int, s *stand.Request, cancels bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.DeadlineMs)*time.Millisecond+deadlineTolerance)
 	defer cancel()
-	if leaves {
+	if cancels {
 		timer := time.AfterFunc(30*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
@@ -270,13 +272,13 @@
 		again.ID = stand.NewID()
 		got = r.client.Do(ctx, r.callers[(number+1)%len(r.callers)].Address(), &again)
 	}
-	if settled && !leaves {
+	if settled && !cancels {
 		r.settledSent.Add(1)
 	}
 	switch {
 	case got.Complete:
 		r.served.Add(1)
-		if settled && !leaves {
+		if settled && !cancels {
 			r.settledServed.Add(1)
 		}
 	case got.Status == http.StatusServiceUnavailable:
--- a/internal/bench/soak/soak_test.go
+++ b/internal/bench/soak/soak_test.go
@@ -22,9 +22,10 @@
 	return path
 }
 
-// play runs a seed. The seeds failed before or contain each kind of disturbance early;
-// cause is the earlier failure.
-func play(t *testing.T, seed uint64, length time.Duration, cause string) {
+// runSeed runs a seed and reports the violations of invariants as errors. The seeds of
+// these tests failed before or contain each kind of disturbance early; cause describes
+// the earlier failure.
+func runSeed(t *testing.T, seed uint64, length time.Duration, cause string) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("short mode: each seed takes about 20 seconds")
@@ -45,14 +46,14 @@
 // ran, answers that reach another caller, requests lost by planned stops, and a system
 // that does not recover after the last disturbance.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
-	play(t, 1, 22*time.Second, "overlapping kills, pauses and link cuts; a planned stop lost requests that the process had read")
+	runSeed(t, 1, 22*time.Second, "overlapping kills, pauses and link cuts; a planned stop lost requests that the process had read")
 }
 
 // The first order is for a bad version, during two rolling stops of all processes. Guards
 // against more requests to a bad version than the bounds allow, because restarted
 // processes lose the count of the requests that it got.
 func TestBadVersionBesideRollingStops(t *testing.T) {
-	play(t, 202, 31*time.Second, "the rollout of a bad version completed after 16 answers; the version failed until the end")
+	runSeed(t, 202, 31*time.Second, "the rollout of a bad version completed after 16 answers; the version failed until the end")
 }
 
 func TestPlansAreReproducibleAndEndBeforeRecovery(t *testing.T) {
--- a/internal/bench/soak/stops.go
+++ b/internal/bench/soak/stops.go
@@ -67,22 +67,22 @@
 }
 
 // checkStop reports a planned stop that did not end by itself within the grace period.
-func (r *run) checkStop(p *process, l *incarnation) {
-	if l.terminated.IsZero() {
+func (r *run) checkStop(p *process, i *incarnation) {
+	if i.terminated.IsZero() {
 		return
 	}
-	ended := l.ended
+	ended := i.ended
 	if ended.IsZero() {
 		ended = time.Now()
 	}
-	if r.killed(p, l) || r.faults.overlapping(l.terminated, ended, p, Pause) {
+	if r.killed(p, i) || r.faults.overlapping(i.terminated, ended, p, Pause) {
 		return
 	}
-	if took := ended.Sub(l.terminated); took > grace {
+	if took := ended.Sub(i.terminated); took > grace {
 		r.addViolation("%s: a planned stop took %v", p.name, took)
 	}
-	if l.failed != nil && !endedBySIGTERM(l.failed) {
-		r.addViolation("%s: a planned stop ended with %v", p.name, l.failed)
+	if i.failed != nil && !endedBySIGTERM(i.failed) {
+		r.addViolation("%s: a planned stop ended with %v", p.name, i.failed)
 	}
 }
 
@@ -125,8 +125,8 @@
 		if err != nil {
 			return err
 		}
-		index := slices.IndexFunc(history, func(l incarnation) bool {
-			return l.began.Before(at) && (l.ended.IsZero() || !l.ended.Before(at))
+		index := slices.IndexFunc(history, func(i incarnation) bool {
+			return i.began.Before(at) && (i.ended.IsZero() || !i.ended.Before(at))
 		})
 		if index < 0 || !r.killed(p, &history[index]) {
 			r.addViolation("a planned stop closed a connection with an unanswered request: %s", line)
@@ -136,6 +136,6 @@
 }
 
 // killed reports whether SIGKILL was sent during an incarnation.
-func (r *run) killed(p *process, l *incarnation) bool {
-	return r.faults.overlapping(l.began, l.ended, p, Kill)
+func (r *run) killed(p *process, i *incarnation) bool {
+	return r.faults.overlapping(i.began, i.ended, p, Kill)
 }
--- a/internal/bench/soak/strike.go
+++ b/internal/bench/soak/strike.go
@@ -18,8 +18,8 @@
 	}
 	_, _ = fmt.Fprintln(r.Out, d)
 	index := d.Subject % len(r.processes)
-	if who, unplanned := r.unplannedOn(d, index); unplanned {
-		defer r.faults.begin(d.Kind, who)()
+	if affected, unplanned := r.unplannedOn(d, index); unplanned {
+		defer r.faults.begin(d.Kind, affected)()
 	}
 	switch d.Kind {
 	case Kill:
@@ -40,9 +40,9 @@
 			r.addViolation("settings: %v", err)
 		}
 		r.processAt(index).signal(syscall.SIGHUP)
-	case ResetLinks, SilenceLinks, DelayLinks, CutOneWay, CutStore:
+	case ResetLinks, BlackholeLinks, DelayLinks, CutOneWay, CutStore:
 		r.injectLinkFault(ctx, d, index)
-	case StoreDown, StoreSilent, StoreForgets, StoreLoses:
+	case StoreDown, StoreHangs, StoreDropsHistory, StoreLosesAnswers:
 		r.injectStoreFault(ctx, d)
 	default:
 		r.injectPlatformChange(ctx, d)
@@ -63,7 +63,7 @@
 	case ResetLinks:
 		proxy.Reset()
 		return
-	case SilenceLinks:
+	case BlackholeLinks:
 		proxy.Blackhole()
 		return
 	case DelayLinks:
@@ -82,7 +82,7 @@
 func (r *run) injectStoreFault(ctx context.Context, d Disturbance) {
 	store := r.deployment.Store
 	switch d.Kind {
-	case StoreForgets:
+	case StoreDropsHistory:
 		store.SetFault(stand.StoreFault{HideChanges: true})
 		r.deployment.Publish()
 		pause(ctx, min(d.For, time.Second))
@@ -90,7 +90,7 @@
 	case StoreDown:
 		store.SetFault(stand.StoreFault{Status: http.StatusServiceUnavailable})
 		pause(ctx, d.For)
-	case StoreSilent:
+	case StoreHangs:
 		store.SetFault(stand.StoreFault{Hang: true})
 		pause(ctx, d.For)
 	default:
@@ -103,7 +103,7 @@
 func (r *run) injectPlatformChange(ctx context.Context, d Disturbance) {
 	e := r.engineAt(d.Subject)
 	if e.ended.Load() || (d.Kind == EngineFaults && e.Version != "") {
-		return // operate sets the faults of candidates
+		return // issueOrders sets the faults of candidates
 	}
 	switch d.Kind {
 	case EngineFaults:
@@ -123,7 +123,7 @@
 		if !e.ended.Load() {
 			r.deployment.Register(e.Engine, true, 0)
 		}
-	case EmptyZone:
+	case EvacuateZone:
 		zone := zones[d.Subject%len(zones)]
 		r.deployment.Evacuate(zone)
 		pause(ctx, d.For)
--- a/internal/cli/mancli/mancli_test.go
+++ b/internal/cli/mancli/mancli_test.go
@@ -126,7 +126,8 @@
 	assert.Equal(t, d.Head(t).Release, uint64(2))
 }
 
-// The exit code tells that nothing was changed if the platform is down.
+// Guards against an exit code that does not show that nothing was changed because the
+// platform is down.
 func TestApplyWhileThePlatformIsDown(t *testing.T) {
 	d := desk.New(t)
 	d.Platform.SetFaults(plat.Faults{Down: true})
@@ -147,7 +148,7 @@
 	ran.JSON(t, &done)
 	assert.Equal(t, done.Waited.InForce, 1)
 	assert.Equal(t, len(done.Waited.Behind), 1)
-	assert.Equal(t, len(done.Waited.NotSeen), 1)
+	assert.Equal(t, len(done.Waited.Unreachable), 1)
 	second.FollowRelease(d.Platform)
 	ran = d.Run(t, mancli.New, "manifest", "apply", manifestFile(t, shorterDeadline), "--wait")
 	assert.Equal(t, ran.Code, exit.OK, ran.Err)
--- a/internal/cli/reach/reach.go
+++ b/internal/cli/reach/reach.go
@@ -221,8 +221,8 @@
 	InForce int `json:"inForce"`
 	// Behind lists the daemons that still have an older release.
 	Behind []string `json:"behind,omitempty"`
-	// NotSeen lists the daemons that did not answer.
-	NotSeen []string `json:"notSeen,omitempty"`
+	// Unreachable lists the daemons that did not answer.
+	Unreachable []string `json:"notSeen,omitempty"`
 }
 
 // Wait waits until a release is in force on all daemons that answer. It returns an error
@@ -233,9 +233,9 @@
 		return WaitResult{Release: release}, err
 	}
 	var last []apply.ProcessRelease
-	ask := c.Fleet.ReleasesFunc(hosts, release)
+	queryReleases := c.Fleet.ReleasesFunc(hosts, release)
 	err = c.Operator.WaitInForce(ctx, release, limit, func(ctx context.Context) []apply.ProcessRelease {
-		last = ask(ctx)
+		last = queryReleases(ctx)
 		return answered(last)
 	})
 	return waitResult(release, last), err
@@ -257,7 +257,7 @@
 	for _, answer := range answers {
 		switch {
 		case answer.Cause != nil:
-			out.NotSeen = append(out.NotSeen, fmt.Sprintf("%s (%v)", answer.Process, answer.Cause))
+			out.Unreachable = append(out.Unreachable, fmt.Sprintf("%s (%v)", answer.Process, answer.Cause))
 		case answer.Release < release:
 			out.Behind = append(out.Behind, fmt.Sprintf("%s (release %d)", answer.Process, answer.Release))
 		default:
@@ -273,7 +273,7 @@
 	for _, name := range w.Behind {
 		_, _ = fmt.Fprintln(out, "  not yet on", name)
 	}
-	for _, name := range w.NotSeen {
+	for _, name := range w.Unreachable {
 		_, _ = fmt.Fprintln(out, "  no answer from", name)
 	}
 }
--- a/internal/cli/zones/status.go
+++ b/internal/cli/zones/status.go
@@ -20,11 +20,11 @@
 	State     head.ZoneState `json:"state"`
 	ChangedBy string         `json:"changedBy,omitempty"`
 	Reason    string         `json:"reason,omitempty"`
-	// Entries and Agents count the daemons of the zone that answered, NotSeen those
+	// Entries and Agents count the daemons of the zone that answered, Unreachable those
 	// that did not.
-	Entries int `json:"entries"`
-	Agents  int `json:"agents"`
-	NotSeen int `json:"notSeen"`
+	Entries     int `json:"entries"`
+	Agents      int `json:"agents"`
+	Unreachable int `json:"notSeen"`
 	// Running and Queued count the calls at the endpoints of the zone. Limit is the
 	// sum of the endpoints' limits.
 	Running int `json:"running"`
@@ -79,7 +79,7 @@
 
 func (z *Zone) add(answer *fleet.Answer) {
 	if answer.Cause != nil {
-		z.NotSeen++
+		z.Unreachable++
 		return
 	}
 	if answer.Host.Role == "entry" {
@@ -100,7 +100,7 @@
 	for i := range zones {
 		z := &zones[i]
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n",
-			z.Name, z.State, z.Entries, z.Agents, z.NotSeen, z.Running, z.Queued, z.Limit, z.ChangedBy, z.Reason)
+			z.Name, z.State, z.Entries, z.Agents, z.Unreachable, z.Running, z.Queued, z.Limit, z.ChangedBy, z.Reason)
 	}
 	_ = table.Flush() // fails only if the output is closed
 }
--- a/internal/e2e/agent_test.go
+++ b/internal/e2e/agent_test.go
@@ -70,7 +70,7 @@
 	waitForRequests(t, load, load.count()+40)
 	outcomes := load.stop()
 	assert.NilError(t, firstFailure(outcomes))
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.Equal(t, total.refused, 0, "%+v", total)
 	checkRunCounts(t, outcomes, system.Ledger.Runs)
 }
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -31,7 +31,7 @@
 	load := startLoad(t, 6, func() []string { return baseURLs }, kindSheet, kindBooking)
 	waitForRequests(t, load, 200)
 	outcomes := load.stop()
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.NilError(t, firstFailure(outcomes))
 	assert.Assert(t, total.answered > total.refused, "%+v", total)
 	checkRunCounts(t, outcomes, system.Ledger.Runs)
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -267,7 +267,7 @@
 		waitForRequests(t, load, load.count()+10)
 	}
 	outcomes := load.stop()
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.NilError(t, firstFailure(outcomes))
 	assert.Equal(t, total.refused, 0, "%+v", total)
 }
--- a/internal/e2e/crowd_test.go
+++ b/internal/e2e/crowd_test.go
@@ -157,16 +157,16 @@
 	}
 }
 
-// tally counts outcomes by result.
-type tally struct {
+// outcomeCounts counts outcomes by result.
+type outcomeCounts struct {
 	answered, refused, interrupted, wrong int
 	reasons                               map[fault.Reason]int
 	// details holds one example of each reason.
 	details map[fault.Reason]string
 }
 
-func sum(outcomes []outcome) tally {
-	total := tally{reasons: make(map[fault.Reason]int), details: make(map[fault.Reason]string)}
+func countOutcomes(outcomes []outcome) outcomeCounts {
+	total := outcomeCounts{reasons: make(map[fault.Reason]int), details: make(map[fault.Reason]string)}
 	for i := range outcomes {
 		got := &outcomes[i]
 		switch {
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -179,6 +179,6 @@
 	group.Wait()
 	checkRunCounts(t, outcomes, system.Ledger.Runs)
 	assert.Equal(t, system.Ledger.Runs(b.key), 1)
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.Equal(t, total.answered+total.reasons[fault.KeyInUse], len(outcomes), "%+v", total)
 }
--- a/internal/e2e/planned_test.go
+++ b/internal/e2e/planned_test.go
@@ -48,7 +48,7 @@
 	outcomes := load.stop()
 	assert.NilError(t, firstFailure(outcomes))
 	checkRunCounts(t, outcomes, c.runCount)
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.Check(t, total.refused == 0, "%+v", total)
 }
 
@@ -65,7 +65,7 @@
 	outcomes := load.stop()
 	assert.NilError(t, firstFailure(outcomes))
 	checkRunCounts(t, outcomes, c.runCount)
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.Check(t, total.refused == total.reasons[fault.KeyUnavailable], "%+v", total)
 }
 
--- a/internal/e2e/zone_test.go
+++ b/internal/e2e/zone_test.go
@@ -49,7 +49,7 @@
 func checkAllAnswered(t *testing.T, load *loadGenerator) {
 	t.Helper()
 	outcomes := load.stop()
-	total := sum(outcomes)
+	total := countOutcomes(outcomes)
 	assert.NilError(t, firstFailure(outcomes))
 	assert.Equal(t, total.refused, 0, "%+v", total)
 }
@@ -232,7 +232,7 @@
 	waitForRequests(t, remainingLoad, 30)
 	outcomes := remainingLoad.stop()
 	assert.NilError(t, firstFailure(outcomes))
-	assert.Assert(t, sum(outcomes).answered > 0)
+	assert.Assert(t, countOutcomes(outcomes).answered > 0)
 	assert.Assert(t, system.LastStart("zb").Before(accepted.Add(zoneGrace)))
 }
 
--- a/internal/ops/losses/cause.go
+++ b/internal/ops/losses/cause.go
@@ -51,7 +51,7 @@
 	first   clock.Millis
 }
 
-// notes holds events that other log lines than the last one report for a request.
+// notes records events of a request that are not in its last log line.
 type notes struct {
 	ownerLost bool
 	deferred  bool
--- a/internal/ops/room/room.go
+++ b/internal/ops/room/room.go
@@ -14,7 +14,7 @@
 	Pool             string
 	Endpoint         string
 	AvailabilityZone string
-	// Known is false if its agent could not be asked. The endpoint then counts as
+	// Known is false if its agent did not answer. The endpoint then counts as
 	// having no capacity.
 	Known   bool
 	Running int
@@ -37,7 +37,7 @@
 	LimitAfter  int `json:"limitAfter"`
 	// EndpointsAfter counts the endpoints that remain in service.
 	EndpointsAfter int `json:"endpointsAfter"`
-	// Unknown counts the endpoints whose agents could not be asked.
+	// Unknown counts the endpoints whose agents did not answer.
 	Unknown int `json:"unknown,omitempty"`
 	// Sufficient is true if the remaining capacity suffices for the load.
 	Sufficient bool `json:"bears"`
