--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -38,10 +38,10 @@
 }
 
 // begin records the start of a fault and returns a function that records its end.
-func (f *faultLog) begin(kind Kind, who *process) (end func()) {
+func (f *faultLog) begin(kind Kind, affected *process) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	begun := &fault{kind: kind, process: who, from: time.Now()}
+	begun := &fault{kind: kind, process: affected, from: time.Now()}
 	f.faults = append(f.faults, begun)
 	return func() {
 		f.mu.Lock()
@@ -52,13 +52,13 @@
 
 // overlapping reports whether a fault of a process overlaps a time span. Without kinds
 // it considers faults of every kind.
-func (f *faultLog) overlapping(from, to time.Time, who *process, kinds ...Kind) bool {
+func (f *faultLog) overlapping(from, to time.Time, affected *process, kinds ...Kind) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.faults, func(one *fault) bool {
-		concerns := one.process == nil || one.process == who
+		affects := one.process == nil || one.process == affected
 		overlaps := !one.from.After(to) && (one.to.IsZero() || !one.to.Before(from))
-		return concerns && overlaps && (len(kinds) == 0 || slices.Contains(kinds, one.kind))
+		return affects && overlaps && (len(kinds) == 0 || slices.Contains(kinds, one.kind))
 	})
 }
 
