--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -59,8 +59,8 @@
 	// Kept counts the requests on persistent connections. Crossed counts those of them
 	// whose connection a planned stop closed within 200 ms, before the process read them.
 	Kept, Crossed int64
-	// Breaches describes the violated invariants.
-	Breaches []string
+	// Violations describes the violated invariants.
+	Violations []string
 	// SettledSent counts the requests that were sent after recovery at the end of the
 	// run, SettledServed those of them that succeeded.
 	SettledSent, SettledServed int64
@@ -77,7 +77,7 @@
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(), nil
 }
 
@@ -94,7 +94,7 @@
 
 	kept, crossed                 atomic.Int64
 	sent, served, refused, failed atomic.Int64
-	calmSent, calmServed          atomic.Int64
+	settledSent, settledServed    atomic.Int64
 	mu                            sync.Mutex
 	violations                    []string
 	group                         sync.WaitGroup
@@ -208,7 +208,9 @@
 // Error implements error.
 func (e *StartError) Error() string { return e.Process + " did not become ready" }
 
-func (r *run) play(ctx context.Context) {
+// execute causes the disturbances, orders and requests of the run, and then checks the
+// planned stops and the requests of the version that was never ordered.
+func (r *run) execute(ctx context.Context) {
 	r.started = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.Length)
 	defer cancel()
@@ -222,7 +224,7 @@
 	r.group.Add(1)
 	go func() {
 		defer r.group.Done()
-		r.operate(ctx)
+		r.issueOrders(ctx)
 	}()
 	r.startPersistentCallers(ctx)
 	r.load(ctx)
@@ -243,25 +245,25 @@
 		case <-ticker.C:
 		}
 		number, kind := random.IntN(len(r.processes)), random.IntN(len(requests))
-		leaves := random.IntN(25) == 0
+		cancels := random.IntN(25) == 0
 		r.group.Add(1)
 		go func() {
 			defer r.group.Done()
-			r.request(number, requests[kind](), leaves)
+			r.request(number, requests[kind](), cancels)
 		}()
 	}
 }
 
 // request sends one request and retries it once, on another process, if it is refused
-// with a Retry-After. If leaves is set, the caller cancels it after 30 ms.
-func (r *run) request(number int, s *stand.Request, leaves bool) {
+// with a Retry-After. If cancels is set, the caller cancels it after 30 ms.
+func (r *run) request(number int, s *stand.Request, cancels bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.DeadlineMs)*time.Millisecond+deadlineTolerance)
 	defer cancel()
-	if leaves {
+	if cancels {
 		timer := time.AfterFunc(30*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	calm := time.Since(r.started) > r.Length-recoverySpan+settlingTime
+	settled := time.Since(r.started) > r.Length-recoverySpan+settlingTime
 	r.sent.Add(1)
 	got := r.client.Do(ctx, r.callers[number].Address(), s)
 	if got.RetryAfter > 0 && got.Status == http.StatusServiceUnavailable {
@@ -270,14 +272,14 @@
 		again.ID = stand.NewID()
 		got = r.client.Do(ctx, r.callers[(number+1)%len(r.callers)].Address(), &again)
 	}
-	if calm && !leaves {
-		r.calmSent.Add(1)
+	if settled && !cancels {
+		r.settledSent.Add(1)
 	}
 	switch {
 	case got.Complete:
 		r.served.Add(1)
-		if calm && !leaves {
-			r.calmServed.Add(1)
+		if settled && !cancels {
+			r.settledServed.Add(1)
 		}
 	case got.Status == http.StatusServiceUnavailable:
 		r.refused.Add(1)
@@ -299,12 +301,12 @@
 	report := &Report{
 		Sent: r.sent.Load(), Served: r.served.Load(), Refused: r.refused.Load(), Failed: r.failed.Load(),
 		Kept: r.kept.Load(), Crossed: r.crossed.Load(),
-		SettledSent: r.calmSent.Load(), SettledServed: r.calmServed.Load(),
+		SettledSent: r.settledSent.Load(), SettledServed: r.settledServed.Load(),
 	}
 	if float64(report.SettledServed) < minServedShare*float64(report.SettledSent) {
 		r.addViolation("only %d of %d requests were served after the last disturbance", report.SettledServed, report.SettledSent)
 	}
-	report.Breaches = append(r.deployment.Ledger.Violations(), r.violations...)
+	report.Violations = append(r.deployment.Ledger.Violations(), r.violations...)
 	return report
 }
 
--- a/internal/ops/room/room.go
+++ b/internal/ops/room/room.go
@@ -14,7 +14,7 @@
 	Pool             string
 	Endpoint         string
 	AvailabilityZone string
-	// Known is false if its agent could not be asked. The endpoint then counts as
+	// Known is false if its agent did not answer. The endpoint then counts as
 	// having no capacity.
 	Known   bool
 	Running int
@@ -31,12 +31,13 @@
 	Pool string `json:"pool"`
 	// Load is the number of running and queued calls of all endpoints.
 	Load int `json:"load"`
-	// LimitBefore and After are the limits of the endpoints in service.
+	// LimitBefore and LimitAfter are the sums of the limits of the endpoints in service,
+	// before and after the removal.
 	LimitBefore int `json:"limitBefore"`
 	LimitAfter  int `json:"limitAfter"`
 	// EndpointsAfter counts the endpoints that remain in service.
 	EndpointsAfter int `json:"endpointsAfter"`
-	// Unknown counts the endpoints whose agents could not be asked.
+	// Unknown counts the endpoints whose agents did not answer.
 	Unknown int `json:"unknown,omitempty"`
 	// Sufficient is true if the remaining capacity suffices for the load.
 	Sufficient bool `json:"bears"`
